--- a/cmd/harrierramp/constants_test.go
+++ b/cmd/harrierramp/constants_test.go
@@ -17,7 +17,7 @@
 var noFigures = map[string]string{
 	"choice":              "noteAsk noteGrant noteEnd noteHand noteCold noteSize",
 	"internal/acts":       "Format sumBytes",
-	"internal/cli":        "statusFailed statusUsage epochShift",
+	"internal/cli":        "exitFailed exitUsage epochShift",
 	"internal/journal":    "recordHead",
 	"internal/membership": "Magic version headSize digestWidth",
 	"internal/statedir":   "Format",
@@ -25,7 +25,7 @@
 }
 
 // docs/constants.md has each constant of the decisions and of the node's packages, with its value, and no others.
-func TestThePageListsTheConstants(t *testing.T) {
+func TestConstantsPageIsComplete(t *testing.T) {
 	const root = "../.."
 	deploy, err := os.ReadFile(root + "/deploy/balancer.toml")
 	if err != nil {
@@ -37,7 +37,7 @@
 	}
 	want := map[string]string{}
 	for _, m := range regexp.MustCompile(`"([^"]+)"`).FindAllStringSubmatch(string(node[1])+`, "choice"`, -1) {
-		constants(t, root, m[1], want)
+		collectConstants(t, root, m[1], want)
 	}
 	page, err := os.ReadFile(root + "/docs/constants.md")
 	if err != nil {
@@ -65,7 +65,7 @@
 }
 
 // constants notes the figures among a package's constants, as they are written.
-func constants(t *testing.T, root, dir string, into map[string]string) {
+func collectConstants(t *testing.T, root, dir string, into map[string]string) {
 	files, err := filepath.Glob(filepath.Join(root, dir, "*.go"))
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/harrierramp/faultnode_test.go
+++ b/cmd/harrierramp/faultnode_test.go
@@ -30,9 +30,9 @@
 )
 
 const (
-	restartPause = 600 * time.Millisecond  // from SIGKILL to the next start
-	leaveTime    = 3700 * time.Millisecond // from SIGTERM to SIGKILL
-	startTime    = 10 * time.Second        // to be ready
+	restartDelay    = 600 * time.Millisecond  // from SIGKILL to the next start
+	shutdownTimeout = 3700 * time.Millisecond // from SIGTERM to SIGKILL
+	startTimeout    = 10 * time.Second        // to be ready
 )
 
 // faultyNode is a real process on loopback whose system calls a schedule decides on. It starts again after it has ended.
@@ -48,11 +48,11 @@
 	mu       sync.Mutex
 	cmd      *exec.Cmd
 	injector *sysfault.Injector
-	ended    chan error
+	exited   chan error
 }
 
 // newFaultyNode prepares a node for the platform's stand-in, and starts it.
-func newFaultyNode(t *testing.T, p *platform, state, settings string, decide func(sysfault.Call) sysfault.Verdict, l *faultLedger) *faultyNode {
+func newFaultyNode(t *testing.T, p *fakePlatform, state, settings string, decide func(sysfault.Call) sysfault.Verdict, l *faultLedger) *faultyNode {
 	t.Helper()
 	dir := t.TempDir()
 	n := &faultyNode{t: t, config: filepath.Join(dir, "config.json"), state: state, addr: nodeAddress(t), log: filepath.Join(dir, "log"), decide: decide, ledger: l}
@@ -110,26 +110,26 @@
 		return
 	}
 	ended := make(chan error, 1)
-	n.cmd, n.ended = cmd, ended
+	n.cmd, n.exited = cmd, ended
 	n.mu.Unlock()
 	go func() { ended <- cmd.Wait() }()
-	for began := time.Now(); !n.answers(); time.Sleep(5 * time.Millisecond) {
-		if time.Since(began) > startTime {
-			n.ledger.breaks("crash", "not ready %v after its start", startTime)
+	for began := time.Now(); !n.respondsToPing(); time.Sleep(5 * time.Millisecond) {
+		if time.Since(began) > startTimeout {
+			n.ledger.recordViolation("crash", "not ready %v after its start", startTimeout)
 			return
 		}
 		select {
 		case err := <-ended:
-			n.ledger.breaks("crash", "it ended at its start: %v", err)
+			n.ledger.recordViolation("crash", "it ended at its start: %v", err)
 			ended <- err
 			return
 		default:
 		}
 	}
-	n.ledger.ready()
+	n.ledger.recordReady()
 }
 
-func (n *faultyNode) answers() bool {
+func (n *faultyNode) respondsToPing() bool {
 	nc, err := net.DialTimeout("tcp", n.addr, 100*time.Millisecond)
 	if err != nil {
 		return false
@@ -138,7 +138,7 @@
 	if nc.SetDeadline(time.Now().Add(time.Second)) != nil {
 		return false
 	}
-	if _, err := io.WriteString(nc, testkit.Resp("PING")); err != nil {
+	if _, err := io.WriteString(nc, testkit.EncodeRESP("PING")); err != nil {
 		return false
 	}
 	line, err := bufio.NewReader(nc).ReadString('\n')
@@ -146,19 +146,19 @@
 }
 
 // handInUnheard hands a message in to a node that may be killed meanwhile.
-func (n *faultyNode) handInUnheard(request string) {
+func (n *faultyNode) submitIgnoringAnswer(request string) {
 	nc, err := net.Dial("tcp", n.addr)
 	if err != nil {
 		return
 	}
 	defer nc.Close()
 	io.WriteString(nc, request)
-	nc.SetReadDeadline(time.Now().Add(answerPatience))
+	nc.SetReadDeadline(time.Now().Add(clientTimeout))
 	io.Copy(io.Discard, nc)
 }
 
 // threads tells what each thread of the process waits for.
-func (n *faultyNode) threads() string {
+func (n *faultyNode) threadStates() string {
 	n.mu.Lock()
 	pid := n.cmd.Process.Pid
 	n.mu.Unlock()
@@ -179,7 +179,7 @@
 // kill ends the process at once.
 func (n *faultyNode) kill() {
 	n.mu.Lock()
-	cmd, ended, injector := n.cmd, n.ended, n.injector
+	cmd, ended, injector := n.cmd, n.exited, n.injector
 	n.mu.Unlock()
 	if cmd == nil {
 		return
@@ -190,12 +190,12 @@
 }
 
 // running tells whether the process is there.
-func (n *faultyNode) running() bool {
+func (n *faultyNode) isRunning() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	select {
-	case err := <-n.ended:
-		n.ended <- err
+	case err := <-n.exited:
+		n.exited <- err
 		return false
 	default:
 		return true
@@ -211,31 +211,33 @@
 }
 
 // restart ends the process, by SIGTERM first if it is asked to, and starts it again. Its folder stays.
-func (n *faultyNode) restart(leaves bool) {
-	n.ledger.down()
-	if leaves {
+func (n *faultyNode) restart(graceful bool) {
+	n.ledger.recordDown()
+	if graceful {
 		n.signal(syscall.SIGTERM)
-		time.Sleep(leaveTime)
+		time.Sleep(shutdownTimeout)
 	}
 	n.kill()
-	time.Sleep(restartPause)
+	time.Sleep(restartDelay)
 	n.start()
 }
 
 // platform stands in for discovery: a list that does not change, and reports of final answers.
-type platform struct {
-	srv     *httptest.Server
-	ledger  *faultLedger
-	members []string
-	silent  atomic.Int64 // Unix time in nanoseconds: posts that come before it get no answer and are not heard
+type fakePlatform struct {
+	srv                 *httptest.Server
+	ledger              *faultLedger
+	members             []string
+	ignoreReportsBefore atomic.Int64 // Unix time in nanoseconds: posts that come before it get no answer and are not heard
 }
 
 // silence has posts that come before a moment wait for good.
-func (p *platform) silence(until time.Time) { p.silent.Store(until.UnixNano()) }
+func (p *fakePlatform) ignoreReportsUntil(until time.Time) {
+	p.ignoreReportsBefore.Store(until.UnixNano())
+}
 
-func newPlatform(t *testing.T, l *faultLedger, members []string) *platform {
+func newFakePlatform(t *testing.T, l *faultLedger, members []string) *fakePlatform {
 	t.Helper()
-	p := &platform{ledger: l, members: members}
+	p := &fakePlatform{ledger: l, members: members}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /registry/instances", func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprintln(w, p.list())
@@ -259,7 +261,7 @@
 		if err != nil {
 			return
 		}
-		if time.Now().UnixNano() < p.silent.Load() {
+		if time.Now().UnixNano() < p.ignoreReportsBefore.Load() {
 			<-r.Context().Done() // only once its body has been read does a request hear of its connection's end
 			return
 		}
@@ -270,7 +272,7 @@
 				w.WriteHeader(http.StatusBadRequest)
 				return
 			}
-			l.noticed(notice.ID, notice.State)
+			l.recordReport(notice.ID, notice.State)
 		}
 		w.WriteHeader(http.StatusNoContent)
 	})
@@ -282,9 +284,9 @@
 	return p
 }
 
-func (p *platform) addr() string { return p.srv.Listener.Addr().String() }
+func (p *fakePlatform) addr() string { return p.srv.Listener.Addr().String() }
 
-func (p *platform) list() string {
+func (p *fakePlatform) list() string {
 	return fmt.Sprintf(`{"revision":1,"complete":true,"members":[%s]}`, strings.Join(p.members, ","))
 }
 
@@ -298,28 +300,28 @@
 
 const (
 	replyDelivered reply = iota
-	replySlowly
+	replySlow
 	replyError
 	replyRefusal
 	replyReset
 	replyNever
 )
 
-const slowReply = 300 * time.Millisecond
+const slowReplyDelay = 300 * time.Millisecond
 
 // newFaultEndpoint is an endpoint whose answers choose decides.
 func newFaultEndpoint(t *testing.T, l *faultLedger, choose func() reply) string {
 	return testkit.NewPartner(t, func(nc net.Conn, req *http.Request) bool {
-		id, how := req.Header.Get("X-Trace-Id"), choose()
-		l.called(id, how != replyRefusal)
-		switch how {
-		case replySlowly:
-			time.Sleep(slowReply)
+		id, answer := req.Header.Get("X-Trace-Id"), choose()
+		l.recordCall(id, answer != replyRefusal)
+		switch answer {
+		case replySlow:
+			time.Sleep(slowReplyDelay)
 			fallthrough
 		case replyDelivered:
-			_, err := io.WriteString(nc, testkit.Delivered)
+			_, err := io.WriteString(nc, testkit.DeliveredResponse)
 			if err == nil {
-				l.delivered(id)
+				l.recordDelivery(id)
 			}
 			return err == nil
 		case replyError:
@@ -332,58 +334,58 @@
 			nc.(*net.TCPConn).SetLinger(0)
 			return false
 		default:
-			return testkit.Silent(nc, req)
+			return testkit.NeverRespond(nc, req)
 		}
 	}).Addr()
 }
 
 // fault is a span of the play in which some system calls fail.
-type fault struct {
-	name     string
-	from, to time.Duration
-	decide   func(sysfault.Call, *rand.Rand) sysfault.Verdict
-	met      int // calls that it has struck
+type injectedFault struct {
+	name        string
+	from, to    time.Duration
+	decide      func(sysfault.Call, *rand.Rand) sysfault.Verdict
+	struckCalls int // calls that it has struck
 }
 
 // schedule decides on a node's calls by the faults of a play.
-type schedule struct {
-	mu     sync.Mutex
-	rng    *rand.Rand
-	began  time.Time
-	faults []*fault
-	kill   bool // in the next write to the folder
+type faultSchedule struct {
+	mu            sync.Mutex
+	rng           *rand.Rand
+	startedAt     time.Time
+	faults        []*injectedFault
+	killNextWrite bool // in the next write to the folder
 }
 
 // fail adds a fault that lasts from now on for a while.
-func (s *schedule) fail(span time.Duration, decide func(sysfault.Call, *rand.Rand) sysfault.Verdict) *fault {
+func (s *faultSchedule) addFault(span time.Duration, decide func(sysfault.Call, *rand.Rand) sysfault.Verdict) *injectedFault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	from := time.Since(s.began)
-	f := &fault{from: from, to: from + span, decide: decide}
+	from := time.Since(s.startedAt)
+	f := &injectedFault{from: from, to: from + span, decide: decide}
 	s.faults = append(s.faults, f)
 	return f
 }
 
 // over ends a fault.
-func (s *schedule) over(f *fault) {
+func (s *faultSchedule) endFault(f *injectedFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f.to = time.Since(s.began)
+	f.to = time.Since(s.startedAt)
 }
 
 // struck is how many calls a fault has met.
-func (s *schedule) struck(f *fault) int {
+func (s *faultSchedule) struckCalls(f *injectedFault) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return f.met
+	return f.struckCalls
 }
 
-func (s *schedule) decide(c sysfault.Call) sysfault.Verdict {
+func (s *faultSchedule) decide(c sysfault.Call) sysfault.Verdict {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	at := time.Since(s.began)
-	if s.kill && writesFile(c) && c.Size > 1 {
-		s.kill = false
+	at := time.Since(s.startedAt)
+	if s.killNextWrite && isStateWrite(c) && c.Size > 1 {
+		s.killNextWrite = false
 		return sysfault.Verdict{Most: 1 + s.rng.IntN(c.Size-1), Kill: true}
 	}
 	for _, f := range s.faults {
@@ -391,7 +393,7 @@
 			continue
 		}
 		if v := f.decide(c, s.rng); v != (sysfault.Verdict{}) {
-			f.met++
+			f.struckCalls++
 			return v
 		}
 	}
@@ -399,32 +401,32 @@
 }
 
 // killInWrite has the next write to the folder torn by a kill.
-func (s *schedule) killInWrite(on bool) {
+func (s *faultSchedule) setKillNextWrite(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.kill = on
+	s.killNextWrite = on
 }
 
 // stateDirectory is a part of the path of every folder that lasts.
 const stateDirectory = "lasting-state"
 
-func ofState(c sysfault.Call) bool { return strings.Contains(c.Path, stateDirectory) }
+func inStateDir(c sysfault.Call) bool { return strings.Contains(c.Path, stateDirectory) }
 
-func writesFile(c sysfault.Call) bool {
-	return ofState(c) && (c.Number == unix.SYS_WRITE || c.Number == unix.SYS_PWRITE64)
+func isStateWrite(c sysfault.Call) bool {
+	return inStateDir(c) && (c.Number == unix.SYS_WRITE || c.Number == unix.SYS_PWRITE64)
 }
 
 // fails has calls of some numbers fail with any of some errors.
-func fails(strikes func(sysfault.Call) bool, errnos ...syscall.Errno) func(sysfault.Call, *rand.Rand) sysfault.Verdict {
+func failMatching(matches func(sysfault.Call) bool, errnos ...syscall.Errno) func(sysfault.Call, *rand.Rand) sysfault.Verdict {
 	return func(c sysfault.Call, rng *rand.Rand) sysfault.Verdict {
-		if !strikes(c) {
+		if !matches(c) {
 			return sysfault.Verdict{}
 		}
 		return sysfault.Verdict{Errno: errnos[rng.IntN(len(errnos))]}
 	}
 }
 
-func numbered(numbers ...int) func(sysfault.Call) bool {
+func hasNumber(numbers ...int) func(sysfault.Call) bool {
 	return func(c sysfault.Call) bool {
 		for _, n := range numbers {
 			if c.Number == n {
@@ -435,20 +437,20 @@
 	}
 }
 
-func onState(numbers ...int) func(sysfault.Call) bool {
-	is := numbered(numbers...)
-	return func(c sysfault.Call) bool { return ofState(c) && is(c) }
+func isStateCall(numbers ...int) func(sysfault.Call) bool {
+	matches := hasNumber(numbers...)
+	return func(c sysfault.Call) bool { return inStateDir(c) && matches(c) }
 }
 
 // tornWrites has the first write to the folder stop half way, and it and all others fail.
-func tornWrites(truncates bool, errno syscall.Errno) func(sysfault.Call, *rand.Rand) sysfault.Verdict {
+func tearWrites(truncates bool, errno syscall.Errno) func(sysfault.Call, *rand.Rand) sysfault.Verdict {
 	torn := false
 	return func(c sysfault.Call, rng *rand.Rand) sysfault.Verdict {
 		switch {
-		case writesFile(c) && !torn && c.Size > 1:
+		case isStateWrite(c) && !torn && c.Size > 1:
 			torn = true
 			return sysfault.Verdict{Most: c.Size - 1 - rng.IntN(c.Size/2)}
-		case writesFile(c), !truncates && onState(unix.SYS_FTRUNCATE)(c):
+		case isStateWrite(c), !truncates && isStateCall(unix.SYS_FTRUNCATE)(c):
 			return sysfault.Verdict{Errno: errno}
 		}
 		return sysfault.Verdict{}
@@ -456,8 +458,8 @@
 }
 
 // interrupted has a third of the calls that may be interrupted fail so.
-func interrupted(c sysfault.Call, rng *rand.Rand) sysfault.Verdict {
-	may := c.Socket || numbered(unix.SYS_ACCEPT4, unix.SYS_CONNECT)(c) || onState(unix.SYS_OPENAT, unix.SYS_FTRUNCATE, unix.SYS_READ,
+func interruptCalls(c sysfault.Call, rng *rand.Rand) sysfault.Verdict {
+	may := c.Socket || hasNumber(unix.SYS_ACCEPT4, unix.SYS_CONNECT)(c) || isStateCall(unix.SYS_OPENAT, unix.SYS_FTRUNCATE, unix.SYS_READ,
 		unix.SYS_WRITE, unix.SYS_PREAD64, unix.SYS_PWRITE64)(c)
 	if may && rng.IntN(3) == 0 {
 		return sysfault.Verdict{Errno: syscall.EINTR}
@@ -466,15 +468,15 @@
 }
 
 // short has reads and writes transfer a part of what they ask for.
-func short(c sysfault.Call, rng *rand.Rand) sysfault.Verdict {
-	if (c.Socket || ofState(c)) && c.Size > 1 && rng.IntN(2) == 0 {
+func shortenTransfers(c sysfault.Call, rng *rand.Rand) sysfault.Verdict {
+	if (c.Socket || inStateDir(c)) && c.Size > 1 && rng.IntN(2) == 0 {
 		return sysfault.Verdict{Most: 1 + rng.IntN(min(c.Size-1, 64))}
 	}
 	return sysfault.Verdict{}
 }
 
 // withoutMemory has a third of the reads and writes of sockets fail for want of memory or buffers.
-func withoutMemory(c sysfault.Call, rng *rand.Rand) sysfault.Verdict {
+func failWithoutMemory(c sysfault.Call, rng *rand.Rand) sysfault.Verdict {
 	if !c.Socket || rng.IntN(3) > 0 {
 		return sysfault.Verdict{}
 	}
--- a/cmd/harrierramp/faults_test.go
+++ b/cmd/harrierramp/faults_test.go
@@ -16,88 +16,88 @@
 )
 
 // always has endpoints answer in one way.
-func always(r reply) func(*faultLedger, int) func() reply {
+func alwaysReply(r reply) func(*faultLedger, int) func() reply {
 	return func(*faultLedger, int) func() reply { return func() reply { return r } }
 }
 
 // handIn hands one message in on a connection of its own and returns the answer.
-func (p *faultPlay) handIn(t *testing.T, id, class string, life time.Duration) string {
+func (p *faultScenario) submit(t *testing.T, id, class string, life time.Duration) string {
 	t.Helper()
-	p.ledger.sent(id, class, life)
+	p.ledger.recordSubmission(id, class, life)
 	fields := fmt.Sprintf("c=%s,dest=1,k=%s,d=%d", class, id, life.Milliseconds())
-	line := testkit.Ask(t, p.node.addr, testkit.Enqueue(id, fields, "body"))
-	p.ledger.answered(id, line)
+	line := testkit.Exchange(t, p.node.addr, testkit.EnqueueRequest(id, fields, "body"))
+	p.ledger.recordAnswer(id, line)
 	return line
 }
 
 // mustHaveStruck says that a play gives no verdict where a fault has met fewer calls than it takes to show something.
-func (p *faultPlay) mustHaveStruck(t *testing.T, f *fault, least int) {
+func (p *faultScenario) requireStruck(t *testing.T, f *injectedFault, least int) {
 	t.Helper()
-	if met := p.schedule.struck(f); met < least {
+	if met := p.schedule.struckCalls(f); met < least {
 		t.Errorf("no verdict: %d calls have failed, and it takes %d", met, least)
 	}
 }
 
 // mustKeepTheRules ends the play.
-func (p *faultPlay) mustKeepTheRules(t *testing.T) {
+func (p *faultScenario) requireNoViolations(t *testing.T) {
 	t.Helper()
-	for _, broken := range p.ledger.settle() {
+	for _, broken := range p.ledger.verify() {
 		t.Error(broken)
 	}
 }
 
-func TestFinalAnswersComeInTimeWhileTheJournalCannotBeWritten(t *testing.T) {
+func TestFinalAnswersAreOnTimeWhileJournalWritesFail(t *testing.T) {
 	t.Parallel()
-	p := newFaultPlay(t, 1, nil, always(replyNever))
+	p := newFaultScenario(t, 1, nil, alwaysReply(replyNever))
 	for id, class := range map[string]string{"s": "status", "o": "order", "p": "payout"} {
-		if got := p.handIn(t, id, class, 900*time.Millisecond); got != "+OK" {
+		if got := p.submit(t, id, class, 900*time.Millisecond); got != "+OK" {
 			t.Fatalf("%s: %q", id, got)
 		}
 	}
-	outage := p.schedule.fail(3*time.Second, fails(writesFile, syscall.ENOSPC))
+	outage := p.schedule.addFault(3*time.Second, failMatching(isStateWrite, syscall.ENOSPC))
 	time.Sleep(2 * time.Second)
-	p.mustKeepTheRules(t)
-	p.mustHaveStruck(t, outage, 1)
+	p.requireNoViolations(t)
+	p.requireStruck(t, outage, 1)
 }
 
-func TestARefusedMessageIsNotForwardedAfterARestart(t *testing.T) {
+func TestRefusedMessageIsNotForwardedAfterRestart(t *testing.T) {
 	t.Parallel()
-	p := newFaultPlay(t, 1, nil, always(replyDelivered))
+	p := newFaultScenario(t, 1, nil, alwaysReply(replyDelivered))
 	// The record is written whole, the write fails all the same, and nothing can be mended before the kill.
-	outage := p.schedule.fail(time.Minute, func(c sysfault.Call, _ *rand.Rand) sysfault.Verdict {
+	outage := p.schedule.addFault(time.Minute, func(c sysfault.Call, _ *rand.Rand) sysfault.Verdict {
 		switch {
-		case writesFile(c):
+		case isStateWrite(c):
 			return sysfault.Verdict{Most: c.Size, Errno: syscall.EIO}
-		case onState(unix.SYS_FTRUNCATE, unix.SYS_OPENAT)(c) && !strings.HasSuffix(c.Path, "/lock"):
+		case isStateCall(unix.SYS_FTRUNCATE, unix.SYS_OPENAT)(c) && !strings.HasSuffix(c.Path, "/lock"):
 			return sysfault.Verdict{Errno: syscall.EIO}
 		}
 		return sysfault.Verdict{}
 	})
-	nc, br := testkit.DialTest(t, p.node.addr)
-	if err := nc.SetDeadline(time.Now().Add(answerPatience)); err != nil {
+	nc, br := testkit.Dial(t, p.node.addr)
+	if err := nc.SetDeadline(time.Now().Add(clientTimeout)); err != nil {
 		t.Fatal(err)
 	}
-	p.ledger.sent("refused", "status", time.Minute)
-	if _, err := nc.Write([]byte(testkit.Enqueue("refused", "c=status,d=60000,dest=1", "body"))); err != nil {
+	p.ledger.recordSubmission("refused", "status", time.Minute)
+	if _, err := nc.Write([]byte(testkit.EnqueueRequest("refused", "c=status,d=60000,dest=1", "body"))); err != nil {
 		t.Fatal(err)
 	}
 	if line, err := br.ReadString('\n'); err == nil {
-		p.ledger.answered("refused", strings.TrimSpace(line))
+		p.ledger.recordAnswer("refused", strings.TrimSpace(line))
 	} else {
-		p.ledger.noteFor("refused", "its client hears nothing: %v", err)
+		p.ledger.recordEvent("refused", "its client hears nothing: %v", err)
 	}
-	p.mustHaveStruck(t, outage, 1)
-	p.schedule.over(outage)
+	p.requireStruck(t, outage, 1)
+	p.schedule.endFault(outage)
 	p.node.restart(false)
 	time.Sleep(500 * time.Millisecond)
-	p.mustKeepTheRules(t)
+	p.requireNoViolations(t)
 }
 
 // What is owed is found again, also where the journal can't be read to its end at first.
-func TestAReadErrorAtAStartLosesNothing(t *testing.T) {
+func TestReadErrorAtStartLosesNoMessages(t *testing.T) {
 	t.Parallel()
 	var answers atomic.Bool
-	p := newFaultPlay(t, 1, nil, func(*faultLedger, int) func() reply {
+	p := newFaultScenario(t, 1, nil, func(*faultLedger, int) func() reply {
 		return func() reply {
 			if answers.Load() {
 				return replyDelivered
@@ -106,13 +106,13 @@
 		}
 	})
 	for i := range 20 {
-		if got := p.handIn(t, fmt.Sprint("m", i), "status", time.Minute); got != "+OK" {
+		if got := p.submit(t, fmt.Sprint("m", i), "status", time.Minute); got != "+OK" {
 			t.Fatalf("%d: %q", i, got)
 		}
 	}
 	answers.Store(true)
 	reads := 0
-	p.schedule.fail(time.Minute, func(c sysfault.Call, _ *rand.Rand) sysfault.Verdict {
+	p.schedule.addFault(time.Minute, func(c sysfault.Call, _ *rand.Rand) sysfault.Verdict {
 		if c.Number == unix.SYS_READ && strings.HasSuffix(c.Path, stateDirectory+"/journal") {
 			if reads++; reads <= 6 { // half of the first read arrives, and then none for a while
 				if reads%2 == 1 {
@@ -127,85 +127,85 @@
 	testkit.Eventually(t, "all are delivered", func() bool {
 		p.ledger.mu.Lock()
 		defer p.ledger.mu.Unlock()
-		return p.ledger.figures["delivered"] == 20
+		return p.ledger.counts["delivered"] == 20
 	})
-	p.mustKeepTheRules(t)
+	p.requireNoViolations(t)
 }
 
-func TestAStartOutlastsCallsThatFail(t *testing.T) {
+func TestStartSurvivesSyscallFaults(t *testing.T) {
 	t.Parallel()
 	for name, decide := range map[string]func(sysfault.Call, *rand.Rand) sysfault.Verdict{
-		"opening files":     fails(onState(unix.SYS_OPENAT), syscall.ENFILE, syscall.EIO, syscall.ENOSPC),
-		"reading files":     fails(onState(unix.SYS_READ), syscall.EIO),
-		"short reads":       short,
-		"writing files":     fails(writesFile, syscall.ENOSPC, syscall.EIO),
-		"truncation":        fails(onState(unix.SYS_FTRUNCATE), syscall.EIO),
-		"removal":           fails(onState(unix.SYS_UNLINKAT), syscall.EIO),
-		"sockets":           fails(numbered(unix.SYS_SOCKET), syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM),
-		"interrupted calls": interrupted,
+		"opening files":     failMatching(isStateCall(unix.SYS_OPENAT), syscall.ENFILE, syscall.EIO, syscall.ENOSPC),
+		"reading files":     failMatching(isStateCall(unix.SYS_READ), syscall.EIO),
+		"short reads":       shortenTransfers,
+		"writing files":     failMatching(isStateWrite, syscall.ENOSPC, syscall.EIO),
+		"truncation":        failMatching(isStateCall(unix.SYS_FTRUNCATE), syscall.EIO),
+		"removal":           failMatching(isStateCall(unix.SYS_UNLINKAT), syscall.EIO),
+		"sockets":           failMatching(hasNumber(unix.SYS_SOCKET), syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM),
+		"interrupted calls": interruptCalls,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p := newFaultPlay(t, 1, nil, always(replyNever))
-			if got := p.handIn(t, "m", "order", 4*time.Second); got != "+OK" {
+			p := newFaultScenario(t, 1, nil, alwaysReply(replyNever))
+			if got := p.submit(t, "m", "order", 4*time.Second); got != "+OK" {
 				t.Fatal(got)
 			}
-			p.schedule.killInWrite(true) // the journal ends within a record
-			p.node.handInUnheard(testkit.Enqueue("torn", "c=status,d=4000,dest=1", "body"))
-			f := p.schedule.fail(restartPause+700*time.Millisecond, decide)
+			p.schedule.setKillNextWrite(true) // the journal ends within a record
+			p.node.submitIgnoringAnswer(testkit.EnqueueRequest("torn", "c=status,d=4000,dest=1", "body"))
+			f := p.schedule.addFault(restartDelay+700*time.Millisecond, decide)
 			p.node.restart(false)
 			time.Sleep(4 * time.Second)
-			p.mustKeepTheRules(t)
-			p.mustHaveStruck(t, f, 1)
+			p.requireNoViolations(t)
+			p.requireStruck(t, f, 1)
 		})
 	}
 }
 
 // A notice is due 300 ms after its message's time. Whatever kept it from being told until 20 ms before that, it is told.
-func TestNoticesComeInTimeAfterConnectionsFailed(t *testing.T) {
+func TestNoticesAreOnTimeAfterConnectionFailures(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		until  time.Duration // after the message's time
 		decide func(sysfault.Call, *rand.Rand) sysfault.Verdict
 	}{
-		"no address":               {270 * time.Millisecond, fails(numbered(unix.SYS_CONNECT), syscall.EADDRNOTAVAIL)},
-		"no route":                 {270 * time.Millisecond, fails(numbered(unix.SYS_CONNECT), syscall.ENETUNREACH, syscall.EHOSTUNREACH)},
-		"no descriptors":           {270 * time.Millisecond, fails(numbered(unix.SYS_SOCKET), syscall.ENFILE, syscall.EMFILE)},
-		"no buffers":               {270 * time.Millisecond, fails(numbered(unix.SYS_SOCKET), syscall.ENOBUFS, syscall.ENOMEM)},
-		"the dial does not end":    {150 * time.Millisecond, fails(numbered(unix.SYS_CONNECT), syscall.EINTR)},
+		"no address":               {270 * time.Millisecond, failMatching(hasNumber(unix.SYS_CONNECT), syscall.EADDRNOTAVAIL)},
+		"no route":                 {270 * time.Millisecond, failMatching(hasNumber(unix.SYS_CONNECT), syscall.ENETUNREACH, syscall.EHOSTUNREACH)},
+		"no descriptors":           {270 * time.Millisecond, failMatching(hasNumber(unix.SYS_SOCKET), syscall.ENFILE, syscall.EMFILE)},
+		"no buffers":               {270 * time.Millisecond, failMatching(hasNumber(unix.SYS_SOCKET), syscall.ENOBUFS, syscall.ENOMEM)},
+		"the dial does not end":    {150 * time.Millisecond, failMatching(hasNumber(unix.SYS_CONNECT), syscall.EINTR)},
 		"the answer never arrives": {100 * time.Millisecond, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p := newFaultPlay(t, 1, nil, always(replyNever))
+			p := newFaultScenario(t, 1, nil, alwaysReply(replyNever))
 			const life = 900 * time.Millisecond
 			if c.decide == nil {
-				p.platform.silence(time.Now().Add(life + c.until))
+				p.platform.ignoreReportsUntil(time.Now().Add(life + c.until))
 			}
-			if got := p.handIn(t, "m", "payout", life); got != "+OK" {
+			if got := p.submit(t, "m", "payout", life); got != "+OK" {
 				t.Fatal(got)
 			}
 			due := time.Now().Add(life)
 			time.Sleep(time.Until(due.Add(-100 * time.Millisecond)))
 			if c.decide != nil {
-				f := p.schedule.fail(100*time.Millisecond+c.until, c.decide)
-				defer p.mustHaveStruck(t, f, 1)
+				f := p.schedule.addFault(100*time.Millisecond+c.until, c.decide)
+				defer p.requireStruck(t, f, 1)
 			}
 			time.Sleep(time.Second)
-			p.mustKeepTheRules(t)
+			p.requireNoViolations(t)
 		})
 	}
 }
 
-func TestAConfigurationThatCannotBeReadAtFirstIsTaken(t *testing.T) {
+func TestConfigIsReloadedAfterTransientReadErrors(t *testing.T) {
 	t.Parallel()
-	p := newFaultPlay(t, 1, nil, always(replyNever))
-	if got := p.handIn(t, "m", "payout", 2500*time.Millisecond); got != "+OK" {
+	p := newFaultScenario(t, 1, nil, alwaysReply(replyNever))
+	if got := p.submit(t, "m", "payout", 2500*time.Millisecond); got != "+OK" {
 		t.Fatal(got)
 	}
-	next := newPlatform(t, p.ledger, p.platform.members)
+	next := newFakePlatform(t, p.ledger, p.platform.members)
 	p.node.configure(next.addr(), next.list(), faultSettings)
-	f := p.schedule.fail(500*time.Millisecond, fails(func(c sysfault.Call) bool {
+	f := p.schedule.addFault(500*time.Millisecond, failMatching(func(c sysfault.Call) bool {
 		return c.Number == unix.SYS_OPENAT && c.Path == p.node.config
 	}, syscall.ENFILE, syscall.EIO))
 	p.node.signal(syscall.SIGHUP)
@@ -213,22 +213,22 @@
 	p.platform.srv.Listener.Close()
 	p.platform.srv.CloseClientConnections()
 	time.Sleep(1500 * time.Millisecond)
-	p.mustKeepTheRules(t)
-	p.mustHaveStruck(t, f, 1)
+	p.requireNoViolations(t)
+	p.requireStruck(t, f, 1)
 }
 
 // A request that has been read is answered, although reads and writes of its connection fail for a moment.
-func TestRequestsAreAnsweredWhileStreamsLackMemory(t *testing.T) {
+func TestRequestsAreAnsweredDespiteSocketMemoryErrors(t *testing.T) {
 	t.Parallel()
-	p := newFaultPlay(t, 1, nil, always(replyDelivered))
-	f := p.schedule.fail(time.Minute, withoutMemory)
+	p := newFaultScenario(t, 1, nil, alwaysReply(replyDelivered))
+	f := p.schedule.addFault(time.Minute, failWithoutMemory)
 	for i := range 40 {
-		if got := p.handIn(t, fmt.Sprint("m", i), "status", time.Second); got != "+OK" {
+		if got := p.submit(t, fmt.Sprint("m", i), "status", time.Second); got != "+OK" {
 			t.Errorf("%d: %q", i, got)
 		}
 	}
-	p.schedule.over(f)
+	p.schedule.endFault(f)
 	time.Sleep(1500 * time.Millisecond)
-	p.mustKeepTheRules(t)
-	p.mustHaveStruck(t, f, 20)
+	p.requireNoViolations(t)
+	p.requireStruck(t, f, 20)
 }
--- a/cmd/harrierramp/imports_test.go
+++ b/cmd/harrierramp/imports_test.go
@@ -12,7 +12,7 @@
 
 // docs/architecture.md lists the packages from the programs down; an import that goes up, or a package that is not in
 // the list, is a fault of the one or the other.
-func TestImportsRunDown(t *testing.T) {
+func TestImportsFollowLayers(t *testing.T) {
 	page, err := os.ReadFile("../../docs/architecture.md")
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/harrierramp/main_test.go
+++ b/cmd/harrierramp/main_test.go
@@ -91,7 +91,7 @@
 	select {
 	case v := <-from:
 		return v
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatalf("never: %s", what)
 		return ""
 	}
@@ -99,7 +99,7 @@
 
 // A replaced configuration and SIGHUP move discovery, notices too, and do not end the node; nor does a file
 // that can't be read.
-func TestSIGHUPMovesDiscovery(t *testing.T) {
+func TestSIGHUPSwitchesDiscoveryAddress(t *testing.T) {
 	const draining = `{"id":"e","host_port":"127.0.0.1:9","locality":"z","flavor":"m","cell":7,"phase":"DRAINING","size":1}`
 	before := newFakeDiscovery(t, `{"revision":41,"complete":true,"members":[`+draining+`]}`)
 	after := newFakeDiscovery(t, "")
@@ -134,14 +134,14 @@
 		cmd.Wait() // its error says that it was killed
 	})
 	receive(t, "a watch", before.watches)
-	ask := func(text string) string {
+	send := func(text string) string {
 		t.Helper()
 		nc, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer nc.Close()
-		if err := nc.SetDeadline(time.Now().Add(patience)); err != nil {
+		if err := nc.SetDeadline(time.Now().Add(waitTimeout)); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := io.WriteString(nc, text); err != nil {
@@ -154,7 +154,7 @@
 		return strings.TrimSpace(line)
 	}
 	const enqueue = "*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$1\r\na\r\n$22\r\nc=status,d=3000,dest=7\r\n$1\r\nb\r\n"
-	for end := time.Now().Add(patience); ask(enqueue) != "+OK"; time.Sleep(time.Millisecond) { // the list has come
+	for end := time.Now().Add(waitTimeout); send(enqueue) != "+OK"; time.Sleep(time.Millisecond) { // the list has come
 		if time.Now().After(end) {
 			t.Fatal("the message is not taken on")
 		}
@@ -166,7 +166,7 @@
 	if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	if got := ask("PING\r\n"); got != "+PONG" {
+	if got := send("PING\r\n"); got != "+PONG" {
 		t.Fatalf("got %q", got)
 	}
 	writeConfig(t, path, after.Listener.Addr().String())
@@ -179,13 +179,13 @@
 	if got := receive(t, "the notice", after.notices); !strings.Contains(got, `"id":"a"`) {
 		t.Errorf("the notice is %q", got)
 	}
-	if got := ask("PING\r\n"); got != "+PONG" {
+	if got := send("PING\r\n"); got != "+PONG" {
 		t.Errorf("got %q", got)
 	}
 }
 
 // The commands, their faults included, as scripts; see testdata.
-func TestScripts(t *testing.T) {
+func TestCommandScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata",
 		Setup: func(e *testscript.Env) error {
@@ -212,7 +212,7 @@
 
 // A second process on a running node's folder, or on its addresses, says so in one line and changes nothing; the first
 // goes on.
-func TestOneProcessAFolder(t *testing.T) {
+func TestSecondProcessOnStateDirIsRefused(t *testing.T) {
 	list := newFakeDiscovery(t, `{"revision":2,"complete":true,"members":[]}`)
 	path, state := filepath.Join(t.TempDir(), "config.json"), t.TempDir()
 	writeConfig(t, path, list.Listener.Addr().String())
@@ -257,18 +257,18 @@
 		"is in use by a running node": {"serve"},
 		"address already in use":      {"serve", "--state", t.TempDir(), "--listen", addr},
 	} {
-		var said strings.Builder
+		var stderr strings.Builder
 		second := start(args...)
-		second.Stderr = &said
+		second.Stderr = &stderr
 		err := second.Run()
-		if bad, ok := errors.AsType[*exec.ExitError](err); !ok || bad.ExitCode() != 1 || strings.Count(said.String(), "\n") != 1 || !strings.Contains(said.String(), want) {
-			t.Errorf("%v: %v, %q", args, err, said.String())
+		if bad, ok := errors.AsType[*exec.ExitError](err); !ok || bad.ExitCode() != 1 || strings.Count(stderr.String(), "\n") != 1 || !strings.Contains(stderr.String(), want) {
+			t.Errorf("%v: %v, %q", args, err, stderr.String())
 		}
 	}
 	if after := files(); after != before {
 		t.Errorf("the folder had %s, and has %s", before, after)
 	}
-	nc, err := net.DialTimeout("tcp", addr, patience)
+	nc, err := net.DialTimeout("tcp", addr, waitTimeout)
 	if err != nil {
 		t.Fatal("the first is gone: ", err)
 	}
--- a/cmd/harrierramp/registry_test.go
+++ b/cmd/harrierramp/registry_test.go
@@ -19,10 +19,10 @@
 	"time"
 )
 
-const patience = 60 * time.Second
+const waitTimeout = 60 * time.Second
 
 // child is a process of a test, on its own folder, that can be killed and started again.
-type child struct {
+type childProcess struct {
 	t    *testing.T
 	path string
 	args []string
@@ -31,7 +31,7 @@
 	log  sync.WaitGroup
 }
 
-func (c *child) start() {
+func (c *childProcess) start() {
 	c.t.Helper()
 	c.cmd = exec.Command(c.path, c.args...)
 	c.cmd.Env = append(os.Environ(), c.env...)
@@ -45,7 +45,7 @@
 	c.log.Go(func() { io.Copy(c.t.Output(), log) })
 }
 
-func (c *child) kill() {
+func (c *childProcess) kill() {
 	if c.cmd == nil {
 		return
 	}
@@ -76,7 +76,7 @@
 
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !holds(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("never: %s", what)
 		}
@@ -84,7 +84,7 @@
 }
 
 // ask makes a call on a connection of its own.
-func ask(method, url, body string) (int, string, error) {
+func httpCall(method, url, body string) (int, string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, url, strings.NewReader(body))
@@ -102,15 +102,15 @@
 }
 
 // ledger is what the test's own clients and endpoints saw.
-type ledger struct {
-	mu        sync.Mutex
-	taken     map[string]bool
-	delivered map[string]int
-	stray     []string // calls at an endpoint that had been withdrawn for longer than the grace
+type trafficLog struct {
+	mu                   sync.Mutex
+	accepted             map[string]bool
+	delivered            map[string]int
+	callsAfterWithdrawal []string // calls at an endpoint that had been withdrawn for longer than the grace
 }
 
 // endpoint is a stand-in that takes calls, and that registers and renews at whichever server is the primary.
-type endpoint struct {
+type fakeEndpoint struct {
 	t       *testing.T
 	id      string
 	servers []string
@@ -118,40 +118,40 @@
 	stop    context.CancelFunc
 	done    sync.WaitGroup
 
-	mu        sync.Mutex
-	granted   int // registrations
-	withdrawn time.Time
+	mu            sync.Mutex
+	registrations int // registrations
+	withdrawnAt   time.Time
 }
 
 const (
-	stopSending = 250 * time.Millisecond // as the settings below say
-	slack       = 2 * time.Second        // until a node has heard; the protocol says 6 s at the most
+	stopSendingWithin = 250 * time.Millisecond // as the settings below say
+	propagationSlack  = 2 * time.Second        // until a node has heard; the protocol says 6 s at the most
 )
 
-func newEndpoint(t *testing.T, id string, servers []string, l *ledger) *endpoint {
+func newFakeEndpoint(t *testing.T, id string, servers []string, l *trafficLog) *fakeEndpoint {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := &endpoint{t: t, id: id, servers: servers, ln: ln}
+	e := &fakeEndpoint{t: t, id: id, servers: servers, ln: ln}
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
 			return
 		}
 		e.mu.Lock()
-		late := !e.withdrawn.IsZero() && time.Since(e.withdrawn) > stopSending+slack
+		late := !e.withdrawnAt.IsZero() && time.Since(e.withdrawnAt) > stopSendingWithin+propagationSlack
 		e.mu.Unlock()
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		if l.delivered[r.Header.Get("X-Trace-Id")]++; late {
-			l.stray = append(l.stray, e.id)
+			l.callsAfterWithdrawal = append(l.callsAfterWithdrawal, e.id)
 		}
 	})}
 	ctx, cancel := context.WithCancel(context.Background())
 	e.stop = cancel
 	e.done.Go(func() { srv.Serve(ln) })
-	e.done.Go(func() { e.renew(ctx) })
+	e.done.Go(func() { e.maintainLease(ctx) })
 	t.Cleanup(func() {
 		cancel()
 		srv.Close()
@@ -162,17 +162,17 @@
 
 // renew holds the lease as an instance should: it registers when nobody knows it, and asks the next server when one
 // is out or not the primary.
-func (e *endpoint) renew(ctx context.Context) {
+func (e *fakeEndpoint) maintainLease(ctx context.Context) {
 	at := 0
 	for ctx.Err() == nil {
 		url := fmt.Sprintf("http://%s/registry/instances/%s", e.servers[at], e.id)
-		code, _, err := ask("POST", url+"/renew", fmt.Sprintf(`{"owner":"%s-1"}`, e.id))
+		code, _, err := httpCall("POST", url+"/renew", fmt.Sprintf(`{"owner":"%s-1"}`, e.id))
 		if err == nil && code == http.StatusNotFound {
-			code, _, err = ask("PUT", url, fmt.Sprintf(
+			code, _, err = httpCall("PUT", url, fmt.Sprintf(
 				`{"host_port":%q,"locality":"z","flavor":"m","cell":7,"size":1000,"owner":"%s-1","lease_ms":3000}`, e.ln.Addr(), e.id))
 			if err == nil && code == http.StatusOK {
 				e.mu.Lock()
-				e.granted++
+				e.registrations++
 				e.mu.Unlock()
 			}
 		}
@@ -186,19 +186,19 @@
 	}
 }
 
-func (e *endpoint) registered() bool {
+func (e *fakeEndpoint) registered() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.granted > 0
+	return e.registrations > 0
 }
 
 // withdraw takes the endpoint off the list. It goes on taking calls, to tell of those that should not come.
-func (e *endpoint) withdraw() {
+func (e *fakeEndpoint) withdraw() {
 	e.t.Helper()
 	e.stop()
 	eventually(e.t, "withdraw "+e.id, func() bool {
 		for _, s := range e.servers {
-			code, _, err := ask("DELETE", fmt.Sprintf("http://%s/registry/instances/%s", s, e.id), fmt.Sprintf(`{"owner":"%s-1"}`, e.id))
+			code, _, err := httpCall("DELETE", fmt.Sprintf("http://%s/registry/instances/%s", s, e.id), fmt.Sprintf(`{"owner":"%s-1"}`, e.id))
 			if err == nil && (code == http.StatusNoContent || code == http.StatusNotFound) {
 				return true
 			}
@@ -207,11 +207,11 @@
 	})
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.withdrawn = time.Now()
+	e.withdrawnAt = time.Now()
 }
 
 // enqueue hands messages to a node for as long as ctx lives, one after the other, and notes those taken on.
-func enqueue(ctx context.Context, node, addr string, l *ledger) {
+func sendMessages(ctx context.Context, node, addr string, l *trafficLog) {
 	var nc net.Conn
 	var answers *bufio.Reader
 	for n := 0; ctx.Err() == nil; n++ {
@@ -243,7 +243,7 @@
 		}
 		if strings.HasPrefix(line, "+") {
 			l.mu.Lock()
-			l.taken[id] = true
+			l.accepted[id] = true
 			l.mu.Unlock()
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -267,7 +267,7 @@
 			"contract":{"coldFrom":0.5,"fall":2000,"fallMultiple":3,"graceToAnswer":20,"stopSendingWithin":%d,"warmWithin":2000},
 			"discovery":"pushed","domain":{"decay":"line","kindBatch":[1],"separateRoutes":[false],"workers":16},
 			"limits":{"cancel":true,"connIdle":5000,"dialTimeout":500,"maxAttempts":12,"maxOpen":400,"maxRetryAfter":3000,
-			"mayDuplicate":false,"retryAfter":true},"tick":5,"weights":"rough"}}`, listen, addrs, stopSending.Milliseconds())
+			"mayDuplicate":false,"retryAfter":true},"tick":5,"weights":"rough"}}`, listen, addrs, stopSendingWithin.Milliseconds())
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -280,9 +280,9 @@
 func TestNodesDeliverWhileTheListServiceFails(t *testing.T) {
 	addrs := freeAddrs(t, 7)
 	servers, consoles, clients := addrs[:2], addrs[2:4], addrs[4:]
-	var services []*child
+	var services []*childProcess
 	for i := range servers {
-		c := &child{t: t, path: os.Args[0], env: []string{childEnv + "=1"}, args: []string{
+		c := &childProcess{t: t, path: os.Args[0], env: []string{childEnv + "=1"}, args: []string{
 			"registry", "--listen", servers[i], "--console", consoles[i], "--state", t.TempDir(), "--servers", strings.Join(servers, ","),
 			"--number", fmt.Sprint(i), fmt.Sprintf("--bootstrap=%v", i == 0),
 		}}
@@ -290,34 +290,34 @@
 		t.Cleanup(c.kill)
 		c.start()
 	}
-	l := &ledger{taken: map[string]bool{}, delivered: map[string]int{}}
-	endpoints := map[string]*endpoint{}
-	appear := func(id string) {
+	l := &trafficLog{accepted: map[string]bool{}, delivered: map[string]int{}}
+	endpoints := map[string]*fakeEndpoint{}
+	addEndpoint := func(id string) {
 		t.Helper()
-		endpoints[id] = newEndpoint(t, id, servers, l)
+		endpoints[id] = newFakeEndpoint(t, id, servers, l)
 		eventually(t, id+" is registered", endpoints[id].registered)
 	}
 	for _, id := range []string{"e1", "e2", "e3", "e4"} {
-		appear(id)
+		addEndpoint(id)
 	}
-	var nodes []*child
-	sending, silence := context.WithCancel(t.Context())
-	defer silence()
+	var nodes []*childProcess
+	sending, stopTraffic := context.WithCancel(t.Context())
+	defer stopTraffic()
 	var senders sync.WaitGroup
 	defer senders.Wait()
 	for i, addr := range clients {
 		name := fmt.Sprintf("n%d", i)
-		c := &child{t: t, path: os.Args[0], env: []string{
+		c := &childProcess{t: t, path: os.Args[0], env: []string{
 			childEnv + "=1",
 			"ROUTER_CONFIG=" + nodeConfig(t, addr, servers), "ROUTER_STATE=" + t.TempDir(), "ROUTER_CONSOLE=",
 		}}
 		nodes = append(nodes, c)
 		t.Cleanup(c.kill)
 		c.start()
-		senders.Go(func() { enqueue(sending, name, addr, l) })
+		senders.Go(func() { sendMessages(sending, name, addr, l) })
 	}
 	// flows waits until each node has delivered some more, and so works with what the test has just done.
-	flows := func(during string) {
+	awaitDeliveries := func(during string) {
 		t.Helper()
 		count := func() map[string]int {
 			l.mu.Lock()
@@ -340,12 +340,12 @@
 			return true
 		})
 	}
-	flows("at first")
-	inSync := func() bool { // as an operator sees to before anything is done to a server
+	awaitDeliveries("at first")
+	serversInSync := func() bool { // as an operator sees to before anything is done to a server
 		statuses := map[string]bool{}
 		for _, addr := range servers {
 			var st struct{ Revision int64 }
-			_, said, err := ask("GET", "http://"+addr+"/registry/status", "")
+			_, said, err := httpCall("GET", "http://"+addr+"/registry/status", "")
 			if err != nil || json.Unmarshal([]byte(said), &st) != nil {
 				return false
 			}
@@ -353,55 +353,55 @@
 		}
 		return len(statuses) == 1
 	}
-	eventually(t, "the follower has the list", inSync)
+	eventually(t, "the follower has the list", serversInSync)
 
 	services[0].kill()
-	flows("while the primary is down")
+	awaitDeliveries("while the primary is down")
 	services[0].start()
-	appear("e5")
+	addEndpoint("e5")
 	endpoints["e1"].withdraw()
-	flows("after the primary's restart")
-	eventually(t, "the follower has the list", inSync)
+	awaitDeliveries("after the primary's restart")
+	eventually(t, "the follower has the list", serversInSync)
 
 	services[0].kill()
 	eventually(t, "the promotion", func() bool {
-		code, _, err := ask("PUT", "http://"+consoles[1]+"/ops/promote", "")
+		code, _, err := httpCall("PUT", "http://"+consoles[1]+"/ops/promote", "")
 		return err == nil && code == http.StatusOK
 	})
-	appear("e6")
+	addEndpoint("e6")
 	endpoints["e2"].withdraw()
-	flows("after the promotion")
+	awaitDeliveries("after the promotion")
 
 	services[0].start() // the old primary, with a list that is no longer true
 	eventually(t, "the old primary follows", func() bool {
-		_, said, err := ask("GET", "http://"+servers[0]+"/registry/status", "")
+		_, said, err := httpCall("GET", "http://"+servers[0]+"/registry/status", "")
 		return err == nil && strings.Contains(said, `"role":"follower"`) && strings.Contains(said, `"primary":"`+servers[1])
 	})
-	eventually(t, "it has the list", inSync)
-	flows("with the old primary back")
+	eventually(t, "it has the list", serversInSync)
+	awaitDeliveries("with the old primary back")
 	services[1].kill()
-	flows("from the old primary as a follower")
+	awaitDeliveries("from the old primary as a follower")
 	services[0].kill()
 	nodes[0].kill()
 	nodes[0].start()
-	flows("with no list server, one node started anew")
+	awaitDeliveries("with no list server, one node started anew")
 	services[1].start()
 	services[0].start()
 
 	// Traffic goes on for long enough to tell whether a withdrawn endpoint still gets some.
-	time.Sleep(time.Until(endpoints["e2"].withdrawn.Add(stopSending + slack + time.Second)))
-	flows("at last")
-	silence()
+	time.Sleep(time.Until(endpoints["e2"].withdrawnAt.Add(stopSendingWithin + propagationSlack + time.Second)))
+	awaitDeliveries("at last")
+	stopTraffic()
 	senders.Wait()
-	noticed := map[string]bool{}
+	reported := map[string]bool{}
 	eventually(t, "every message taken on is delivered, or its end is told", func() bool {
 		for _, s := range servers {
-			noticesAt(s, noticed)
+			collectNotices(s, reported)
 		}
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		for id := range l.taken {
-			if l.delivered[id] == 0 && !noticed[id] {
+		for id := range l.accepted {
+			if l.delivered[id] == 0 && !reported[id] {
 				return false
 			}
 		}
@@ -409,18 +409,18 @@
 	})
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.stray) > 0 {
-		t.Errorf("%d calls after the grace at withdrawn endpoints: %v", len(l.stray), l.stray[:min(5, len(l.stray))])
+	if len(l.callsAfterWithdrawal) > 0 {
+		t.Errorf("%d calls after the grace at withdrawn endpoints: %v", len(l.callsAfterWithdrawal), l.callsAfterWithdrawal[:min(5, len(l.callsAfterWithdrawal))])
 	}
-	if len(noticed) > len(l.taken)/20 {
-		t.Errorf("%d of %d messages were not delivered", len(noticed), len(l.taken))
+	if len(reported) > len(l.accepted)/20 {
+		t.Errorf("%d of %d messages were not delivered", len(reported), len(l.accepted))
 	}
-	t.Logf("%d messages taken on, %d of them not delivered and said so; none at a withdrawn endpoint after its grace", len(l.taken), len(noticed))
+	t.Logf("%d messages taken on, %d of them not delivered and said so; none at a withdrawn endpoint after its grace", len(l.accepted), len(reported))
 }
 
 // noticesAt notes the messages whose end nodes have told a server.
-func noticesAt(server string, noticed map[string]bool) {
-	_, page, err := ask("GET", "http://"+server+"/reports", "")
+func collectNotices(server string, noticed map[string]bool) {
+	_, page, err := httpCall("GET", "http://"+server+"/reports", "")
 	if err != nil {
 		return // asked again
 	}
--- a/cmd/harrierramp/leave_test.go
+++ b/cmd/harrierramp/shutdown_test.go
@@ -18,23 +18,23 @@
 )
 
 // held is a list whose one endpoint takes nothing new, so that messages for it are held.
-const held = `{"revision":41,"complete":true,"members":[{"id":"e","host_port":"127.0.0.1:9","locality":"z","flavor":"m","cell":7,"phase":"DRAINING","size":1}]}`
+const drainingEndpointList = `{"revision":41,"complete":true,"members":[{"id":"e","host_port":"127.0.0.1:9","locality":"z","flavor":"m","cell":7,"phase":"DRAINING","size":1}]}`
 
 // leaver is a node as the platform starts it, which is told to leave.
-type leaver struct {
-	cmd   *exec.Cmd
-	addr  string
-	state string
-	path  string // of its configuration
-	ended chan error
+type stoppingNode struct {
+	cmd        *exec.Cmd
+	addr       string
+	state      string
+	configPath string // of its configuration
+	exited     chan error
 }
 
-func newLeaver(t *testing.T, d *fakeDiscovery) *leaver {
+func newStoppingNode(t *testing.T, d *fakeDiscovery) *stoppingNode {
 	t.Helper()
-	l := &leaver{state: t.TempDir(), path: filepath.Join(t.TempDir(), "config.json"), ended: make(chan error, 1)}
-	writeConfig(t, l.path, d.Listener.Addr().String())
+	l := &stoppingNode{state: t.TempDir(), configPath: filepath.Join(t.TempDir(), "config.json"), exited: make(chan error, 1)}
+	writeConfig(t, l.configPath, d.Listener.Addr().String())
 	l.cmd = exec.Command(os.Args[0])
-	l.cmd.Env = append(os.Environ(), childEnv+"=1", "ROUTER_CONFIG="+l.path, "ROUTER_STATE="+l.state,
+	l.cmd.Env = append(os.Environ(), childEnv+"=1", "ROUTER_CONFIG="+l.configPath, "ROUTER_STATE="+l.state,
 		"GORACE=atexit_sleep_ms=0") // the race detector sleeps for a second at the end
 	log, err := l.cmd.StderrPipe()
 	if err != nil {
@@ -51,10 +51,10 @@
 	_, l.addr, _ = strings.Cut(strings.TrimSpace(line), " addr=")
 	go func() {
 		io.Copy(io.Discard, lines)
-		l.ended <- l.cmd.Wait()
+		l.exited <- l.cmd.Wait()
 	}()
 	t.Cleanup(func() { l.cmd.Process.Kill() })
-	for end := time.Now().Add(patience); testkit.Ask(t, l.addr, enqueueFor("first", 60000)) != "+OK"; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); testkit.Exchange(t, l.addr, enqueueFor("first", 60000)) != "+OK"; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the list does not come")
 		}
@@ -63,10 +63,10 @@
 }
 
 func enqueueFor(id string, ms int) string {
-	return testkit.Enqueue(id, fmt.Sprintf("c=status,d=%d,dest=7", ms), "b")
+	return testkit.EnqueueRequest(id, fmt.Sprintf("c=status,d=%d,dest=7", ms), "b")
 }
 
-func (l *leaver) signal(t *testing.T, s syscall.Signal) {
+func (l *stoppingNode) signal(t *testing.T, s syscall.Signal) {
 	t.Helper()
 	if err := l.cmd.Process.Signal(s); err != nil {
 		t.Fatal(err)
@@ -74,20 +74,20 @@
 }
 
 // leaves waits for the end, which is to be a good one and before SIGKILL would come.
-func (l *leaver) leaves(t *testing.T, told time.Time) {
+func (l *stoppingNode) awaitExit(t *testing.T, signaled time.Time) {
 	t.Helper()
 	select {
-	case err := <-l.ended:
-		if took := time.Since(told); err != nil || took > 3700*time.Millisecond {
+	case err := <-l.exited:
+		if took := time.Since(signaled); err != nil || took > 3700*time.Millisecond {
 			t.Errorf("it ends after %v, %v", took, err)
 		}
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatal("it does not end")
 	}
 }
 
 // owed is what the journal has for the next start.
-func (l *leaver) owed(t *testing.T) map[string]bool {
+func (l *stoppingNode) owedMessages(t *testing.T) map[string]bool {
 	t.Helper()
 	j, err := journal.Read(l.state)
 	if err != nil {
@@ -104,25 +104,25 @@
 
 // While a node leaves, a second SIGTERM changes nothing, a new configuration is taken, clients are answered, and what
 // ends in that time is told at the new address.
-func TestSignalsWhileANodeLeaves(t *testing.T) {
+func TestSignalsDuringShutdown(t *testing.T) {
 	t.Parallel()
-	before, after := newFakeDiscovery(t, held), newFakeDiscovery(t, "")
-	l := newLeaver(t, before)
-	nc, br := testkit.DialTest(t, l.addr)
-	testkit.MustSay(t, nc, br, enqueueFor("short", 1500), "+OK")
-	told := time.Now()
+	before, after := newFakeDiscovery(t, drainingEndpointList), newFakeDiscovery(t, "")
+	l := newStoppingNode(t, before)
+	nc, br := testkit.Dial(t, l.addr)
+	testkit.MustExchange(t, nc, br, enqueueFor("short", 1500), "+OK")
+	signaled := time.Now()
 	l.signal(t, syscall.SIGTERM)
-	testkit.MustSay(t, nc, br, enqueueFor("second", 60000), "+OK")
-	writeConfig(t, l.path, after.Listener.Addr().String())
+	testkit.MustExchange(t, nc, br, enqueueFor("second", 60000), "+OK")
+	writeConfig(t, l.configPath, after.Listener.Addr().String())
 	l.signal(t, syscall.SIGHUP)
 	l.signal(t, syscall.SIGTERM)
 	receive(t, "a watch at the new address", after.watches)
-	testkit.MustSay(t, nc, br, enqueueFor("third", 60000), "+OK")
+	testkit.MustExchange(t, nc, br, enqueueFor("third", 60000), "+OK")
 	if got := receive(t, "the notice", after.notices); !strings.Contains(got, `"id":"short"`) {
 		t.Errorf("the notice is %q", got)
 	}
-	l.leaves(t, told)
-	if owed := l.owed(t); len(owed) != 3 || !owed["first"] || !owed["second"] || !owed["third"] {
+	l.awaitExit(t, signaled)
+	if owed := l.owedMessages(t); len(owed) != 3 || !owed["first"] || !owed["second"] || !owed["third"] {
 		t.Errorf("the next start finds %v", owed)
 	}
 }
@@ -130,27 +130,27 @@
 // A node that does not run in the moment in which it is to end its clients' connections finds requests on all of them and
 // the end of their time, in whatever order. Each client reads an answer or an end, never a reset, and what it was told is
 // what the next start finds.
-func TestRequestsThatLieInSocketsAsANodeLeaves(t *testing.T) {
+func TestUnreadRequestsAtShutdownAreNotReset(t *testing.T) {
 	t.Parallel()
 	for _, kill := range []bool{false, true} {
-		l := newLeaver(t, newFakeDiscovery(t, held))
+		l := newStoppingNode(t, newFakeDiscovery(t, drainingEndpointList))
 		var conns []net.Conn
 		var readers []*bufio.Reader
 		for range 20 {
-			nc, br := testkit.DialTest(t, l.addr)
-			testkit.MustSay(t, nc, br, testkit.Resp("PING"), "+PONG")
+			nc, br := testkit.Dial(t, l.addr)
+			testkit.MustExchange(t, nc, br, testkit.EncodeRESP("PING"), "+PONG")
 			conns, readers = append(conns, nc), append(readers, br)
 		}
-		told := time.Now()
+		signaled := time.Now()
 		l.signal(t, syscall.SIGTERM)
-		time.Sleep(time.Until(told.Add(2500 * time.Millisecond))) // it ends connections 2.7 s after the signal
+		time.Sleep(time.Until(signaled.Add(2500 * time.Millisecond))) // it ends connections 2.7 s after the signal
 		l.signal(t, syscall.SIGSTOP)
 		for i, nc := range conns {
 			if _, err := io.WriteString(nc, enqueueFor(fmt.Sprint("late", i), 60000)); err != nil {
 				t.Fatal(err)
 			}
 		}
-		time.Sleep(time.Until(told.Add(2900 * time.Millisecond)))
+		time.Sleep(time.Until(signaled.Add(2900 * time.Millisecond)))
 		if kill {
 			l.signal(t, syscall.SIGKILL)
 		}
@@ -166,11 +166,11 @@
 			}
 		}
 		if kill {
-			<-l.ended
+			<-l.exited
 		} else {
-			l.leaves(t, told)
+			l.awaitExit(t, signaled)
 		}
-		owed := l.owed(t)
+		owed := l.owedMessages(t)
 		for id := range answered {
 			if !owed[id] {
 				t.Errorf("%s was taken on, and the next start does not find it", id)
--- a/cmd/harrierramp/size_test.go
+++ b/cmd/harrierramp/size_test.go
@@ -21,9 +21,9 @@
 // A node with 1,024 peers and 1,024 endpoints, each of a destination of its own and with names of the platform's length, starts
 // within the least limits that the platform gives, 32 MB and 256 descriptors, and delivers. The program is built anew: one
 // with the race detector in it takes many times the memory.
-func TestAThousandPeersAndEndpointsFitIntoTheLeastLimits(t *testing.T) {
+func TestThousandPeersAndEndpointsFitMinimumLimits(t *testing.T) {
 	t.Parallel()
-	const size, mostMB = 1024, 32
+	const size, maxMB = 1024, 32
 	dir := t.TempDir()
 	program := filepath.Join(dir, "harrierramp")
 	if out, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
@@ -55,7 +55,7 @@
 		"settings":{"fleetSize":%d,"myNumber":0,"failureDomains":["zone-a"],"flavors":["major-portal"],"weights":"nominal","discovery":"pushed",
 			"domain":{"workers":64},"limits":{"maxOpen":2000,"mayTell":true,"dialTimeout":1500,"connIdle":15000},
 			"categories":[{"name":"status","effect":"idempotent","aim":4000,"deadline":60000,"worth":1,"lateWorth":0.3}]}}`,
-		d.Listener.Addr().String(), mostMB, peers[0], strings.Join(peers, ","), list(41), size)
+		d.Listener.Addr().String(), maxMB, peers[0], strings.Join(peers, ","), list(41), size)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -86,14 +86,14 @@
 		cmd.Wait()
 	}()
 	_, addr, _ := strings.Cut(strings.TrimSpace(line), " addr=")
-	if got := testkit.Ask(t, addr, testkit.Resp("PING")); got != "+PONG" {
+	if got := testkit.Exchange(t, addr, testkit.EncodeRESP("PING")); got != "+PONG" {
 		t.Fatalf("PING is answered %q by %q", got, line)
 	}
 	ready := time.Since(began)
 	want := map[string]bool{}
 	for i := range size {
 		id := fmt.Sprintf("%016x", i)
-		if got := testkit.Ask(t, addr, testkit.Enqueue(id, fmt.Sprintf("c=status,d=60000,dest=%d", i), "b")); got != "+OK" {
+		if got := testkit.Exchange(t, addr, testkit.EnqueueRequest(id, fmt.Sprintf("c=status,d=60000,dest=%d", i), "b")); got != "+OK" {
 			t.Fatalf("the message for destination %d is answered %q", i, got)
 		}
 		want[id] = true
@@ -111,7 +111,7 @@
 		t.Fatal(err)
 	}
 	t.Logf("ready after %v; %d messages delivered after %v; %.1f MB at the most", ready, size, time.Since(began), float64(kb)/1024)
-	if kb > mostMB<<10 {
-		t.Errorf("%.1f MB at the most, of %d", float64(kb)/1024, mostMB)
+	if kb > maxMB<<10 {
+		t.Errorf("%.1f MB at the most, of %d", float64(kb)/1024, maxMB)
 	}
 }
--- a/internal/admin/view.go
+++ b/internal/admin/membership.go
@@ -1,18 +1,18 @@
 package admin
 
 // View is what the door shows of the others.
-type View struct {
+type MembershipView struct {
 	Number      int      `json:"number"`
 	Incarnation uint32   `json:"incarnation"`
 	AgreedMS    *int64   `json:"agreed_ms_ago"` // null: not yet
 	Health      int      `json:"health"`        // 0 is good
 	Present     int      `json:"present"`
 	Suspect     int      `json:"suspect"`
-	Members     []Fellow `json:"members"`
+	Members     []Member `json:"members"`
 }
 
 // Fellow is what is known of one node.
-type Fellow struct {
+type Member struct {
 	Number      int    `json:"number"`
 	Addr        string `json:"address"`
 	State       string `json:"state"`
--- a/internal/admin/door.go
+++ b/internal/admin/server.go
@@ -17,47 +17,47 @@
 const (
 	// Callers wait 1 s for an answer, and some connect and finish no call. Few places, of which the longest
 	// unfinished gives way, keep them from shutting out the others and from the descriptors.
-	DoorPlaces  = 8
-	doorTimeout = 2 * time.Second        // for a whole call
-	doorGrace   = 500 * time.Millisecond // for calls under way when the door closes
-	orderWait   = 900 * time.Millisecond // for a change to hold; past it the caller is told no
+	MaxConnections  = 8
+	requestTimeout  = 2 * time.Second        // for a whole call
+	shutdownTimeout = 500 * time.Millisecond // for calls under way when the door closes
+	commandTimeout  = 900 * time.Millisecond // for a change to hold; past it the caller is told no
 )
 
 // Why an order gets a no.
 var (
-	ErrUnknownEndpoint = errors.New("no such endpoint")
-	ErrNotServing      = errors.New("this process does not serve now")
-	ErrNoMembership    = errors.New("membership is off")
-	ErrLogLevel        = errors.New("no such log level")
-	ErrNoPeers         = errors.New("the socket to the other nodes could not be opened")
+	ErrUnknownEndpoint       = errors.New("no such endpoint")
+	ErrNotServing            = errors.New("this process does not serve now")
+	ErrMembershipDisabled    = errors.New("membership is off")
+	ErrUnknownLogLevel       = errors.New("no such log level")
+	ErrPeerSocketUnavailable = errors.New("the socket to the other nodes could not be opened")
 )
 
 // Operators is what the door needs of the node.
-type Operators interface {
-	NotReady() string // why not; empty if it is ready
+type Node interface {
+	NotReadyReason() string // why not; empty if it is ready
 	Stats() []byte
 	WriteMetrics(w io.Writer) error
 	SetLogLevel(name string) error
-	Members(ctx context.Context) (*View, error)
-	Acts(w io.Writer) error // the record of acts, as it stands
-	Disable(ctx context.Context, endpoint string) error
-	Enable(ctx context.Context, endpoint string) error
-	Drain(ctx context.Context, on bool) error
+	Members(ctx context.Context) (*MembershipView, error)
+	WriteAuditRecord(w io.Writer) error // the record of acts, as it stands
+	DisableEndpoint(ctx context.Context, endpoint string) error
+	EnableEndpoint(ctx context.Context, endpoint string) error
+	SetDraining(ctx context.Context, on bool) error
 }
 
 // door answers the operators.
-type door struct {
+type Server struct {
 	srv http.Server
-	ln  *doorListener
+	ln  *boundedListener
 	log *slog.Logger
 }
 
 // NewDoor answers operators on ln, in the name of n, once Serve runs.
-func NewDoor(ln net.Listener, n Operators, log *slog.Logger) *door {
-	d := &door{ln: &doorListener{Listener: ln, open: map[*doorConn]struct{}{}}, log: log}
-	order := func(do func(ctx context.Context, r *http.Request) error) http.HandlerFunc {
+func NewServer(ln net.Listener, n Node, log *slog.Logger) *Server {
+	s := &Server{ln: &boundedListener{Listener: ln, conns: map[*boundedConn]struct{}{}}, log: log}
+	command := func(do func(ctx context.Context, r *http.Request) error) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
-			ctx, cancel := context.WithTimeout(r.Context(), orderWait)
+			ctx, cancel := context.WithTimeout(r.Context(), commandTimeout)
 			defer cancel()
 			switch err := do(ctx, r); {
 			case err == nil:
@@ -69,23 +69,23 @@
 			}
 		}
 	}
-	endpoint := func(do func(ctx context.Context, endpoint string) error) http.HandlerFunc {
+	endpointCommand := func(do func(ctx context.Context, endpointCommand string) error) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			id := r.URL.Query().Get("id")
 			if id == "" {
 				http.Error(w, "id is needed", http.StatusBadRequest)
 				return
 			}
-			order(func(ctx context.Context, _ *http.Request) error { return do(ctx, id) })(w, r)
+			command(func(ctx context.Context, _ *http.Request) error { return do(ctx, id) })(w, r)
 		}
 	}
-	drain := func(on bool) http.HandlerFunc {
-		return order(func(ctx context.Context, _ *http.Request) error { return n.Drain(ctx, on) })
+	drainCommand := func(on bool) http.HandlerFunc {
+		return command(func(ctx context.Context, _ *http.Request) error { return n.SetDraining(ctx, on) })
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /ops/readiness", func(w http.ResponseWriter, _ *http.Request) {
-		if why := n.NotReady(); why != "" {
-			http.Error(w, why, http.StatusServiceUnavailable)
+		if reason := n.NotReadyReason(); reason != "" {
+			http.Error(w, reason, http.StatusServiceUnavailable)
 			return
 		}
 		w.WriteHeader(http.StatusNoContent)
@@ -104,7 +104,7 @@
 	})
 	mux.HandleFunc("GET /ops/acts", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-		if err := n.Acts(w); err != nil {
+		if err := n.WriteAuditRecord(w); err != nil {
 			log.Debug("acts_not_taken", "err", err)
 		}
 	})
@@ -116,11 +116,11 @@
 		w.WriteHeader(http.StatusNoContent)
 	})
 	mux.HandleFunc("GET /ops/members", func(w http.ResponseWriter, r *http.Request) {
-		ctx, cancel := context.WithTimeout(r.Context(), orderWait)
+		ctx, cancel := context.WithTimeout(r.Context(), commandTimeout)
 		defer cancel()
 		v, err := n.Members(ctx)
 		switch {
-		case errors.Is(err, ErrNoMembership):
+		case errors.Is(err, ErrMembershipDisabled):
 			http.Error(w, err.Error(), http.StatusNotFound)
 			return
 		case err != nil:
@@ -132,63 +132,63 @@
 			log.Debug("members_not_taken", "err", err)
 		}
 	})
-	mux.HandleFunc("PUT /ops/endpoints/down", endpoint(n.Disable))
-	mux.HandleFunc("PUT /ops/endpoints/up", endpoint(n.Enable))
-	mux.HandleFunc("PUT /ops/drain/start", drain(true))
-	mux.HandleFunc("PUT /ops/drain/stop", drain(false))
-	d.srv = http.Server{
-		Handler: mux, ReadTimeout: doorTimeout, WriteTimeout: doorTimeout, MaxHeaderBytes: 8 << 10,
+	mux.HandleFunc("PUT /ops/endpoints/down", endpointCommand(n.DisableEndpoint))
+	mux.HandleFunc("PUT /ops/endpoints/up", endpointCommand(n.EnableEndpoint))
+	mux.HandleFunc("PUT /ops/drain/start", drainCommand(true))
+	mux.HandleFunc("PUT /ops/drain/stop", drainCommand(false))
+	s.srv = http.Server{
+		Handler: mux, ReadTimeout: requestTimeout, WriteTimeout: requestTimeout, MaxHeaderBytes: 8 << 10,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 	}
-	d.srv.SetKeepAlivesEnabled(false)
-	return d
+	s.srv.SetKeepAlivesEnabled(false)
+	return s
 }
 
 // Serve answers until close.
-func (d *door) Serve() {
-	if err := d.srv.Serve(d.ln); !errors.Is(err, http.ErrServerClosed) {
-		d.log.Error("door_shut", "err", err)
+func (s *Server) Serve() {
+	if err := s.srv.Serve(s.ln); !errors.Is(err, http.ErrServerClosed) {
+		s.log.Error("door_shut", "err", err)
 	}
 }
 
 // Close lets calls under way have their answers, for a moment.
-func (d *door) Close() {
-	ctx, cancel := context.WithTimeout(context.Background(), doorGrace)
+func (s *Server) Close() {
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	if err := d.srv.Shutdown(ctx); err != nil {
-		d.log.Debug("door_calls_cut", "err", errors.Join(err, d.srv.Close()))
+	if err := s.srv.Shutdown(ctx); err != nil {
+		s.log.Debug("door_calls_cut", "err", errors.Join(err, s.srv.Close()))
 	}
 }
 
 // doorListener bounds the connections: the longest open one is closed for a newcomer.
-type doorListener struct {
+type boundedListener struct {
 	net.Listener
-	mu   sync.Mutex
-	open map[*doorConn]struct{}
+	mu    sync.Mutex
+	conns map[*boundedConn]struct{}
 }
 
-type doorConn struct {
+type boundedConn struct {
 	net.Conn
-	ln    *doorListener
-	since time.Time
+	ln       *boundedListener
+	openedAt time.Time
 }
 
-func (l *doorListener) Accept() (net.Conn, error) {
+func (l *boundedListener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	c := &doorConn{Conn: nc, ln: l, since: time.Now()}
+	c := &boundedConn{Conn: nc, ln: l, openedAt: time.Now()}
 	l.mu.Lock()
-	var oldest *doorConn
-	if len(l.open) >= DoorPlaces {
-		for o := range l.open {
-			if oldest == nil || o.since.Before(oldest.since) {
+	var oldest *boundedConn
+	if len(l.conns) >= MaxConnections {
+		for o := range l.conns {
+			if oldest == nil || o.openedAt.Before(oldest.openedAt) {
 				oldest = o
 			}
 		}
 	}
-	l.open[c] = struct{}{}
+	l.conns[c] = struct{}{}
 	l.mu.Unlock()
 	if oldest != nil {
 		oldest.Close()
@@ -196,9 +196,9 @@
 	return c, nil
 }
 
-func (c *doorConn) Close() error {
+func (c *boundedConn) Close() error {
 	c.ln.mu.Lock()
-	delete(c.ln.open, c)
+	delete(c.ln.conns, c)
 	c.ln.mu.Unlock()
 	return c.Conn.Close()
 }
--- a/internal/admin/door_test.go
+++ b/internal/admin/server_test.go
@@ -13,44 +13,44 @@
 )
 
 // fakeOperators answers the door in a test's place.
-type fakeOperators struct{ no error }
+type fakeNode struct{ err error }
 
-func (f fakeOperators) Acts(io.Writer) error { return nil }
-func (f fakeOperators) NotReady() string {
-	if f.no == nil {
+func (f fakeNode) WriteAuditRecord(io.Writer) error { return nil }
+func (f fakeNode) NotReadyReason() string {
+	if f.err == nil {
 		return ""
 	}
-	return f.no.Error()
+	return f.err.Error()
 }
-func (f fakeOperators) Stats() []byte                         { return []byte("router.active:14|g\n") }
-func (f fakeOperators) WriteMetrics(w io.Writer) error        { return f.no }
-func (f fakeOperators) SetLogLevel(string) error              { return f.no }
-func (f fakeOperators) Disable(context.Context, string) error { return f.no }
-func (f fakeOperators) Enable(context.Context, string) error  { return f.no }
-func (f fakeOperators) Members(context.Context) (*View, error) {
-	return nil, ErrNoMembership
+func (f fakeNode) Stats() []byte                                 { return []byte("router.active:14|g\n") }
+func (f fakeNode) WriteMetrics(w io.Writer) error                { return f.err }
+func (f fakeNode) SetLogLevel(string) error                      { return f.err }
+func (f fakeNode) DisableEndpoint(context.Context, string) error { return f.err }
+func (f fakeNode) EnableEndpoint(context.Context, string) error  { return f.err }
+func (f fakeNode) Members(context.Context) (*MembershipView, error) {
+	return nil, ErrMembershipDisabled
 }
-func (f fakeOperators) Drain(context.Context, bool) error { return f.no }
+func (f fakeNode) SetDraining(context.Context, bool) error { return f.err }
 
-func openDoor(t *testing.T, n Operators) string {
+func startServer(t *testing.T, n Node) string {
 	t.Helper()
-	addr, _ := openDoors(t, n)
+	addr, _ := startServerWithHandle(t, n)
 	return addr
 }
 
-func openDoors(t *testing.T, n Operators) (string, *door) {
+func startServerWithHandle(t *testing.T, n Node) (string, *Server) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := NewDoor(ln, n, slog.New(slog.DiscardHandler))
-	go d.Serve()
-	t.Cleanup(d.Close)
-	return ln.Addr().String(), d
+	s := NewServer(ln, n, slog.New(slog.DiscardHandler))
+	go s.Serve()
+	t.Cleanup(s.Close)
+	return ln.Addr().String(), s
 }
 
-func TestDoorAnswers(t *testing.T) {
+func TestStatusCodes(t *testing.T) {
 	for _, c := range []struct {
 		method, path string
 		no           error
@@ -72,20 +72,20 @@
 		{"PUT", "/ops/drain", nil, 404},
 		{"GET", "/metrics", nil, 200},
 		{"PUT", "/ops/log/level?level=debug", nil, 204},
-		{"PUT", "/ops/log/level", ErrLogLevel, 400},
+		{"PUT", "/ops/log/level", ErrUnknownLogLevel, 400},
 		{"GET", "/", nil, 404},
 	} {
-		if got, body := testkit.Operate(t, openDoor(t, fakeOperators{c.no}), c.method, c.path); got != c.want {
+		if got, body := testkit.CallAdmin(t, startServer(t, fakeNode{c.no}), c.method, c.path); got != c.want {
 			t.Errorf("%s %s: got %d %q, want %d", c.method, c.path, got, body, c.want)
 		}
 	}
 }
 
 // Callers that connect and say nothing, or half a call, keep nobody out, however many they are.
-func TestDoorOutlastsUnfinishedCalls(t *testing.T) {
-	door, d := openDoors(t, fakeOperators{})
-	for i := range 3 * DoorPlaces {
-		nc, err := net.Dial("tcp", door)
+func TestUnfinishedRequestsDoNotBlockOthers(t *testing.T) {
+	addr, s := startServerWithHandle(t, fakeNode{})
+	for i := range 3 * MaxConnections {
+		nc, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -96,16 +96,16 @@
 			}
 		}
 	}
-	testkit.MustOperate(t, door, "GET", "/ops/readiness", 204) // accepted after all of them
-	d.ln.mu.Lock()
-	defer d.ln.mu.Unlock()
-	if open := len(d.ln.open); open > DoorPlaces {
+	testkit.MustCallAdmin(t, addr, "GET", "/ops/readiness", 204) // accepted after all of them
+	s.ln.mu.Lock()
+	defer s.ln.mu.Unlock()
+	if open := len(s.ln.conns); open > MaxConnections {
 		t.Errorf("%d connections are open", open)
 	}
 }
 
-func TestOneCallAConnection(t *testing.T) {
-	nc, br := testkit.DialTest(t, openDoor(t, fakeOperators{}))
+func TestConnectionClosesAfterOneRequest(t *testing.T) {
+	nc, br := testkit.Dial(t, startServer(t, fakeNode{}))
 	if _, err := io.WriteString(nc, "GET /ops/stats HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cli/audit.go
+++ b/internal/cli/audit.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	doorsAtOnce = 16
-	maxActs     = 128 << 20 // a record's bound is lower
+	maxConcurrentFetches = 16
+	maxAuditRecordBytes  = 128 << 20 // a record's bound is lower
 )
 
 // fleetGet reads what a list server or a door says.
-func fleetGet(ctx context.Context, url string, most int64) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, fleetTimeout)
+func httpGet(ctx context.Context, url string, maxBytes int64) ([]byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, listServerTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -39,18 +39,18 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("%s: %s", url, resp.Status)
 	}
-	return io.ReadAll(io.LimitReader(resp.Body, most))
+	return io.ReadAll(io.LimitReader(resp.Body, maxBytes))
 }
 
 // changes is what the list servers remember: of the one that knows most.
-func (o *fleetOptions) changes(ctx context.Context) (best acts.History, err error) {
-	addrs, err := o.at()
+func (o *fleetOptions) fetchHistory(ctx context.Context) (best acts.History, err error) {
+	addrs, err := o.serverAddrs()
 	if err != nil {
 		return best, err
 	}
 	var errs []error
 	for _, addr := range addrs {
-		raw, err := fleetGet(ctx, "http://"+addr+"/registry/history", maxFleetBody)
+		raw, err := httpGet(ctx, "http://"+addr+"/registry/history", maxFleetBodyBytes)
 		var h acts.History
 		if err == nil {
 			err = json.Unmarshal(raw, &h)
@@ -69,27 +69,27 @@
 
 // auditOptions say whose records are read and what counts as late.
 type auditOptions struct {
-	folders     []string
-	doors       []string
-	since       time.Duration
-	grace, slop time.Duration
+	stateDirs    []string
+	adminAddrs   []string
+	since        time.Duration
+	grace, slack time.Duration
 }
 
-func (o *fleetOptions) audit() *cobra.Command {
+func (o *fleetOptions) auditCommand() *cobra.Command {
 	var a auditOptions
 	c := &cobra.Command{
-		Use: "audit", Short: "Print which calls went to endpoints that had been withdrawn, by whom and why", Args: none,
+		Use: "audit", Short: "Print which calls went to endpoints that had been withdrawn, by whom and why", Args: noArgs,
 		Long: `Gather the records of acts of running nodes, by their doors, and of folders, hold them against what the list service
 remembers, and print the calls that were made to endpoints after they had been withdrawn or drained and the grace was over:
 by whom, on which revision, and why that node did not know. What can't be told is printed as unknown. The status is 0 if there
 is no such call. Doors are those that nodes tell the list service, or --doors.`,
 		Example: "  harrierramp fleet audit --servers 127.0.0.1:8500\n  harrierramp fleet audit --servers 127.0.0.1:8500 --folders /var/lib/node-7",
 		RunE: func(c *cobra.Command, _ []string) error {
-			h, err := o.changes(c.Context())
+			h, err := o.fetchHistory(c.Context())
 			if err != nil {
 				return err
 			}
-			r, err := o.gather(c.Context(), a, h)
+			r, err := o.collectReport(c.Context(), a, h)
 			if err != nil {
 				return err
 			}
@@ -104,35 +104,35 @@
 			return err
 		},
 	}
-	c.Flags().StringSliceVar(&a.folders, "folders", nil, "lasting folders of nodes that don't run")
-	c.Flags().StringSliceVar(&a.doors, "doors", nil, "doors of nodes (default: those that the list service knows)")
+	c.Flags().StringSliceVar(&a.stateDirs, "folders", nil, "lasting folders of nodes that don't run")
+	c.Flags().StringSliceVar(&a.adminAddrs, "doors", nil, "doors of nodes (default: those that the list service knows)")
 	c.Flags().DurationVar(&a.since, "since", 0, "leave earlier calls out (0s for all on record)")
 	c.Flags().DurationVar(&a.grace, "grace", time.Second, "for calls after a withdrawal")
-	c.Flags().DurationVar(&a.slop, "slack", 250*time.Millisecond, "what lies so close to the grace is told as unsure")
+	c.Flags().DurationVar(&a.slack, "slack", 250*time.Millisecond, "what lies so close to the grace is told as unsure")
 	return c
 }
 
 // gather reads all records and holds them against a history.
-func (o *fleetOptions) gather(ctx context.Context, a auditOptions, h acts.History) (acts.Report, error) {
-	audit := acts.Auditor{History: h, Grace: a.grace, Slack: a.slop}
+func (o *fleetOptions) collectReport(ctx context.Context, a auditOptions, h acts.History) (acts.Report, error) {
+	audit := acts.Auditor{History: h, Grace: a.grace, Slack: a.slack}
 	if a.since > 0 {
 		audit.SinceMS = time.Now().Add(-a.since).UnixMilli()
 	}
-	for _, dir := range a.folders {
+	for _, dir := range a.stateDirs {
 		raw, err := acts.ReadDir(dir)
 		if err != nil {
 			return acts.Report{}, err
 		}
 		audit.Add(filepath.Base(dir), raw)
 	}
-	doors := a.doors
+	addrs := a.adminAddrs
 	names := map[string]string{}
-	if len(doors) == 0 {
-		v, silent, err := o.view(ctx)
+	if len(addrs) == 0 {
+		v, unanswered, err := o.fetchView(ctx)
 		if err != nil {
 			return acts.Report{}, err
 		}
-		for _, s := range silent {
+		for _, s := range unanswered {
 			audit.Missing(s, "the list server does not answer: nodes that told only it are not looked at")
 		}
 		for _, n := range v.Nodes {
@@ -140,30 +140,30 @@
 				audit.Missing(n.Name, "it has no door: give its folder")
 				continue
 			}
-			doors, names[n.Door] = append(doors, n.Door), n.Name
+			addrs, names[n.Door] = append(addrs, n.Door), n.Name
 		}
 	}
-	raws, errs := make([][]byte, len(doors)), make([]error, len(doors))
-	var asks sync.WaitGroup
-	places := make(chan struct{}, doorsAtOnce)
-	for i, door := range doors {
-		places <- struct{}{}
-		asks.Go(func() {
-			raws[i], errs[i] = fleetGet(ctx, "http://"+door+"/ops/acts", maxActs)
-			<-places
+	records, errs := make([][]byte, len(addrs)), make([]error, len(addrs))
+	var fetches sync.WaitGroup
+	slots := make(chan struct{}, maxConcurrentFetches)
+	for i, addr := range addrs {
+		slots <- struct{}{}
+		fetches.Go(func() {
+			records[i], errs[i] = httpGet(ctx, "http://"+addr+"/ops/acts", maxAuditRecordBytes)
+			<-slots
 		})
 	}
-	asks.Wait()
-	for i, door := range doors {
-		name := door
-		if n := names[door]; n != "" {
+	fetches.Wait()
+	for i, addr := range addrs {
+		name := addr
+		if n := names[addr]; n != "" {
 			name = n
 		}
 		if errs[i] != nil {
 			audit.Missing(name, fmt.Sprintf("its door does not answer: %v", errs[i]))
 			continue
 		}
-		audit.Add(name, raws[i])
+		audit.Add(name, records[i])
 	}
 	return audit.Report(), nil
 }
@@ -172,7 +172,7 @@
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "NODE\tLIFE\tENDPOINT\tON REVISION\tWITHDRAWN BY\tCALLS\tUNSURE\tLAST AFTER\tWHY")
 	for _, f := range r.Findings {
-		fmt.Fprintf(t, "%s\t%d\t%s\t%d\t%d\t%d\t%d\t%s\t%s\n", f.Node, f.Life, f.Endpoint, f.Revision, f.Gone, f.Calls, f.Unsure, seconds(f.LastMS), f.Why)
+		fmt.Fprintf(t, "%s\t%d\t%s\t%d\t%d\t%d\t%d\t%s\t%s\n", f.Node, f.Life, f.Endpoint, f.Revision, f.Gone, f.Calls, f.Unsure, formatSeconds(f.LastMS), f.Why)
 	}
 	if err := t.Flush(); err != nil {
 		return err
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -16,8 +16,8 @@
 
 // The exit statuses.
 const (
-	statusFailed = 1 // the command did not do what it was asked
-	statusUsage  = 2 // the command line is wrong
+	exitFailed = 1 // the command did not do what it was asked
+	exitUsage  = 2 // the command line is wrong
 )
 
 // usageError is a fault of the command line.
@@ -41,12 +41,12 @@
 		return 0
 	case usage:
 		fmt.Fprintf(stderr, "harrierramp: %v\n", err)
-		return statusUsage
+		return exitUsage
 	}
 	for line := range strings.Lines(err.Error()) {
 		fmt.Fprintf(stderr, "harrierramp: %s\n", strings.TrimRight(line, "\n"))
 	}
-	return statusFailed
+	return exitFailed
 }
 
 func newRoot() *cobra.Command {
@@ -57,17 +57,17 @@
 Without arguments, and with ROUTER_CONFIG in the environment, it serves as a node.`,
 		Example:       "  harrierramp demo\n  harrierramp config example > node.toml\n  harrierramp serve --config node.toml",
 		SilenceErrors: true, SilenceUsage: true, SuggestionsMinimumDistance: 3,
-		Args: noUnknown, RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
+		Args: rejectUnknownCommand, RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
 	root.SetFlagErrorFunc(func(c *cobra.Command, err error) error {
-		return usageError{fmt.Errorf("%w%s; see '%s --help'", err, nearestFlag(c, err.Error()), c.CommandPath())}
+		return usageError{fmt.Errorf("%w%s; see '%s --help'", err, suggestFlag(c, err.Error()), c.CommandPath())}
 	})
 	root.AddCommand(newServe(), newRegistry(), newConfig(), newOps(), newFleet(), newJournal(), newDemo(), newVersion())
 	return root
 }
 
 // noUnknown refuses words that are no command, with the nearest that is.
-func noUnknown(c *cobra.Command, args []string) error {
+func rejectUnknownCommand(c *cobra.Command, args []string) error {
 	if len(args) == 0 {
 		return nil
 	}
@@ -79,7 +79,7 @@
 }
 
 // exactly asks for arguments with these names.
-func exactly(names ...string) cobra.PositionalArgs {
+func exactArgs(names ...string) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if len(args) != len(names) {
 			return usageError{fmt.Errorf("%s needs %s; see '%s --help'", c.CommandPath(), strings.Join(names, " and "), c.CommandPath())}
@@ -89,7 +89,7 @@
 }
 
 // none refuses arguments.
-func none(c *cobra.Command, args []string) error {
+func noArgs(c *cobra.Command, args []string) error {
 	if len(args) > 0 {
 		return usageError{fmt.Errorf("%s takes no argument %q; see '%s --help'", c.CommandPath(), args[0], c.CommandPath())}
 	}
@@ -97,9 +97,9 @@
 }
 
 // group is a command that only has others under it.
-func group(use, short, example string, subs ...*cobra.Command) *cobra.Command {
+func newGroup(use, short, example string, subs ...*cobra.Command) *cobra.Command {
 	c := &cobra.Command{
-		Use: use, Short: short, Example: example, Args: noUnknown, SuggestionsMinimumDistance: 3,
+		Use: use, Short: short, Example: example, Args: rejectUnknownCommand, SuggestionsMinimumDistance: 3,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
 	c.AddCommand(subs...)
@@ -107,19 +107,19 @@
 }
 
 // nearestFlag suggests a flag for one that is not known.
-func nearestFlag(c *cobra.Command, text string) string {
-	_, wrong, ok := strings.Cut(text, "unknown flag: --")
+func suggestFlag(c *cobra.Command, message string) string {
+	_, unknown, ok := strings.Cut(message, "unknown flag: --")
 	if !ok {
 		return ""
 	}
-	best, least := "", 4
+	closest, leastDistance := "", 4
 	c.Flags().VisitAll(func(f *pflag.Flag) {
-		if d := levenshtein.ComputeDistance(wrong, f.Name); d < least {
-			best, least = f.Name, d
+		if d := levenshtein.ComputeDistance(unknown, f.Name); d < leastDistance {
+			closest, leastDistance = f.Name, d
 		}
 	})
-	if best == "" {
+	if closest == "" {
 		return ""
 	}
-	return "; did you mean --" + best + "?"
+	return "; did you mean --" + closest + "?"
 }
--- a/internal/cli/configure.go
+++ b/internal/cli/config.go
@@ -9,7 +9,7 @@
 )
 
 func newConfig() *cobra.Command {
-	return group("config", "Check, show and explain configurations", "  harrierramp config check --config node.toml",
+	return newGroup("config", "Check, show and explain configurations", "  harrierramp config check --config node.toml",
 		newConfigCheck(), newConfigShow(), newConfigExample(), newConfigSchema())
 }
 
@@ -18,7 +18,7 @@
 	c := &cobra.Command{
 		Use: "check [FILE]", Short: "Tell everything that is wrong with a configuration; status 0 if nothing is",
 		Example: "  harrierramp config check node.toml\n  harrierramp config check node.toml --set limits.sockets=512",
-		Args:    atMostFile(&o),
+		Args:    optionalFileArg(&o),
 		RunE: func(c *cobra.Command, _ []string) error {
 			if _, err := config.Load(o.sources()); err != nil {
 				return err
@@ -37,7 +37,7 @@
 	c := &cobra.Command{
 		Use: "show [FILE]", Short: "Print every value that holds",
 		Example: "  harrierramp config show node.toml --origin",
-		Args:    atMostFile(&o),
+		Args:    optionalFileArg(&o),
 		RunE: func(c *cobra.Command, _ []string) error {
 			l, err := config.Load(o.sources())
 			if err != nil {
@@ -53,7 +53,7 @@
 
 func newConfigExample() *cobra.Command {
 	return &cobra.Command{
-		Use: "example", Short: "Print a whole configuration with the meaning of every value", Args: none,
+		Use: "example", Short: "Print a whole configuration with the meaning of every value", Args: noArgs,
 		Example: "  harrierramp config example > node.toml",
 		RunE:    func(c *cobra.Command, _ []string) error { return config.Example(c.OutOrStdout()) },
 	}
@@ -61,7 +61,7 @@
 
 func newConfigSchema() *cobra.Command {
 	return &cobra.Command{
-		Use: "schema", Short: "Print the JSON schema of a configuration", Args: none,
+		Use: "schema", Short: "Print the JSON schema of a configuration", Args: noArgs,
 		Example: "  harrierramp config schema > node.schema.json",
 		RunE: func(c *cobra.Command, _ []string) error {
 			text, err := config.Schema()
@@ -74,13 +74,13 @@
 }
 
 // atMostFile takes the configuration file as an argument as well.
-func atMostFile(o *serveOptions) cobra.PositionalArgs {
+func optionalFileArg(o *serveOptions) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if len(args) > 1 {
 			return usageError{fmt.Errorf("%s takes one file; see '%s --help'", c.CommandPath(), c.CommandPath())}
 		}
 		if len(args) == 1 {
-			o.file = args[0]
+			o.configFile = args[0]
 		}
 		return nil
 	}
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -16,7 +16,7 @@
 	var o demo.Options
 	var verbose bool
 	c := &cobra.Command{
-		Use: "demo", Short: "Play a small fleet on loopback: list service, three nodes, stand-in partners, traffic", Args: none,
+		Use: "demo", Short: "Play a small fleet on loopback: list service, three nodes, stand-in partners, traffic", Args: noArgs,
 		Example: "  harrierramp demo\n  harrierramp demo --for 20s --rate 100 --verbose",
 		RunE: func(c *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -22,9 +22,9 @@
 )
 
 const (
-	fleetTimeout = 3 * time.Second // for one list server
-	fleetPause   = 250 * time.Millisecond
-	maxFleetBody = 16 << 20
+	listServerTimeout = 3 * time.Second // for one list server
+	fleetPollInterval = 250 * time.Millisecond
+	maxFleetBodyBytes = 16 << 20
 )
 
 // fleetOptions say which list servers are asked.
@@ -35,16 +35,16 @@
 
 func newFleet() *cobra.Command {
 	var o fleetOptions
-	c := group("fleet", "Ask the list service who of the fleet has applied what",
+	c := newGroup("fleet", "Ask the list service who of the fleet has applied what",
 		"  harrierramp fleet status --servers 127.0.0.1:8500,127.0.0.1:8510\n  harrierramp fleet wait 68719476799 --share 0.99 --timeout 30s",
-		o.status(), o.wait(), o.history(), o.audit(), o.require(), o.release())
+		o.statusCommand(), o.waitCommand(), o.historyCommand(), o.auditCommand(), o.requireCommand(), o.releaseCommand())
 	c.PersistentFlags().StringSliceVar(&o.servers, "servers", nil, "addresses of the list servers (default: registry.addresses of $ROUTER_CONFIG)")
 	c.PersistentFlags().BoolVar(&o.asJSON, "json", false, "answer as JSON")
 	return c
 }
 
 // at are the servers' addresses.
-func (o *fleetOptions) at() ([]string, error) {
+func (o *fleetOptions) serverAddrs() ([]string, error) {
 	if len(o.servers) > 0 {
 		return o.servers, nil
 	}
@@ -61,35 +61,35 @@
 }
 
 // view joins what all servers know. Servers that don't answer are named; all of them is an error.
-func (o *fleetOptions) view(ctx context.Context) (roster.View, []string, error) {
-	addrs, err := o.at()
+func (o *fleetOptions) fetchView(ctx context.Context) (roster.View, []string, error) {
+	addrs, err := o.serverAddrs()
 	if err != nil {
 		return roster.View{}, nil, err
 	}
 	views, errs := make([]*roster.View, len(addrs)), make([]error, len(addrs))
-	var asks sync.WaitGroup
+	var fetches sync.WaitGroup
 	for i, addr := range addrs {
-		asks.Go(func() { views[i], errs[i] = fleetView(ctx, addr) })
+		fetches.Go(func() { views[i], errs[i] = fetchServerView(ctx, addr) })
 	}
-	asks.Wait()
-	var known []roster.View
-	var silent []string
+	fetches.Wait()
+	var answered []roster.View
+	var unanswered []string
 	for i, v := range views {
 		if v == nil {
-			silent = append(silent, addrs[i])
+			unanswered = append(unanswered, addrs[i])
 			continue
 		}
-		known = append(known, *v)
+		answered = append(answered, *v)
 	}
-	if len(known) == 0 {
-		return roster.View{}, silent, errors.Join(errs...)
+	if len(answered) == 0 {
+		return roster.View{}, unanswered, errors.Join(errs...)
 	}
-	return roster.Merge(known), silent, nil
+	return roster.Merge(answered), unanswered, nil
 }
 
-func fleetView(ctx context.Context, addr string) (*roster.View, error) {
+func fetchServerView(ctx context.Context, addr string) (*roster.View, error) {
 	var v roster.View
-	raw, err := fleetGet(ctx, "http://"+addr+"/registry/nodes", maxFleetBody)
+	raw, err := httpGet(ctx, "http://"+addr+"/registry/nodes", maxFleetBodyBytes)
 	if err == nil {
 		err = json.Unmarshal(raw, &v)
 	}
@@ -100,7 +100,7 @@
 }
 
 // state is a node's in one word.
-func state(r roster.Row) string {
+func nodeState(r roster.Row) string {
 	switch {
 	case r.Silent:
 		return "silent"
@@ -114,28 +114,28 @@
 	return "current"
 }
 
-func (o *fleetOptions) status() *cobra.Command {
+func (o *fleetOptions) statusCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "status", Short: "Print each node's state; status 0 if all are current", Args: none,
+		Use: "status", Short: "Print each node's state; status 0 if all are current", Args: noArgs,
 		Long: `Print each node's state: current, behind and since when, silent, or not ready; and how many run which build and
 configuration. A node that has never told is not in the table, which is why silent list servers are named. The status is
 0 if all nodes are current and all servers answer.`,
 		Example: "  harrierramp fleet status --servers 127.0.0.1:8500,127.0.0.1:8510",
 		RunE: func(c *cobra.Command, _ []string) error {
-			v, silent, err := o.view(c.Context())
+			v, unanswered, err := o.fetchView(c.Context())
 			if err != nil {
 				return err
 			}
 			out := c.OutOrStdout()
 			states, builds, configs := map[string]int{}, map[string]int{}, map[string]int{}
 			for _, r := range v.Nodes {
-				states[state(r)]++
+				states[nodeState(r)]++
 				builds[r.Build]++
 				configs[r.Config]++
 			}
 			if o.asJSON {
 				err = json.NewEncoder(out).Encode(map[string]any{
-					"head": v.Head, "nodes": v.Nodes, "states": states, "builds": builds, "configs": configs, "silent_servers": silent,
+					"head": v.Head, "nodes": v.Nodes, "states": states, "builds": builds, "configs": configs, "silent_servers": unanswered,
 				})
 			} else {
 				err = printFleet(out, v, states, builds, configs)
@@ -143,8 +143,8 @@
 			if err != nil {
 				return err
 			}
-			if bad := len(v.Nodes) - states["current"]; bad > 0 || len(silent) > 0 || len(v.Nodes) == 0 {
-				return fmt.Errorf("%d of %d nodes are not current, list servers that don't answer: %v", bad, len(v.Nodes), silent)
+			if notCurrent := len(v.Nodes) - states["current"]; notCurrent > 0 || len(unanswered) > 0 || len(v.Nodes) == 0 {
+				return fmt.Errorf("%d of %d nodes are not current, list servers that don't answer: %v", notCurrent, len(v.Nodes), unanswered)
 			}
 			return nil
 		},
@@ -157,9 +157,9 @@
 	for _, r := range v.Nodes {
 		behind, since := "-", "-"
 		if r.BehindMS > 0 {
-			behind, since = strconv.FormatInt(v.Head-r.Revision, 10), seconds(r.BehindMS)
+			behind, since = strconv.FormatInt(v.Head-r.Revision, 10), formatSeconds(r.BehindMS)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\n", r.Name, state(r), r.Revision, behind, since, seconds(r.HeardMS), r.Build, r.Config, cmp.Or(r.Why, "-"))
+		fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\n", r.Name, nodeState(r), r.Revision, behind, since, formatSeconds(r.HeardMS), r.Build, r.Config, cmp.Or(r.Why, "-"))
 	}
 	if err := t.Flush(); err != nil {
 		return err
@@ -178,11 +178,11 @@
 	return err
 }
 
-func seconds(ms int64) string { return fmt.Sprintf("%.1fs", float64(ms)/1000) }
+func formatSeconds(ms int64) string { return fmt.Sprintf("%.1fs", float64(ms)/1000) }
 
-func (o *fleetOptions) wait() *cobra.Command {
+func (o *fleetOptions) waitCommand() *cobra.Command {
 	var share float64
-	var most time.Duration
+	var timeout time.Duration
 	c := &cobra.Command{
 		Use: "wait REVISION", Short: "Wait until the fleet has applied a revision", Args: cobra.ExactArgs(1),
 		Long: `Wait until all nodes that are not silent, or a share of them, act on a revision or a later one; for scripts that replace
@@ -193,48 +193,48 @@
 			if err != nil || revision <= 0 || !(share > 0 && share <= 1) {
 				return usageError{fmt.Errorf("revision %q and share %v: a number over 0, and a share up to 1", args[0], share)}
 			}
-			ctx, cancel := context.WithTimeout(c.Context(), most)
+			ctx, cancel := context.WithTimeout(c.Context(), timeout)
 			defer cancel()
-			for last := -1; ; {
-				v, _, err := o.view(ctx)
+			for lastApplied := -1; ; {
+				v, _, err := o.fetchView(ctx)
 				if _, usage := errors.AsType[usageError](err); usage {
 					return err
 				}
-				have, all := 0, 0
+				applied, total := 0, 0
 				for _, r := range v.Nodes {
 					if r.Silent {
 						continue
 					}
-					if all++; r.Revision >= revision {
-						have++
+					if total++; r.Revision >= revision {
+						applied++
 					}
 				}
-				if have != last {
-					last = have
-					fmt.Fprintf(c.ErrOrStderr(), "%d of %d nodes have revision %d\n", have, all, revision)
+				if applied != lastApplied {
+					lastApplied = applied
+					fmt.Fprintf(c.ErrOrStderr(), "%d of %d nodes have revision %d\n", applied, total, revision)
 				}
-				if err == nil && all > 0 && float64(have) >= share*float64(all) {
+				if err == nil && total > 0 && float64(applied) >= share*float64(total) {
 					return nil
 				}
 				select {
 				case <-ctx.Done():
-					return errors.Join(fmt.Errorf("%d of %d nodes have revision %d after %v", have, all, revision, most), err)
-				case <-time.After(fleetPause):
+					return errors.Join(fmt.Errorf("%d of %d nodes have revision %d after %v", applied, total, revision, timeout), err)
+				case <-time.After(fleetPollInterval):
 				}
 			}
 		},
 	}
 	c.Flags().Float64Var(&share, "share", 1, "of the nodes that are not silent")
-	c.Flags().DurationVar(&most, "timeout", time.Minute, "how long to wait at most")
+	c.Flags().DurationVar(&timeout, "timeout", time.Minute, "how long to wait at most")
 	return c
 }
 
-func (o *fleetOptions) history() *cobra.Command {
+func (o *fleetOptions) historyCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "history", Short: "Print how recent revisions went through the fleet", Args: none,
+		Use: "history", Short: "Print how recent revisions went through the fleet", Args: noArgs,
 		Example: "  harrierramp fleet history --servers 127.0.0.1:8500",
 		RunE: func(c *cobra.Command, _ []string) error {
-			v, _, err := o.view(c.Context())
+			v, _, err := o.fetchView(c.Context())
 			if err != nil {
 				return err
 			}
@@ -247,10 +247,10 @@
 				if ms < 0 {
 					return "-"
 				}
-				return seconds(ms)
+				return formatSeconds(ms)
 			}
 			for _, h := range v.Changes {
-				fmt.Fprintf(t, "%d\t%s\t%d\t%d\t%s\t%s\t%s\t\n", h.Revision, seconds(h.AgoMS), h.Applied, h.Nodes, after(h.Half), after(h.Most), after(h.All))
+				fmt.Fprintf(t, "%d\t%s\t%d\t%d\t%s\t%s\t%s\t\n", h.Revision, formatSeconds(h.AgoMS), h.Applied, h.Nodes, after(h.Half), after(h.Most), after(h.All))
 			}
 			return t.Flush()
 		},
--- a/internal/cli/floor.go
+++ b/internal/cli/floor.go
@@ -16,8 +16,8 @@
 )
 
 // ask puts a floor to the list servers until one takes it: the primary.
-func (o *fleetOptions) ask(ctx context.Context, f listwatch.Floor) error {
-	addrs, err := o.at()
+func (o *fleetOptions) setFloor(ctx context.Context, f listwatch.Floor) error {
+	addrs, err := o.serverAddrs()
 	if err != nil {
 		return err
 	}
@@ -37,7 +37,7 @@
 }
 
 func putFloor(ctx context.Context, addr string, raw []byte) error {
-	ctx, cancel := context.WithTimeout(ctx, fleetTimeout)
+	ctx, cancel := context.WithTimeout(ctx, listServerTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPut, "http://"+addr+"/registry/floor", bytes.NewReader(raw))
 	if err != nil {
@@ -49,22 +49,22 @@
 		return err
 	}
 	defer resp.Body.Close()
-	said, err := io.ReadAll(io.LimitReader(resp.Body, maxFleetBody))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxFleetBodyBytes))
 	if err == nil && resp.StatusCode != http.StatusOK {
-		err = fmt.Errorf("%s: %.200s", resp.Status, bytes.TrimSpace(said))
+		err = fmt.Errorf("%s: %.200s", resp.Status, bytes.TrimSpace(body))
 	}
 	return err
 }
 
 const epochShift = 32 // of a revision
 
-func (o *fleetOptions) require() *cobra.Command {
+func (o *fleetOptions) requireCommand() *cobra.Command {
 	var f listwatch.Floor
 	var epoch int64
 	var share float64
-	var force, dry bool
+	var force, dryRun bool
 	c := &cobra.Command{
-		Use: "require", Short: "Ask something of every node; who does not reach it is shut out", Args: none,
+		Use: "require", Short: "Ask something of every node; who does not reach it is shut out", Args: noArgs,
 		Long: `Set the floor of the fleet: the least revision or epoch of the list, and the build and the configuration that nodes have to
 have to act at all. The list service keeps it, and tells it with the list; it replaces the floor before. Nodes that are not
 there are named first. If they are more than a share of those that have told, nothing is done without --force. A node with
@@ -77,22 +77,22 @@
 			if f == (listwatch.Floor{}) || f.Revision < 0 || epoch < 0 || !(share >= 0 && share <= 1) {
 				return usageError{errors.New("say what is required, by --revision, --epoch, --build or --config; to ask nothing any more, release; --share is from 0 to 1")}
 			}
-			v, silent, err := o.view(c.Context())
+			v, unanswered, err := o.fetchView(c.Context())
 			if err != nil {
 				return err
 			}
-			out, of := v.Unfit(f.Revision, f.Build, f.Config)
-			fmt.Fprintf(c.OutOrStdout(), "%d of %d nodes do not reach it now: %s\n", len(out), of, strings.Join(out, " "))
-			if len(silent) > 0 {
-				fmt.Fprintf(c.OutOrStdout(), "list servers that don't answer: %s\n", strings.Join(silent, " "))
+			unfit, total := v.Unfit(f.Revision, f.Build, f.Config)
+			fmt.Fprintf(c.OutOrStdout(), "%d of %d nodes do not reach it now: %s\n", len(unfit), total, strings.Join(unfit, " "))
+			if len(unanswered) > 0 {
+				fmt.Fprintf(c.OutOrStdout(), "list servers that don't answer: %s\n", strings.Join(unanswered, " "))
 			}
 			switch {
-			case dry:
+			case dryRun:
 				return nil
-			case !force && float64(len(out)) > share*float64(of):
-				return fmt.Errorf("nothing is done: %d of %d nodes would be shut out, and %.0f%% at most may be; --force does it all the same", len(out), of, 100*share)
+			case !force && float64(len(unfit)) > share*float64(total):
+				return fmt.Errorf("nothing is done: %d of %d nodes would be shut out, and %.0f%% at most may be; --force does it all the same", len(unfit), total, 100*share)
 			}
-			return o.ask(c.Context(), f)
+			return o.setFloor(c.Context(), f)
 		},
 	}
 	c.Flags().Int64Var(&f.Revision, "revision", 0, "of the list, at least")
@@ -101,13 +101,13 @@
 	c.Flags().StringVar(&f.Config, "config", "", "digest of the configuration, as fleet status shows it")
 	c.Flags().Float64Var(&share, "share", 0.1, "of the nodes that may be shut out by it")
 	c.Flags().BoolVar(&force, "force", false, "whatever the share")
-	c.Flags().BoolVar(&dry, "dry-run", false, "only say who would be shut out")
+	c.Flags().BoolVar(&dryRun, "dry-run", false, "only say who would be shut out")
 	return c
 }
 
-func (o *fleetOptions) release() *cobra.Command {
+func (o *fleetOptions) releaseCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "release", Short: "Ask nothing of nodes any more", Args: none, Example: "  harrierramp fleet release --servers 127.0.0.1:8500",
-		RunE: func(c *cobra.Command, _ []string) error { return o.ask(c.Context(), listwatch.Floor{}) },
+		Use: "release", Short: "Ask nothing of nodes any more", Args: noArgs, Example: "  harrierramp fleet release --servers 127.0.0.1:8500",
+		RunE: func(c *cobra.Command, _ []string) error { return o.setFloor(c.Context(), listwatch.Floor{}) },
 	}
 }
--- a/internal/cli/journal.go
+++ b/internal/cli/journal.go
@@ -13,43 +13,43 @@
 )
 
 func newJournal() *cobra.Command {
-	return group("journal", "Look into a node's folder, whether the node runs or not", "  harrierramp journal show /var/lib/harrierramp",
+	return newGroup("journal", "Look into a node's folder, whether the node runs or not", "  harrierramp journal show /var/lib/harrierramp",
 		newJournalShow(), newJournalVerify())
 }
 
 // owed is a message as it is shown: neither its body nor its key.
-type owed struct {
-	ID       string       `json:"msg_id"`
-	Class    int          `json:"class"`
-	Tenant   int          `json:"tenant"` // -1 for none
-	Dest     int          `json:"dest"`
-	Bytes    int          `json:"bytes"`
-	Deadline time.Time    `json:"deadline"`
-	State    string       `json:"state"`
-	Attempts []owedCalled `json:"attempts,omitempty"`
+type owedMessage struct {
+	ID       string        `json:"msg_id"`
+	Class    int           `json:"class"`
+	Tenant   int           `json:"tenant"` // -1 for none
+	Dest     int           `json:"dest"`
+	Bytes    int           `json:"bytes"`
+	Deadline time.Time     `json:"deadline"`
+	State    string        `json:"state"`
+	Attempts []owedAttempt `json:"attempts,omitempty"`
 }
 
-type owedCalled struct {
+type owedAttempt struct {
 	At      time.Time `json:"at"`
 	Zone    int       `json:"zone"`
 	Outcome string    `json:"outcome"`
 }
 
-func describeOwed(m *journal.Message) owed {
-	o := owed{
+func describeOwed(m *journal.Message) owedMessage {
+	o := owedMessage{
 		ID: m.ID, Class: m.Class, Tenant: m.Tenant, Dest: m.Dest, Bytes: len(m.Body), Deadline: m.Deadline, State: "waiting",
 	}
 	for _, s := range m.Sends {
-		how := "out, or cut off: it may have run"
+		outcome := "out, or cut off: it may have run"
 		switch {
 		case s.NotRun:
-			how = "did not run"
+			outcome = "did not run"
 		case s.Failed:
-			how = "failed: it may have run"
+			outcome = "failed: it may have run"
 		default:
 			o.State = "out"
 		}
-		o.Attempts = append(o.Attempts, owedCalled{s.At, s.Zone, how})
+		o.Attempts = append(o.Attempts, owedAttempt{s.At, s.Zone, outcome})
 	}
 	if m.Ended != nil {
 		if o.State = "returned, notice owed"; m.Ended.Failed {
@@ -63,13 +63,13 @@
 	var asJSON bool
 	c := &cobra.Command{
 		Use: "show DIR", Short: "List the messages that a node owes, with their attempts and deadlines",
-		Example: "  harrierramp journal show /var/lib/harrierramp --json", Args: exactly("DIR"),
+		Example: "  harrierramp journal show /var/lib/harrierramp --json", Args: exactArgs("DIR"),
 		RunE: func(c *cobra.Command, args []string) error {
 			contents, err := journal.Read(args[0])
 			if err != nil {
 				return err
 			}
-			all := []owed{}
+			all := []owedMessage{}
 			for _, m := range contents.Owed {
 				all = append(all, describeOwed(m))
 			}
@@ -88,7 +88,7 @@
 			if err := w.Flush(); err != nil {
 				return err
 			}
-			return complain(contents, c)
+			return reportDamage(contents, c)
 		},
 	}
 	c.Flags().BoolVar(&asJSON, "json", false, "as JSON")
@@ -98,20 +98,20 @@
 func newJournalVerify() *cobra.Command {
 	return &cobra.Command{
 		Use: "verify DIR", Short: "Read a journal to its end; status 0 if every record is whole",
-		Example: "  harrierramp journal verify /var/lib/harrierramp", Args: exactly("DIR"),
+		Example: "  harrierramp journal verify /var/lib/harrierramp", Args: exactArgs("DIR"),
 		RunE: func(c *cobra.Command, args []string) error {
 			contents, err := journal.Read(args[0])
 			if err != nil {
 				return err
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%d bytes of whole records, %d messages owed\n", contents.Bytes, len(contents.Owed))
-			return complain(contents, c)
+			return reportDamage(contents, c)
 		},
 	}
 }
 
 // complain tells of damage. A torn tail is none: a kill leaves one, and so does reading while a node writes.
-func complain(contents journal.Contents, c *cobra.Command) error {
+func reportDamage(contents journal.Contents, c *cobra.Command) error {
 	switch {
 	case contents.Damage == nil:
 		return nil
@@ -119,7 +119,7 @@
 		fmt.Fprintf(c.ErrOrStderr(), "harrierramp: %v; a kill leaves that, and what it would have guarded was not done\n", contents.Damage)
 		return nil
 	}
-	return fmt.Errorf("%w: %w", errDamaged, contents.Damage)
+	return fmt.Errorf("%w: %w", errDamagedJournal, contents.Damage)
 }
 
-var errDamaged = errors.New("the journal is damaged: a node would go on with what comes before")
+var errDamagedJournal = errors.New("the journal is damaged: a node would go on with what comes before")
--- a/internal/cli/ops.go
+++ b/internal/cli/ops.go
@@ -18,41 +18,41 @@
 )
 
 const (
-	opsTimeout = 3 * time.Second // the door answers within 1 s
-	maxOpsBody = 4 << 20
+	adminTimeout      = 3 * time.Second // the door answers within 1 s
+	maxAdminBodyBytes = 4 << 20
 )
 
 // doorOptions say which door is meant.
-type doorOptions struct {
-	door   string
+type adminOptions struct {
+	addr   string
 	asJSON bool
 }
 
 func newOps() *cobra.Command {
-	var o doorOptions
-	c := group("ops", "Ask and tell a running node by its operators' door",
+	var o adminOptions
+	c := newGroup("ops", "Ask and tell a running node by its operators' door",
 		"  harrierramp ops ready --door 127.0.0.1:9090\n  harrierramp ops endpoint down s-1 --door 127.0.0.1:9090",
-		o.get("ready", "Say whether the process is ready to serve; status 0 if it is", "/ops/readiness", nil),
-		o.get("stats", "Print the figures", "/ops/stats", statsJSON),
-		o.get("metrics", "Print the figures as Prometheus reads them", "/metrics", nil),
-		o.get("members", "Print who of the fleet is there", "/ops/members", func(b []byte) (any, error) { return json.RawMessage(b), nil }),
-		group("drain", "Send clients away, or take them again", "  harrierramp ops drain start",
-			o.put("start", "Send clients away; what was taken on is delivered", "/ops/drain/start", ""),
-			o.put("stop", "Take clients again", "/ops/drain/stop", "")),
-		group("endpoint", "Take an endpoint out by hand, or put it back", "  harrierramp ops endpoint down s-1",
-			o.put("down ID", "Send the endpoint nothing new", "/ops/endpoints/down", "id"),
-			o.put("up ID", "Put the endpoint back", "/ops/endpoints/up", "id")),
-		o.put("log-level LEVEL", "Set the least level that the node logs", "/ops/log/level", "level"),
+		o.getCommand("ready", "Say whether the process is ready to serve; status 0 if it is", "/ops/readiness", nil),
+		o.getCommand("stats", "Print the figures", "/ops/stats", statsJSON),
+		o.getCommand("metrics", "Print the figures as Prometheus reads them", "/metrics", nil),
+		o.getCommand("members", "Print who of the fleet is there", "/ops/members", func(b []byte) (any, error) { return json.RawMessage(b), nil }),
+		newGroup("drain", "Send clients away, or take them again", "  harrierramp ops drain start",
+			o.putCommand("start", "Send clients away; what was taken on is delivered", "/ops/drain/start", ""),
+			o.putCommand("stop", "Take clients again", "/ops/drain/stop", "")),
+		newGroup("endpoint", "Take an endpoint out by hand, or put it back", "  harrierramp ops endpoint down s-1",
+			o.putCommand("down ID", "Send the endpoint nothing new", "/ops/endpoints/down", "id"),
+			o.putCommand("up ID", "Put the endpoint back", "/ops/endpoints/up", "id")),
+		o.putCommand("log-level LEVEL", "Set the least level that the node logs", "/ops/log/level", "level"),
 	)
-	c.PersistentFlags().StringVar(&o.door, "door", "", "address of the door (default $ROUTER_CONSOLE, else door of $ROUTER_CONFIG)")
+	c.PersistentFlags().StringVar(&o.addr, "door", "", "address of the door (default $ROUTER_CONSOLE, else door of $ROUTER_CONFIG)")
 	c.PersistentFlags().BoolVar(&o.asJSON, "json", false, "answer as JSON")
 	return c
 }
 
 // at is the door's address.
-func (o *doorOptions) at() (string, error) {
-	if o.door != "" {
-		return o.door, nil
+func (o *adminOptions) resolveAddr() (string, error) {
+	if o.addr != "" {
+		return o.addr, nil
 	}
 	if env := os.Getenv("ROUTER_CONSOLE"); env != "" {
 		return env, nil
@@ -62,25 +62,25 @@
 		if err != nil {
 			return "", err
 		}
-		if l.Console != "" {
-			return l.Console, nil
+		if l.AdminListen != "" {
+			return l.AdminListen, nil
 		}
 	}
 	return "", usageError{errors.New("which door? give --door ADDRESS, or set ROUTER_CONSOLE")}
 }
 
 // get is a command that prints what the door says. parse makes JSON of it where the door does not.
-func (o *doorOptions) get(use, short, path string, parse func([]byte) (any, error)) *cobra.Command {
+func (o *adminOptions) getCommand(use, short, path string, parse func([]byte) (any, error)) *cobra.Command {
 	return &cobra.Command{
-		Use: use, Short: short, Args: none, Example: "  harrierramp ops " + use + " --door 127.0.0.1:9090",
+		Use: use, Short: short, Args: noArgs, Example: "  harrierramp ops " + use + " --door 127.0.0.1:9090",
 		RunE: func(c *cobra.Command, _ []string) error {
-			body, err := o.call(c.Context(), http.MethodGet, path)
+			body, err := o.request(c.Context(), http.MethodGet, path)
 			if err != nil {
 				return err
 			}
 			if o.asJSON {
 				if parse == nil {
-					return o.yes(c, body)
+					return o.printOK(c, body)
 				}
 				v, err := parse(body)
 				if err != nil {
@@ -98,23 +98,23 @@
 }
 
 // put is a command that gives an order; param names its argument, empty for none.
-func (o *doorOptions) put(use, short, path, param string) *cobra.Command {
-	name, argument, _ := strings.Cut(use, " ")
-	c := &cobra.Command{Use: use, Short: short, Args: none, Example: "  harrierramp ops " + strings.ToLower(use) + " --door 127.0.0.1:9090"}
+func (o *adminOptions) putCommand(use, short, path, param string) *cobra.Command {
+	verb, argName, _ := strings.Cut(use, " ")
+	c := &cobra.Command{Use: use, Short: short, Args: noArgs, Example: "  harrierramp ops " + strings.ToLower(use) + " --door 127.0.0.1:9090"}
 	if param != "" {
-		c.Args = exactly(argument)
+		c.Args = exactArgs(argName)
 	}
 	c.RunE = func(c *cobra.Command, args []string) error {
-		at := path
+		target := path
 		if param != "" {
-			at += "?" + url.Values{param: args}.Encode()
+			target += "?" + url.Values{param: args}.Encode()
 		}
-		body, err := o.call(c.Context(), http.MethodPut, at)
+		body, err := o.request(c.Context(), http.MethodPut, target)
 		if err != nil {
-			return fmt.Errorf("%s: %w", name, err)
+			return fmt.Errorf("%s: %w", verb, err)
 		}
 		if o.asJSON {
-			return o.yes(c, body)
+			return o.printOK(c, body)
 		}
 		_, err = fmt.Fprintln(c.OutOrStdout(), "yes")
 		return err
@@ -122,33 +122,33 @@
 	return c
 }
 
-func (o *doorOptions) yes(c *cobra.Command, body []byte) error {
+func (o *adminOptions) printOK(c *cobra.Command, body []byte) error {
 	return json.NewEncoder(c.OutOrStdout()).Encode(map[string]any{"ok": true, "text": string(body)})
 }
 
 // call makes one call at the door.
-func (o *doorOptions) call(ctx context.Context, method, path string) ([]byte, error) {
-	door, err := o.at()
+func (o *adminOptions) request(ctx context.Context, method, path string) ([]byte, error) {
+	addr, err := o.resolveAddr()
 	if err != nil {
 		return nil, err
 	}
 	if ctx == nil {
 		ctx = context.Background()
 	}
-	ctx, cancel := context.WithTimeout(ctx, opsTimeout)
+	ctx, cancel := context.WithTimeout(ctx, adminTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+door+path, nil)
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, nil)
 	if err != nil {
-		return nil, fmt.Errorf("door %s: %w", door, err)
+		return nil, fmt.Errorf("door %s: %w", addr, err)
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return nil, fmt.Errorf("no answer from the door: %w", err)
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxOpsBody))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAdminBodyBytes))
 	if err != nil {
-		return nil, fmt.Errorf("door %s: %w", door, err)
+		return nil, fmt.Errorf("door %s: %w", addr, err)
 	}
 	if resp.StatusCode/100 != 2 {
 		return nil, fmt.Errorf("the node says no: %s (%d)", strings.TrimSpace(string(body)), resp.StatusCode)
@@ -158,14 +158,14 @@
 
 // statsJSON reads StatsD lines into names and values.
 func statsJSON(body []byte) (any, error) {
-	all := map[string]json.Number{}
+	values := map[string]json.Number{}
 	for line := range strings.Lines(string(body)) {
 		name, rest, ok := strings.Cut(strings.TrimSpace(line), ":")
 		value, _, _ := strings.Cut(rest, "|")
 		if !ok {
 			return nil, fmt.Errorf("a figure that can't be read: %q", line)
 		}
-		all[name] = json.Number(value)
+		values[name] = json.Number(value)
 	}
-	return all, nil
+	return values, nil
 }
--- a/internal/cli/registry.go
+++ b/internal/cli/registry.go
@@ -21,22 +21,22 @@
 )
 
 const (
-	registryGrace         = time.Second
-	registryConsolePlaces = 16
+	registryShutdownTimeout = time.Second
+	maxRegistryConsoleConns = 16
 )
 
 // registryOptions are what the command line says.
 type registryOptions struct {
 	level, format   string
 	listen, console string
-	places          int64
+	maxConns        int64
 	server          registry.Config
 }
 
 func newRegistry() *cobra.Command {
 	o := registryOptions{server: registry.Config{Options: registry.DefaultOptions()}}
 	c := &cobra.Command{
-		Use: "registry", Short: "Run a list service, with which instances register and which nodes follow", Args: none,
+		Use: "registry", Short: "Run a list service, with which instances register and which nodes follow", Args: noArgs,
 		Example: "  harrierramp registry --state /var/lib/registry --listen 127.0.0.1:8500 --console 127.0.0.1:8501 --bootstrap",
 		RunE: func(c *cobra.Command, _ []string) error {
 			if o.server.State == "" {
@@ -62,7 +62,7 @@
 	f.DurationVar(&o.server.Settle, "settle", 5*time.Second, "a list that is begun anew is told as not whole for so long")
 	f.Float64Var(&o.server.StartRate, "start-rate", turns.DefaultRate,
 		"whole lists a second for nodes that begin; the others are told when to come (0: no bound)")
-	f.Int64Var(&o.places, "connections", 8192, "connections at most")
+	f.Int64Var(&o.maxConns, "connections", 8192, "connections at most")
 	f.Int64Var(&o.server.MaxReports, "report-bytes", 16<<20, "bytes of notices that are kept")
 	f.IntVar(&o.server.Options.MaxInstances, "instances", o.server.Options.MaxInstances, "instances at most")
 	f.DurationVar(&o.server.Options.Grace, "grace", o.server.Options.Grace, "what leases get on top after a start or a promotion")
@@ -91,36 +91,36 @@
 		return err
 	}
 	var serving sync.WaitGroup
-	var fronts []*http.Server
-	open := func(addr string, h http.Handler, places int64) error {
+	var servers []*http.Server
+	open := func(addr string, h http.Handler, maxConns int64) error {
 		ln, err := net.Listen("tcp", addr)
 		if err != nil {
 			return err
 		}
-		front := s.HTTPServer(h, places, log)
-		fronts = append(fronts, front)
+		server := s.HTTPServer(h, maxConns, log)
+		servers = append(servers, server)
 		log.Info("serving", "addr", ln.Addr())
 		serving.Go(func() {
-			if err := front.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
+			if err := server.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
 				log.Error("front_shut", "addr", ln.Addr(), "err", err)
 				stop()
 			}
 		})
 		return nil
 	}
-	err = open(o.listen, s.Handler(), o.places)
+	err = open(o.listen, s.Handler(), o.maxConns)
 	if err == nil && o.console != "" {
-		err = open(o.console, s.Console(), registryConsolePlaces)
+		err = open(o.console, s.Console(), maxRegistryConsoleConns)
 	}
 	if err != nil {
 		stop() // what is open closes again
 	}
 	err = errors.Join(err, s.Run(ctx))
-	bye, cancel := context.WithTimeout(context.Background(), registryGrace)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), registryShutdownTimeout)
 	defer cancel()
-	for _, front := range fronts {
-		if front.Shutdown(bye) != nil {
-			err = errors.Join(err, front.Close())
+	for _, server := range servers {
+		if server.Shutdown(shutdownCtx) != nil {
+			err = errors.Join(err, server.Close())
 		}
 	}
 	serving.Wait()
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -19,24 +19,24 @@
 
 // Config is what a node is told. The json tags are the platform's names, the toml tags those for people.
 type Config struct {
-	Name       string          `json:"name" toml:"name" default:"node" need:"yes" doc:"the node's name, the same after a restart"`
-	Listen     string          `json:"listen" toml:"listen" default:"127.0.0.1:6379" need:"yes" check:"address" doc:"where clients connect (RESP2)"`
-	State      string          `json:"-" toml:"state" need:"yes" doc:"the folder that outlasts the process; it must exist"`
-	Console    string          `json:"console" toml:"door" check:"address" doc:"the operators' door; none if empty"`
-	Discovery  string          `json:"discovery" toml:"discovery" check:"address" reload:"yes" doc:"the platform's list of endpoints, where notices go as well"`
-	Source     string          `json:"source" toml:"source" doc:"the IP address that the node's own connections come from; the system's choice if empty"`
-	Seed       string          `json:"seed" toml:"seed" doc:"for random numbers, hexadecimal; drawn at each start if empty"`
-	PeerListen string          `json:"peer_listen" toml:"peer_listen" check:"address" doc:"where datagrams of other nodes come"`
-	Peers      []string        `json:"peers" toml:"peers" check:"address" doc:"all nodes by their numbers, this one too"`
-	Limits     Limits          `json:"limits" toml:"limits"`
-	Log        Log             `json:"log" toml:"log"`
-	Registry   *ListService    `json:"registry" toml:"registry" doc:"the project's own list service, in place of discovery"`
-	Membership *Membership     `json:"membership" toml:"membership" doc:"nodes tell each other who is there"`
-	Audit      *Audit          `json:"audit" toml:"audit" doc:"nodes tell the list service what they act on"`
-	Deployment wire.Conf       `json:"settings" toml:"delivery"`
-	Known      listwatch.List  `json:"known" toml:"-"` // the list as the node last held it
-	Settings   choice.Settings `json:"-" toml:"-"`     // Deployment, for the module
-	Names      wire.Names      `json:"-" toml:"-"`     // of Deployment
+	Name        string          `json:"name" toml:"name" default:"node" need:"yes" doc:"the node's name, the same after a restart"`
+	Listen      string          `json:"listen" toml:"listen" default:"127.0.0.1:6379" need:"yes" check:"address" doc:"where clients connect (RESP2)"`
+	StateDir    string          `json:"-" toml:"state" need:"yes" doc:"the folder that outlasts the process; it must exist"`
+	AdminListen string          `json:"console" toml:"door" check:"address" doc:"the operators' door; none if empty"`
+	Discovery   string          `json:"discovery" toml:"discovery" check:"address" reload:"yes" doc:"the platform's list of endpoints, where notices go as well"`
+	SourceIP    string          `json:"source" toml:"source" doc:"the IP address that the node's own connections come from; the system's choice if empty"`
+	Seed        string          `json:"seed" toml:"seed" doc:"for random numbers, hexadecimal; drawn at each start if empty"`
+	PeerListen  string          `json:"peer_listen" toml:"peer_listen" check:"address" doc:"where datagrams of other nodes come"`
+	Peers       []string        `json:"peers" toml:"peers" check:"address" doc:"all nodes by their numbers, this one too"`
+	Limits      Limits          `json:"limits" toml:"limits"`
+	Log         Log             `json:"log" toml:"log"`
+	Registry    *ListService    `json:"registry" toml:"registry" doc:"the project's own list service, in place of discovery"`
+	Membership  *Membership     `json:"membership" toml:"membership" doc:"nodes tell each other who is there"`
+	Audit       *Audit          `json:"audit" toml:"audit" doc:"nodes tell the list service what they act on"`
+	Delivery    wire.Conf       `json:"settings" toml:"delivery"`
+	KnownList   listwatch.List  `json:"known" toml:"-"` // the list as the node last held it
+	Settings    choice.Settings `json:"-" toml:"-"`     // Deployment, for the module
+	Names       wire.Names      `json:"-" toml:"-"`     // of Deployment
 }
 
 // Limits are what the process may use. Zero means not given.
@@ -56,12 +56,12 @@
 // ListService is the section for the project's own list service. Its servers tell the same list, with revisions that
 // only rise, whichever of them is asked.
 type ListService struct {
-	Addresses []string     `json:"addresses" toml:"addresses" check:"address" reload:"yes" doc:"of all its servers, in any order"`
-	Keep      bool         `json:"keep" toml:"keep" doc:"keep the last good list in the lasting folder"`
-	Beat      units.Millis `json:"beat_ms" toml:"beat" min:"0s" max:"2s" doc:"list servers are asked to say something so often, and doubted after three times that in silence; 0s for as they like"`
+	Addresses         []string     `json:"addresses" toml:"addresses" check:"address" reload:"yes" doc:"of all its servers, in any order"`
+	KeepList          bool         `json:"keep" toml:"keep" doc:"keep the last good list in the lasting folder"`
+	HeartbeatInterval units.Millis `json:"beat_ms" toml:"beat" min:"0s" max:"2s" doc:"list servers are asked to say something so often, and doubted after three times that in silence; 0s for as they like"`
 	// What a start does with a kept list.
-	KeptAfter units.Millis `json:"kept_after_ms" toml:"kept_after" min:"0s" max:"1h" doc:"a start waits so long for a server's list before it serves on the kept one"`
-	KeptMost  units.Millis `json:"kept_most_ms" toml:"kept_most" min:"0s" max:"8760h" doc:"a kept list that is older is not served on; 0s for any age"`
+	KeptListWait   units.Millis `json:"kept_after_ms" toml:"kept_after" min:"0s" max:"1h" doc:"a start waits so long for a server's list before it serves on the kept one"`
+	KeptListMaxAge units.Millis `json:"kept_most_ms" toml:"kept_most" min:"0s" max:"8760h" doc:"a kept list that is older is not served on; 0s for any age"`
 }
 
 // Membership is the section by which nodes tell each other who is there.
@@ -72,51 +72,51 @@
 
 // Audit is the section by which a node tells the list service what it acts on. It needs the section registry.
 type Audit struct {
-	Mark    bool `json:"mark" toml:"mark" doc:"calls say which list they rest on, in a header"`
-	ShutOut bool `json:"shut_out" toml:"shut_out" doc:"nodes tell each other by datagrams which list they act on, and one that can't follow stops calling"`
-	Record  MiB  `json:"record_mb" toml:"record" max:"64MiB" doc:"the record of acts takes so much of limits.disk at most; none if it is not given"`
+	MarkCalls  bool `json:"mark" toml:"mark" doc:"calls say which list they rest on, in a header"`
+	Fencing    bool `json:"shut_out" toml:"shut_out" doc:"nodes tell each other by datagrams which list they act on, and one that can't follow stops calling"`
+	RecordSize MiB  `json:"record_mb" toml:"record" max:"64MiB" doc:"the record of acts takes so much of limits.disk at most; none if it is not given"`
 }
 
 func (a *Audit) check(c *Config) error {
 	if a != nil && c.Registry == nil {
 		return errors.New("audit needs the section registry")
 	}
-	if a != nil && a.Record > c.Limits.Disk/2 {
-		return fmt.Errorf("audit.record is %v MiB: half of limits.disk at most", float64(a.Record))
+	if a != nil && a.RecordSize > c.Limits.Disk/2 {
+		return fmt.Errorf("audit.record is %v MiB: half of limits.disk at most", float64(a.RecordSize))
 	}
 	return nil
 }
 
 const (
 	maxListServers     = 16
-	defaultPing        = 500 * time.Millisecond
+	defaultPingPeriod  = 500 * time.Millisecond
 	defaultPingTimeout = 150 * time.Millisecond
-	leastPing          = 50 * time.Millisecond
-	mostPing           = time.Minute
-	leastSockets       = 64
-	leastMemory        = MiB(16)
+	minPingPeriod      = 50 * time.Millisecond
+	maxPingPeriod      = time.Minute
+	minSockets         = 64
+	minMemory          = MiB(16)
 )
 
 // finish derives what the rest of the program reads, and checks what hangs together.
 func (c *Config) finish() error {
 	var err error
-	if c.Settings, err = c.Deployment.Settings(); err != nil {
+	if c.Settings, err = c.Delivery.Settings(); err != nil {
 		return err
 	}
-	c.Names = c.Deployment.Names()
+	c.Names = c.Delivery.Names()
 	return errors.Join(c.checkSource(), c.Limits.check(), c.Registry.check(), c.Membership.check(c), c.Audit.check(c))
 }
 
 func (c *Config) checkSource() error {
-	if c.Source != "" && net.ParseIP(c.Source) == nil {
-		return fmt.Errorf("source is %q: an IP address without a port", c.Source)
+	if c.SourceIP != "" && net.ParseIP(c.SourceIP) == nil {
+		return fmt.Errorf("source is %q: an IP address without a port", c.SourceIP)
 	}
 	return nil
 }
 
 // From is where the node's own connections come from; nil for the system's choice.
-func (c *Config) From() net.Addr {
-	if ip := net.ParseIP(c.Source); ip != nil {
+func (c *Config) SourceAddr() net.Addr {
+	if ip := net.ParseIP(c.SourceIP); ip != nil {
 		return &net.TCPAddr{IP: ip}
 	}
 	return nil
@@ -124,17 +124,17 @@
 
 // check tells what is too small to run with. Zero is no limit.
 func (l Limits) check() error {
-	if l.Sockets > 0 && l.Sockets < leastSockets {
-		return fmt.Errorf("limits.sockets is %d: a node needs %d", l.Sockets, leastSockets)
+	if l.Sockets > 0 && l.Sockets < minSockets {
+		return fmt.Errorf("limits.sockets is %d: a node needs %d", l.Sockets, minSockets)
 	}
-	if l.Memory > 0 && l.Memory < leastMemory {
-		return fmt.Errorf("limits.memory is %v MiB: a node needs %v", float64(l.Memory), float64(leastMemory))
+	if l.Memory > 0 && l.Memory < minMemory {
+		return fmt.Errorf("limits.memory is %v MiB: a node needs %v", float64(l.Memory), float64(minMemory))
 	}
 	return nil
 }
 
 // DiscoveryAt is where the list is to be had and notices are taken.
-func (c *Config) DiscoveryAt() []string {
+func (c *Config) DiscoveryAddrs() []string {
 	if c.Registry != nil {
 		return c.Registry.Addresses
 	}
@@ -177,8 +177,8 @@
 		}
 		seen[id] = addr
 	}
-	if p := m.PingPeriod(); p < leastPing || p > mostPing {
-		return fmt.Errorf("membership.period_ms is %v: from %d to %d", m.Period, leastPing.Milliseconds(), mostPing.Milliseconds())
+	if p := m.PingPeriod(); p < minPingPeriod || p > maxPingPeriod {
+		return fmt.Errorf("membership.period_ms is %v: from %d to %d", m.Period, minPingPeriod.Milliseconds(), maxPingPeriod.Milliseconds())
 	}
 	if t := m.PingTimeout(); t <= 0 || t > m.PingPeriod()/2 {
 		return fmt.Errorf("membership.timeout_ms is %v: over 0, at most half of the period", m.Timeout)
@@ -189,7 +189,7 @@
 // PingPeriod is the pause between pings.
 func (m *Membership) PingPeriod() time.Duration {
 	if m.Period == 0 {
-		return defaultPing
+		return defaultPingPeriod
 	}
 	return m.Period.Duration()
 }
--- a/internal/config/field.go
+++ b/internal/config/field.go
@@ -13,11 +13,11 @@
 // field is one value that can be configured. Those inside lists of tables have no default and no place in the
 // environment; their path has [] where the number stands.
 type field struct {
-	path     string
-	typ      reflect.Type
-	tag      reflect.StructTag
-	optional string // the optional section that it lies in, or empty
-	listed   bool   // in a list of tables
+	path            string
+	typ             reflect.Type
+	tag             reflect.StructTag
+	optionalSection string // the optional section that it lies in, or empty
+	inList          bool   // in a list of tables
 }
 
 var textType = reflect.TypeFor[encoding.TextUnmarshaler]()
@@ -42,7 +42,7 @@
 		case typ.Kind() == reflect.Slice && isTable(typ.Elem()):
 			out = append(out, fieldsOf(typ.Elem(), path+"[].", opt, true)...)
 		default:
-			out = append(out, field{path: path, typ: typ, tag: f.Tag, optional: opt, listed: listed})
+			out = append(out, field{path: path, typ: typ, tag: f.Tag, optionalSection: opt, inList: listed})
 		}
 	}
 	return out
@@ -107,7 +107,7 @@
 
 // check tells what is wrong with a value that was given; set tells that it was.
 func (f field) check(v reflect.Value, set bool) []string {
-	var bad []string
+	var violations []string
 	if f.tag.Get("need") != "" && v.IsZero() {
 		return []string{"is needed"}
 	}
@@ -121,24 +121,24 @@
 				panic(fmt.Sprintf("the tag of %s: %v", f.path, err)) // seen by any test that reads a configuration
 			}
 			if side == "min" && less(v, reflect.ValueOf(limit)) || side == "max" && less(reflect.ValueOf(limit), v) {
-				bad = append(bad, fmt.Sprintf("is %s: from %s to %s", show(v), f.tag.Get("min"), f.tag.Get("max")))
+				violations = append(violations, fmt.Sprintf("is %s: from %s to %s", formatTOML(v), f.tag.Get("min"), f.tag.Get("max")))
 			}
 		}
 	}
 	if one := f.tag.Get("one"); one != "" && !slices.Contains(strings.Fields(one), v.String()) {
-		bad = append(bad, fmt.Sprintf("is %q: one of %s%s", v.String(), strings.Join(strings.Fields(one), ", "), nearest(v.String(), strings.Fields(one))))
+		violations = append(violations, fmt.Sprintf("is %q: one of %s%s", v.String(), strings.Join(strings.Fields(one), ", "), suggest(v.String(), strings.Fields(one))))
 	}
 	if f.tag.Get("check") == "address" {
-		for _, addr := range texts(v) {
+		for _, addr := range stringValues(v) {
 			if host, port, err := net.SplitHostPort(addr); err != nil || port == "" || host == "" {
-				bad = append(bad, fmt.Sprintf("is %q: an address with a port is needed, as \"127.0.0.1:6379\"", addr))
+				violations = append(violations, fmt.Sprintf("is %q: an address with a port is needed, as \"127.0.0.1:6379\"", addr))
 			}
 		}
 	}
-	return bad
+	return violations
 }
 
-func texts(v reflect.Value) []string {
+func stringValues(v reflect.Value) []string {
 	if v.Kind() == reflect.String {
 		return []string{v.String()}
 	}
@@ -153,7 +153,7 @@
 }
 
 // show is a value as it stands in a TOML file.
-func show(v reflect.Value) string {
+func formatTOML(v reflect.Value) string {
 	if m, ok := v.Interface().(encoding.TextMarshaler); ok {
 		if text, err := m.MarshalText(); err == nil {
 			return strconv.Quote(string(text))
@@ -165,7 +165,7 @@
 	case reflect.Slice:
 		parts := make([]string, v.Len())
 		for i := range parts {
-			parts[i] = show(v.Index(i))
+			parts[i] = formatTOML(v.Index(i))
 		}
 		return "[" + strings.Join(parts, ", ") + "]"
 	}
--- a/internal/config/lines.go
+++ b/internal/config/keylines.go
@@ -27,10 +27,10 @@
 		path := strings.Join(parts, ".")
 		switch e.Kind {
 		case unstable.Table:
-			table = numbered(path, counts)
+			table = withTableIndexes(path, counts)
 			lines[table] = line
 		case unstable.ArrayTable:
-			at := numbered(path, counts)
+			at := withTableIndexes(path, counts)
 			table = fmt.Sprintf("%s[%d]", at, counts[at])
 			counts[at]++
 			lines[table] = line
@@ -45,7 +45,7 @@
 }
 
 // numbered puts the number of the last table into each part of a path that is a list of tables.
-func numbered(path string, counts map[string]int) string {
+func withTableIndexes(path string, counts map[string]int) string {
 	out := ""
 	parts := strings.Split(path, ".")
 	for i, part := range parts {
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -20,16 +20,16 @@
 )
 
 // maxFile bounds a configuration file; the platform's hold the list of endpoints as well.
-const maxFile = 16 << 20
+const maxFileBytes = 16 << 20
 
 // EnvPrefix begins the names of variables that set one value each: HARRIERRAMP_LIMITS_SOCKETS for limits.sockets.
 const EnvPrefix = "HARRIERRAMP_"
 
 // Sources are where a configuration comes from; the later ones win over the file.
 type Sources struct {
-	File string              // TOML, or JSON as the platform writes it; empty for none
-	Env  func(string) string // as os.Getenv
-	Sets []string            // from the command line, "limits.sockets=512"
+	File      string              // TOML, or JSON as the platform writes it; empty for none
+	Env       func(string) string // as os.Getenv
+	Overrides []string            // from the command line, "limits.sockets=512"
 }
 
 // Loaded is a configuration and where each of its values came from.
@@ -42,7 +42,7 @@
 // Load reads a configuration. Its error is Faults where the text can be read, and names them all.
 func Load(s Sources) (*Loaded, error) {
 	l := &Loaded{Origin: map[string]string{}, Strict: true}
-	var faults Faults
+	var problems Problems
 	var lines map[string]int
 	if s.File != "" {
 		raw, err := readFile(s.File)
@@ -50,7 +50,7 @@
 			return nil, err
 		}
 		if l.Strict = !looksLikeJSON(raw); l.Strict {
-			lines, faults, err = l.readTOML(s.File, raw)
+			lines, problems, err = l.readTOML(s.File, raw)
 		} else if err = json.Unmarshal(raw, &l.Config); err != nil {
 			err = fmt.Errorf("configuration %s: %w", s.File, err)
 		}
@@ -58,19 +58,19 @@
 			return nil, err
 		}
 	} else {
-		l.defaults(nil)
+		l.applyDefaults(nil)
 	}
-	faults = append(faults, l.overlay(s)...)
-	broken := map[string]bool{} // a value that could not be read has its fault already
-	for _, f := range faults {
-		broken[f.Key] = true
+	problems = append(problems, l.applyOverrides(s)...)
+	unreadable := map[string]bool{} // a value that could not be read has its fault already
+	for _, f := range problems {
+		unreadable[f.Key] = true
 	}
 	if l.Strict {
-		faults = append(faults, l.checked(s.File, lines, broken)...)
+		problems = append(problems, l.validate(s.File, lines, unreadable)...)
 	}
-	if len(faults) > 0 {
-		slices.SortStableFunc(faults, func(a, b Fault) int { return cmp.Compare(a.Line, b.Line) })
-		return nil, faults
+	if len(problems) > 0 {
+		slices.SortStableFunc(problems, func(a, b Problem) int { return cmp.Compare(a.Line, b.Line) })
+		return nil, problems
 	}
 	if err := l.finish(); err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", s.File, err)
@@ -86,8 +86,8 @@
 	if info.IsDir() {
 		return nil, fmt.Errorf("configuration %s: it is a folder; name the file in it", path)
 	}
-	if info.Size() > maxFile {
-		return nil, fmt.Errorf("configuration %s: %d bytes, and at most %d are read", path, info.Size(), maxFile)
+	if info.Size() > maxFileBytes {
+		return nil, fmt.Errorf("configuration %s: %d bytes, and at most %d are read", path, info.Size(), maxFileBytes)
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -102,75 +102,75 @@
 func looksLikeJSON(raw []byte) bool { return bytes.HasPrefix(bytes.TrimSpace(raw), []byte("{")) }
 
 // readTOML reads what people write: over the defaults, with every unknown key and unreadable value a fault.
-func (l *Loaded) readTOML(file string, raw []byte) (lines map[string]int, faults Faults, err error) {
+func (l *Loaded) readTOML(file string, raw []byte) (lines map[string]int, problems Problems, err error) {
 	var tree map[string]any
 	if err := toml.Unmarshal(raw, &tree); err != nil {
-		f := Fault{File: file, Text: err.Error()}
+		f := Problem{File: file, Text: err.Error()}
 		if bad, ok := errors.AsType[*toml.DecodeError](err); ok {
 			f.Line, _ = bad.Position()
 			f.Key = strings.Join(bad.Key(), ".")
 		}
-		return nil, nil, Faults{f}
+		return nil, nil, Problems{f}
 	}
 	lines = keyLines(raw)
-	l.defaults(tree)
+	l.applyDefaults(tree)
 	d, err := mapstructure.NewDecoder(&mapstructure.DecoderConfig{
 		Result: &l.Config, TagName: "toml",
 		MatchName:  func(key, field string) bool { return key == field },
-		DecodeHook: mapstructure.ComposeDecodeHookFunc(strictly, mapstructure.TextUnmarshallerHookFunc()),
+		DecodeHook: mapstructure.ComposeDecodeHookFunc(rejectLossyConversions, mapstructure.TextUnmarshallerHookFunc()),
 	})
 	if err != nil {
 		return nil, nil, err
 	}
 	if err := d.Decode(tree); err != nil {
-		for _, e := range leaves(err) {
-			f := Fault{File: file, Text: e.Error()}
+		for _, e := range flattenErrors(err) {
+			f := Problem{File: file, Text: e.Error()}
 			if bad, ok := errors.AsType[*mapstructure.DecodeError](e); ok {
 				f.Key, f.Text = bad.Name(), bad.Unwrap().Error()
 			}
 			f.Line = lines[f.Key]
-			faults = append(faults, f)
+			problems = append(problems, f)
 		}
 	}
-	faults = append(faults, unknown(file, lines)...)
+	problems = append(problems, unknownKeys(file, lines)...)
 	for path, line := range lines {
 		l.Origin[path] = fmt.Sprintf("%s:%d", file, line)
 	}
-	return lines, faults, nil
+	return lines, problems, nil
 }
 
 // leaves are the errors that others join.
-func leaves(err error) (out []error) {
+func flattenErrors(err error) (out []error) {
 	if _, ok := err.(*mapstructure.DecodeError); ok {
 		return []error{err}
 	}
 	switch e := err.(type) {
 	case interface{ Unwrap() []error }:
 		for _, one := range e.Unwrap() {
-			out = append(out, leaves(one)...)
+			out = append(out, flattenErrors(one)...)
 		}
 		return out
 	case interface{ Unwrap() error }:
 		if inner := e.Unwrap(); inner != nil {
-			return leaves(inner)
+			return flattenErrors(inner)
 		}
 	}
 	return []error{err}
 }
 
 // strictly refuses what would be read as something else than what stands there.
-func strictly(from, to reflect.Type, v any) (any, error) {
+func rejectLossyConversions(from, to reflect.Type, value any) (any, error) {
 	switch {
 	case (to == reflect.TypeFor[units.Millis]() || to == reflect.TypeFor[MiB]()) && from.Kind() != reflect.String && from != to:
-		return nil, fmt.Errorf("%v has no unit, as in \"150ms\" or \"64MiB\"", v)
+		return nil, fmt.Errorf("%v has no unit, as in \"150ms\" or \"64MiB\"", value)
 	case to.Kind() == reflect.Int && from.Kind() == reflect.Float64:
-		return nil, fmt.Errorf("%v is no whole number", v)
+		return nil, fmt.Errorf("%v is no whole number", value)
 	}
-	return v, nil
+	return value, nil
 }
 
 // unknown are the keys that no field has. Of a table that is not known only its head is told.
-func unknown(file string, lines map[string]int) (faults Faults) {
+func unknownKeys(file string, lines map[string]int) (problems Problems) {
 	all := fields()
 	known := map[string]bool{}
 	for _, f := range all {
@@ -179,19 +179,19 @@
 		}
 	}
 	for _, path := range slices.Sorted(maps.Keys(lines)) {
-		plain := listIndex.ReplaceAllString(path, "[]")
-		if known[plain] || slices.ContainsFunc(faults, func(f Fault) bool { return strings.HasPrefix(path, f.Key+".") }) {
+		pattern := listIndex.ReplaceAllString(path, "[]")
+		if known[pattern] || slices.ContainsFunc(problems, func(f Problem) bool { return strings.HasPrefix(path, f.Key+".") }) {
 			continue
 		}
-		faults = append(faults, Fault{File: file, Line: lines[path], Key: path, Text: "is not known" + nearest(path, siblings(all, path))})
+		problems = append(problems, Problem{File: file, Line: lines[path], Key: path, Text: "is not known" + suggest(path, candidateKeys(all, path))})
 	}
-	return faults
+	return problems
 }
 
 var listIndex = regexp.MustCompile(`\[\d+\]`)
 
 // siblings are the paths among which a wrong one was most likely meant, with its own numbers in them.
-func siblings(known []field, key string) (out []string) {
+func candidateKeys(known []field, key string) (out []string) {
 	depth := strings.Count(key, ".")
 	numbers := listIndex.FindAllString(key, -1)
 	for _, f := range known {
@@ -207,13 +207,13 @@
 }
 
 // defaults sets what is not given: in the sections that are always there, and in the optional ones of the tree.
-func (l *Loaded) defaults(tree map[string]any) {
+func (l *Loaded) applyDefaults(tree map[string]any) {
 	for _, f := range fields() {
 		text := f.tag.Get("default")
-		if _, there := tree[f.optional]; text == "" || f.listed || f.optional != "" && !there {
+		if _, present := tree[f.optionalSection]; text == "" || f.inList || f.optionalSection != "" && !present {
 			continue
 		}
-		if err := l.set(f, text); err != nil {
+		if err := l.setValue(f, text); err != nil {
 			panic(fmt.Sprintf("the default of %s: %v", f.path, err)) // seen by any test that reads a configuration
 		}
 		l.Origin[f.path] = "default"
@@ -221,7 +221,7 @@
 }
 
 // set gives a field a value as text; an optional section comes into being by it.
-func (l *Loaded) set(f field, text string) error {
+func (l *Loaded) setValue(f field, text string) error {
 	v := reflect.ValueOf(&l.Config).Elem()
 	for part := range strings.SplitSeq(f.path, ".") {
 		if v.Kind() == reflect.Pointer {
@@ -230,12 +230,12 @@
 			}
 			v = v.Elem()
 		}
-		v = byTag(v, part)
+		v = fieldByTOMLName(v, part)
 	}
 	return parseInto(v, text)
 }
 
-func byTag(v reflect.Value, name string) reflect.Value {
+func fieldByTOMLName(v reflect.Value, name string) reflect.Value {
 	for i := range v.NumField() {
 		if v.Type().Field(i).Tag.Get("toml") == name {
 			return v.Field(i)
@@ -245,18 +245,18 @@
 }
 
 // overlay puts the environment and the command line over the file.
-func (l *Loaded) overlay(s Sources) (faults Faults) {
+func (l *Loaded) applyOverrides(s Sources) (problems Problems) {
 	known := map[string]field{}
 	var paths []string
-	give := func(f field, text, origin string) {
-		if err := l.set(f, text); err != nil {
-			faults = append(faults, Fault{Key: f.path, Text: fmt.Sprintf("%v (%s)", err, origin)})
+	apply := func(f field, text, origin string) {
+		if err := l.setValue(f, text); err != nil {
+			problems = append(problems, Problem{Key: f.path, Text: fmt.Sprintf("%v (%s)", err, origin)})
 			return
 		}
 		l.Origin[f.path] = origin
 	}
 	for _, f := range fields() {
-		if f.listed {
+		if f.inList {
 			continue
 		}
 		known[f.path] = f
@@ -273,62 +273,62 @@
 				break
 			}
 			if text := s.Env(name); text != "" {
-				give(f, text, "environment "+name)
+				apply(f, text, "environment "+name)
 				break
 			}
 		}
 	}
-	for _, one := range s.Sets {
+	for _, one := range s.Overrides {
 		path, text, ok := strings.Cut(one, "=")
-		f, there := known[path]
+		f, exists := known[path]
 		switch {
 		case !ok:
-			faults = append(faults, Fault{Key: one, Text: "is not of the form key=value (command line)"})
-		case !there:
-			faults = append(faults, Fault{Key: path, Text: "is not known (command line)" + nearest(path, paths)})
+			problems = append(problems, Problem{Key: one, Text: "is not of the form key=value (command line)"})
+		case !exists:
+			problems = append(problems, Problem{Key: path, Text: "is not known (command line)" + suggest(path, paths)})
 		default:
-			give(f, text, "command line")
+			apply(f, text, "command line")
 		}
 	}
-	return faults
+	return problems
 }
 
 // checked holds every value against what its tags say.
-func (l *Loaded) checked(file string, lines map[string]int, broken map[string]bool) (faults Faults) {
-	_ = l.each(func(path string, v reflect.Value, tag reflect.StructTag) error { // visit has no error
-		if broken[path] {
+func (l *Loaded) validate(file string, lines map[string]int, unreadable map[string]bool) (problems Problems) {
+	_ = l.visitValues(func(path string, v reflect.Value, tag reflect.StructTag) error { // visit has no error
+		if unreadable[path] {
 			return nil
 		}
 		for _, text := range (field{path: path, typ: v.Type(), tag: tag}).check(v, l.Origin[path] != "") {
-			one := Fault{File: file, Line: lines[path], Key: path, Text: text}
+			problem := Problem{File: file, Line: lines[path], Key: path, Text: text}
 			if from := l.Origin[path]; from != "" && !strings.HasPrefix(from, file+":") {
-				one = Fault{Key: path, Text: text + " (" + from + ")"}
-			} else if one.Line == 0 { // a table's line, where the value is missing
-				one.Line = lines[path[:max(strings.LastIndexByte(path, '.'), 0)]]
+				problem = Problem{Key: path, Text: text + " (" + from + ")"}
+			} else if problem.Line == 0 { // a table's line, where the value is missing
+				problem.Line = lines[path[:max(strings.LastIndexByte(path, '.'), 0)]]
 			}
-			faults = append(faults, one)
+			problems = append(problems, problem)
 		}
 		return nil
 	})
-	d := l.Deployment
-	whole := func(key, text string) {
-		faults = append(faults, Fault{File: file, Line: lines[key], Key: key, Text: text})
+	d := l.Delivery
+	addProblem := func(key, text string) {
+		problems = append(problems, Problem{File: file, Line: lines[key], Key: key, Text: text})
 	}
 	if len(d.Classes) == 0 {
-		whole("delivery.class", "there is none; a node needs one class of messages at least")
+		addProblem("delivery.class", "there is none; a node needs one class of messages at least")
 	}
 	names := map[string]bool{}
 	for i, c := range d.Classes {
 		if names[c.Name] {
-			whole(fmt.Sprintf("delivery.class[%d].name", i), fmt.Sprintf("is %q, which another class has", c.Name))
+			addProblem(fmt.Sprintf("delivery.class[%d].name", i), fmt.Sprintf("is %q, which another class has", c.Name))
 		}
 		names[c.Name] = true
-		if c.Deadline < c.Aim && !broken[fmt.Sprintf("delivery.class[%d].deadline", i)] {
-			whole(fmt.Sprintf("delivery.class[%d].deadline", i), "comes before the aim")
+		if c.Deadline < c.Aim && !unreadable[fmt.Sprintf("delivery.class[%d].deadline", i)] {
+			addProblem(fmt.Sprintf("delivery.class[%d].deadline", i), "comes before the aim")
 		}
 	}
 	if l.Registry == nil && l.Discovery == "" {
-		whole("discovery", "is needed, or a section registry")
+		addProblem("discovery", "is needed, or a section registry")
 	}
-	return faults
+	return problems
 }
--- a/internal/config/print.go
+++ b/internal/config/print.go
@@ -21,46 +21,46 @@
 		"delivery.tenant[].name": `"acme"`, "delivery.tenant[].per_second": "100.0",
 		"delivery.zones": `["a", "b"]`, "delivery.kinds": `["office"]`,
 	}
-	b := &strings.Builder{}
-	b.WriteString("# A node of harrierramp. 'harrierramp config check FILE' tells what is wrong with one.\n")
-	table, off := "", ""
+	out := &strings.Builder{}
+	out.WriteString("# A node of harrierramp. 'harrierramp config check FILE' tells what is wrong with one.\n")
+	table, commentPrefix := "", ""
 	for _, f := range fields() {
-		at, name := "", f.path
+		tablePath, name := "", f.path
 		if i := strings.LastIndexByte(f.path, '.'); i >= 0 {
-			at, name = f.path[:i], f.path[i+1:]
+			tablePath, name = f.path[:i], f.path[i+1:]
 		}
-		if at != table {
-			if off = ""; f.optional != "" {
-				off = "# "
+		if tablePath != table {
+			if commentPrefix = ""; f.optionalSection != "" {
+				commentPrefix = "# "
 			}
-			head := "[" + at + "]"
-			if list, ok := strings.CutSuffix(at, "[]"); ok {
+			head := "[" + tablePath + "]"
+			if list, ok := strings.CutSuffix(tablePath, "[]"); ok {
 				head = "[[" + list + "]]"
 			}
-			fmt.Fprintf(b, "\n%s%s\n", off, head)
-			table = at
+			fmt.Fprintf(out, "\n%s%s\n", commentPrefix, head)
+			table = tablePath
 		}
-		fmt.Fprintf(b, "# %s%s\n", f.tag.Get("doc"), f.bounds())
+		fmt.Fprintf(out, "# %s%s\n", f.tag.Get("doc"), f.describeBounds())
 		value, ok := sample[f.path]
-		lead := off
+		linePrefix := commentPrefix
 		if !ok {
-			lead = "# "
+			linePrefix = "# "
 			v := reflect.New(f.typ).Elem()
 			if d := f.tag.Get("default"); d != "" {
 				if err := parseInto(v, d); err != nil {
 					return err
 				}
 			}
-			value = show(v)
+			value = formatTOML(v)
 		}
-		fmt.Fprintf(b, "%s%s = %s\n", lead, name, value)
+		fmt.Fprintf(out, "%s%s = %s\n", linePrefix, name, value)
 	}
-	_, err := io.WriteString(w, b.String())
+	_, err := io.WriteString(w, out.String())
 	return err
 }
 
 // bounds are what the tags say of the field's values.
-func (f field) bounds() string {
+func (f field) describeBounds() string {
 	switch {
 	case f.tag.Get("min") != "":
 		return fmt.Sprintf(" (%s to %s)", f.tag.Get("min"), f.tag.Get("max"))
@@ -73,7 +73,7 @@
 // Show writes the configuration that holds, a line a value, with its origin if that is asked for. The seed, from which
 // a node's random numbers could be foretold, is left out.
 func (l *Loaded) Show(w io.Writer, origin bool) error {
-	return l.each(func(path string, v reflect.Value, _ reflect.StructTag) error {
+	return l.visitValues(func(path string, v reflect.Value, _ reflect.StructTag) error {
 		if path == "seed" {
 			return nil
 		}
@@ -84,38 +84,38 @@
 			}
 			from = "  # " + from
 		}
-		_, err := fmt.Fprintf(w, "%s = %s%s\n", path, show(v), from)
+		_, err := fmt.Fprintf(w, "%s = %s%s\n", path, formatTOML(v), from)
 		return err
 	})
 }
 
 // each visits every value that has a place; those of absent sections have none.
-func (l *Loaded) each(visit func(path string, v reflect.Value, tag reflect.StructTag) error) error {
+func (l *Loaded) visitValues(visit func(path string, v reflect.Value, tag reflect.StructTag) error) error {
 	var walk func(v reflect.Value, prefix string) error
 	walk = func(v reflect.Value, prefix string) error {
 		for i := range v.NumField() {
-			t := v.Type().Field(i)
-			name := t.Tag.Get("toml")
+			structField := v.Type().Field(i)
+			name := structField.Tag.Get("toml")
 			if name == "-" || name == "" {
 				continue
 			}
-			at, path := v.Field(i), prefix+name
-			if at.Kind() == reflect.Pointer {
-				if at.IsNil() {
+			value, path := v.Field(i), prefix+name
+			if value.Kind() == reflect.Pointer {
+				if value.IsNil() {
 					continue
 				}
-				at = at.Elem()
+				value = value.Elem()
 			}
 			var err error
 			switch {
-			case isTable(at.Type()):
-				err = walk(at, path+".")
-			case at.Kind() == reflect.Slice && isTable(at.Type().Elem()):
-				for n := 0; n < at.Len() && err == nil; n++ {
-					err = walk(at.Index(n), fmt.Sprintf("%s[%d].", path, n))
+			case isTable(value.Type()):
+				err = walk(value, path+".")
+			case value.Kind() == reflect.Slice && isTable(value.Type().Elem()):
+				for n := 0; n < value.Len() && err == nil; n++ {
+					err = walk(value.Index(n), fmt.Sprintf("%s[%d].", path, n))
 				}
 			default:
-				err = visit(path, at, t.Tag)
+				err = visit(path, value, structField.Tag)
 			}
 			if err != nil {
 				return err
@@ -128,27 +128,27 @@
 
 // Moved compares a configuration that has replaced this one: the values that differ and may be taken by a running
 // node, and those that only a start reads.
-func (l *Loaded) Moved(next *Loaded) (taken, kept []string) {
-	values := func(l *Loaded) (map[string]string, map[string]bool) {
+func (l *Loaded) Diff(next *Loaded) (reloadable, restartOnly []string) {
+	collect := func(l *Loaded) (map[string]string, map[string]bool) {
 		texts, reload := map[string]string{}, map[string]bool{}
-		_ = l.each(func(path string, v reflect.Value, tag reflect.StructTag) error { // visit has no error
-			texts[path], reload[path] = show(v), tag.Get("reload") != ""
+		_ = l.visitValues(func(path string, v reflect.Value, tag reflect.StructTag) error { // visit has no error
+			texts[path], reload[path] = formatTOML(v), tag.Get("reload") != ""
 			return nil
 		})
 		return texts, reload
 	}
-	before, was := values(l)
-	after, is := values(next)
+	before, reloadableBefore := collect(l)
+	after, reloadableAfter := collect(next)
 	for _, f := range sortedUnion(before, after) {
 		switch {
 		case before[f] == after[f] || f == "seed": // the platform writes a new one with each start
-		case was[f] && is[f]:
-			taken = append(taken, f)
+		case reloadableBefore[f] && reloadableAfter[f]:
+			reloadable = append(reloadable, f)
 		default:
-			kept = append(kept, f)
+			restartOnly = append(restartOnly, f)
 		}
 	}
-	return taken, kept
+	return reloadable, restartOnly
 }
 
 // Schema is the JSON schema of the TOML form.
@@ -173,23 +173,23 @@
 // describe puts what a field's tags say into its place in the schema.
 func describe(s *jsonschema.Schema, path []string, f field) {
 	name, listed := strings.CutSuffix(path[0], "[]")
-	p, ok := s.Properties.Get(name)
+	property, ok := s.Properties.Get(name)
 	if !ok {
 		return
 	}
 	if listed {
-		p = p.Items
+		property = property.Items
 	}
 	if len(path) > 1 {
-		describe(p, path[1:], f)
+		describe(property, path[1:], f)
 		return
 	}
-	p.Description = f.tag.Get("doc") + f.bounds()
+	property.Description = f.tag.Get("doc") + f.describeBounds()
 	if d := f.tag.Get("default"); d != "" {
-		p.Default = d
+		property.Default = d
 	}
 	for _, one := range strings.Fields(f.tag.Get("one")) {
-		p.Enum = append(p.Enum, one)
+		property.Enum = append(property.Enum, one)
 	}
 	if f.tag.Get("need") != "" && f.tag.Get("default") == "" {
 		s.Required = append(s.Required, name)
--- a/internal/config/fault.go
+++ b/internal/config/problem.go
@@ -8,14 +8,14 @@
 )
 
 // Fault is one thing that is wrong with a configuration, and where.
-type Fault struct {
+type Problem struct {
 	File string
 	Line int // 0 if it is no line of the file
 	Key  string
 	Text string
 }
 
-func (f Fault) String() string {
+func (f Problem) String() string {
 	var b strings.Builder
 	if f.File != "" {
 		b.WriteString(f.File + ":")
@@ -31,26 +31,26 @@
 }
 
 // Faults are all that is wrong with a configuration, a line each.
-type Faults []Fault
+type Problems []Problem
 
-func (f Faults) Error() string {
+func (f Problems) Error() string {
 	lines := make([]string, len(f))
-	for i, one := range f {
-		lines[i] = one.String()
+	for i, problem := range f {
+		lines[i] = problem.String()
 	}
 	return strings.Join(lines, "\n")
 }
 
 // nearest suggests which of the known words was meant, if one is near.
-func nearest(word string, known []string) string {
-	best, least := "", max(2, len(word)/3)+1
+func suggest(word string, known []string) string {
+	closest, leastDistance := "", max(2, len(word)/3)+1
 	for _, k := range known {
-		if d := levenshtein.ComputeDistance(word, k); d < least {
-			best, least = k, d
+		if d := levenshtein.ComputeDistance(word, k); d < leastDistance {
+			closest, leastDistance = k, d
 		}
 	}
-	if best == "" {
+	if closest == "" {
 		return ""
 	}
-	return fmt.Sprintf("; did you mean %q?", best)
+	return fmt.Sprintf("; did you mean %q?", closest)
 }
--- a/internal/egress/cross_test.go
+++ b/internal/egress/cross_test.go
@@ -40,7 +40,7 @@
 		"nothing":          {func(*net.TCPConn) error { return nil }, true},
 		"its end":          {func(far *net.TCPConn) error { return far.CloseWrite() }, false},
 		"half a line":      {func(far *net.TCPConn) error { _, err := io.WriteString(far, "HTTP/1."); return err }, false},
-		"an answer to all": {func(far *net.TCPConn) error { _, err := io.WriteString(far, testkit.Delivered); return err }, false},
+		"an answer to all": {func(far *net.TCPConn) error { _, err := io.WriteString(far, testkit.DeliveredResponse); return err }, false},
 		"a reset": {func(far *net.TCPConn) error {
 			far.SetLinger(0)
 			return far.Close()
@@ -50,7 +50,7 @@
 			conns := make(chan *net.TCPConn, 4)
 			p := testkit.NewPartner(t, func(nc net.Conn, _ *http.Request) bool {
 				conns <- nc.(*net.TCPConn)
-				_, err := io.WriteString(nc, testkit.Delivered)
+				_, err := io.WriteString(nc, testkit.DeliveredResponse)
 				return err == nil
 			})
 			pool, e := testPool(), endpointAt(p.Addr())
@@ -67,7 +67,7 @@
 					t.Error(err)
 				}
 				if !c.good {
-					testkit.Queued(t, near)
+					testkit.WaitForPendingData(t, near)
 				}
 			}}
 			pool.mu.Unlock()
@@ -120,7 +120,7 @@
 			}
 			select {
 			case <-ended: // the endpoint has its slot back
-			case <-time.After(testkit.Patience):
+			case <-time.After(testkit.WaitTimeout):
 				t.Error("the connection stays open")
 			}
 		})
@@ -131,7 +131,7 @@
 func TestALeaveAfterAFirstLineWith200(t *testing.T) {
 	p := testkit.NewPartner(t, func(nc net.Conn, _ *http.Request) bool {
 		io.WriteString(nc, "HTTP/1.1 200 OK\r\n")
-		return testkit.Silent(nc, nil)
+		return testkit.NeverRespond(nc, nil)
 	})
 	near, err := net.Dial("tcp", p.Addr())
 	if err != nil {
@@ -147,7 +147,7 @@
 	if _, err := near.Write(request); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Queued(t, near.(*net.TCPConn))
+	testkit.WaitForPendingData(t, near.(*net.TCPConn))
 	if k.limit.N = maxAnswerHead; !k.saysDelivered() { // its line is read
 		t.Fatal("the first line does not say delivered")
 	}
@@ -191,7 +191,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			pool, letGo := held(t, 10*time.Second)
-			p := testkit.NewPartner(t, testkit.Says(testkit.Delivered))
+			p := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse))
 			call := testCall(endpointAt(p.Addr()))
 			call.NotPast = time.Now().Add(5 * time.Second)
 			if name == "a repeat is no longer safe" {
@@ -228,7 +228,7 @@
 	t.Parallel()
 	const dial = 2 * time.Second
 	pool, letGo := held(t, dial)
-	call := testCall(endpointAt(testkit.Deaf(t)))
+	call := testCall(endpointAt(testkit.UnresponsiveAddr(t)))
 	call.NotPast = time.Now().Add(time.Minute)
 	began := time.Now()
 	res := make(chan Result)
@@ -263,7 +263,7 @@
 			p := testkit.NewPartner(t, func(nc net.Conn, _ *http.Request) bool {
 				close(inside)
 				<-goOn
-				io.WriteString(nc, testkit.Delivered)
+				io.WriteString(nc, testkit.DeliveredResponse)
 				_, err := bufio.NewReader(nc).ReadByte()
 				ended <- err
 				return false
@@ -283,7 +283,7 @@
 				if err != io.EOF {
 					t.Error(err)
 				}
-			case <-time.After(testkit.Patience):
+			case <-time.After(testkit.WaitTimeout):
 				t.Error("the connection is kept")
 			}
 		})
@@ -292,7 +292,7 @@
 
 // A call that ends, or is called off, while its dial does not come up leaves neither a place taken nor a dial under way.
 func TestADialThatOutlivesItsCaller(t *testing.T) {
-	addr := testkit.Deaf(t)
+	addr := testkit.UnresponsiveAddr(t)
 	for name, end := range map[string]func(cancel context.CancelFunc, pool *Pool, c *Call){
 		"called off":         func(cancel context.CancelFunc, _ *Pool, _ *Call) { cancel() },
 		"the pool is closed": func(_ context.CancelFunc, pool *Pool, _ *Call) { pool.Close() },
@@ -306,7 +306,7 @@
 		res := make(chan Result)
 		go func() { res <- pool.Do(ctx, call) }()
 		if name != "out of time" {
-			testkit.Eventually(t, "the dial is under way", func() bool { return testkit.Dialing(t, addr) == 1 })
+			testkit.Eventually(t, "the dial is under way", func() bool { return testkit.CountPendingDials(t, addr) == 1 })
 		}
 		end(cancel, pool, &call)
 		if got := <-res; got.Outcome != choice.ConnectFailed && got.Outcome != choice.NotSent {
@@ -315,7 +315,7 @@
 		if n := len(pool.places); n != 0 {
 			t.Errorf("%s: %d places are taken", name, n)
 		}
-		testkit.Eventually(t, "no dial is under way", func() bool { return testkit.Dialing(t, addr) == 0 })
+		testkit.Eventually(t, "no dial is under way", func() bool { return testkit.CountPendingDials(t, addr) == 0 })
 		cancel()
 		pool.Close()
 	}
--- a/internal/egress/local_test.go
+++ b/internal/egress/local_test.go
@@ -14,7 +14,7 @@
 
 // What this machine lacks for a moment is no endpoint's outage.
 func TestACallOutlastsAMomentWithoutSockets(t *testing.T) {
-	partner := testkit.NewPartner(t, testkit.Says(testkit.Delivered))
+	partner := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse))
 	failed := func(call string, errno syscall.Errno) error {
 		return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError(call, errno)}
 	}
--- a/internal/egress/pool_test.go
+++ b/internal/egress/pool_test.go
@@ -22,7 +22,7 @@
 func testPool() *Pool { return NewPool(nil, 2*time.Second, time.Minute, 16, 64, new(atomic.Int64)) }
 
 func testCall(e *Endpoint) Call {
-	return Call{ID: "9b1f03aa5c7e2d41", Key: "5c0f", Body: []byte("body\x00"), Endpoint: e, NotPast: time.Now().Add(testkit.Patience)}
+	return Call{ID: "9b1f03aa5c7e2d41", Key: "5c0f", Body: []byte("body\x00"), Endpoint: e, NotPast: time.Now().Add(testkit.WaitTimeout)}
 }
 
 func TestOutcomes(t *testing.T) {
@@ -30,12 +30,12 @@
 		name, says string
 		want       Result
 	}{
-		{"delivered", testkit.Delivered, Result{Outcome: choice.Pass, Closed: true}},
+		{"delivered", testkit.DeliveredResponse, Result{Outcome: choice.Pass, Closed: true}},
 		{"delivered with a report", "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: x0=0.4,x1=25\r\nContent-Length: 0\r\n\r\n",
 			Result{Outcome: choice.Pass, Closed: true, Report: choice.Report{Left: 0.4, Limit: 25, HasLeft: true, HasLimit: true}}},
 		{"a report that can't be read", "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: x0=often,,x1=NaN\r\nContent-Length: 0\r\n\r\n",
 			Result{Outcome: choice.Pass, Closed: true}},
-		{"after a 1xx", "HTTP/1.1 103 Early Hints\r\n\r\n" + testkit.Delivered, Result{Outcome: choice.Pass, Closed: true}},
+		{"after a 1xx", "HTTP/1.1 103 Early Hints\r\n\r\n" + testkit.DeliveredResponse, Result{Outcome: choice.Pass, Closed: true}},
 		{"error", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", Result{Outcome: choice.Fault}},
 		{"told to wait", "HTTP/1.1 429 No\r\nRetry-After: 0.35\r\nContent-Length: 0\r\n\r\n",
 			Result{Outcome: choice.Rejected, Wait: 350 * time.Millisecond}},
@@ -47,7 +47,7 @@
 		{"no HTTP", "what?\r\n\r\n", Result{Outcome: choice.ConnReset}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := testkit.NewPartner(t, testkit.Says(c.says))
+			p := testkit.NewPartner(t, testkit.RespondWith(c.says))
 			got := testPool().Do(t.Context(), testCall(endpointAt(p.Addr())))
 			if got.Heard != (c.want.Outcome != choice.ConnReset) || got.Writing.IsZero() || got.Wrote.Before(got.Writing) {
 				t.Errorf("heard %v, written from %v to %v", got.Heard, got.Writing, got.Wrote)
@@ -102,10 +102,10 @@
 		}
 	})
 	t.Run("called off", func(t *testing.T) {
-		p := testkit.NewPartner(t, testkit.Silent)
+		p := testkit.NewPartner(t, testkit.NeverRespond)
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() {
-			<-p.Came
+			<-p.Received
 			cancel()
 		}()
 		if got := testPool().Do(ctx, testCall(endpointAt(p.Addr()))); got.Outcome != choice.Cancelled {
@@ -113,7 +113,7 @@
 		}
 	})
 	t.Run("over before it began", func(t *testing.T) {
-		p := testkit.NewPartner(t, testkit.Says(testkit.Delivered))
+		p := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse))
 		c := testCall(endpointAt(p.Addr()))
 		c.NotPast = time.Now().Add(-time.Second)
 		if got := testPool().Do(t.Context(), c); got.Outcome != choice.NotSent {
@@ -123,7 +123,7 @@
 }
 
 func TestWhatGoesOut(t *testing.T) {
-	p := testkit.NewPartner(t, testkit.Says(testkit.Delivered))
+	p := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse))
 	testPool().Do(t.Context(), testCall(endpointAt(p.Addr())))
 	req := p.Next(t)
 	left, err := strconv.Atoi(strings.TrimSuffix(req.Header.Get("X-Expires-In"), "m"))
@@ -139,7 +139,7 @@
 	p := testkit.NewPartner(t, func(nc net.Conn, _ *http.Request) bool {
 		if first {
 			first = false
-			io.WriteString(nc, testkit.Delivered)
+			io.WriteString(nc, testkit.DeliveredResponse)
 			return true
 		}
 		return false
@@ -189,7 +189,7 @@
 // A request written to a connection that the endpoint has closed is a sure reset.
 func TestServersCloseIsNoticed(t *testing.T) {
 	p := testkit.NewPartner(t, func(nc net.Conn, _ *http.Request) bool {
-		io.WriteString(nc, testkit.Delivered)
+		io.WriteString(nc, testkit.DeliveredResponse)
 		return false
 	})
 	pool, e := testPool(), endpointAt(p.Addr())
@@ -206,7 +206,7 @@
 }
 
 func TestIdleConnectionIsDroppedInTime(t *testing.T) {
-	p := testkit.NewPartner(t, testkit.Says(testkit.Delivered))
+	p := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse))
 	pool, e := NewPool(nil, time.Second, 20*time.Millisecond, 16, 64, new(atomic.Int64)), endpointAt(p.Addr())
 	pool.Do(t.Context(), testCall(e))
 	testkit.Eventually(t, "the idle connection is dropped", func() bool {
@@ -217,7 +217,7 @@
 }
 
 func TestHangUp(t *testing.T) {
-	p := testkit.NewPartner(t, testkit.Says(testkit.Delivered))
+	p := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse))
 	pool, e := testPool(), endpointAt(p.Addr())
 	pool.Do(t.Context(), testCall(e))
 	pool.HangUp(e.ID)
@@ -233,7 +233,7 @@
 
 // Bytes that belong to no call would be taken for the next call's answer.
 func TestMoreThanTheAnswerIsNotReused(t *testing.T) {
-	p := testkit.NewPartner(t, testkit.Says(testkit.Delivered+"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"))
+	p := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse+"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"))
 	pool, e := testPool(), endpointAt(p.Addr())
 	for range 3 {
 		if got := pool.Do(t.Context(), testCall(e)); got.Outcome != choice.Pass {
@@ -244,7 +244,7 @@
 
 // Between the decision and the first byte lies a dial; a drain or a wait told meanwhile must hold the call.
 func TestNothingIsSentToAClosedEndpoint(t *testing.T) {
-	p := testkit.NewPartner(t, testkit.Says(testkit.Delivered))
+	p := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse))
 	drained, waiting := endpointAt(p.Addr()), endpointAt(p.Addr())
 	drained.Shut.Store(true)
 	waiting.Wait.Extend(time.Now().Add(time.Hour))
@@ -261,7 +261,7 @@
 // Places for connections run out: a call waits for one, takes that of an idle connection, and is not sent if none
 // comes; it is no failure of the endpoint.
 func TestCallsLeaveDescriptorsToOthers(t *testing.T) {
-	p, q := testkit.NewPartner(t, testkit.Says(testkit.Delivered)), testkit.NewPartner(t, testkit.Silent)
+	p, q := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), testkit.NewPartner(t, testkit.NeverRespond)
 	pool := NewPool(nil, 50*time.Millisecond, time.Minute, 16, 1, new(atomic.Int64))
 	e, f := endpointAt(p.Addr()), &Endpoint{ID: "f", Addr: q.Addr(), Wait: new(Wait)}
 	if got := pool.Do(t.Context(), testCall(e)); !got.Closed {
--- a/internal/ingress/close_test.go
+++ b/internal/ingress/close_test.go
@@ -16,8 +16,8 @@
 // Whatever makes the node end a connection, a request that comes in that very moment neither takes the last answer with
 // it nor is served behind the end: the client reads what was written to it, then an end, never a reset.
 func TestBytesThatComeAsAConnectionEnds(t *testing.T) {
-	late := testkit.Enqueue("late", "c=notice,d=8000,dest=7", strings.Repeat("x", 2000))
-	ping, half := testkit.Resp("PING"), "*5\r\n$7\r\nENQ"
+	late := testkit.EnqueueRequest("late", "c=notice,d=8000,dest=7", strings.Repeat("x", 2000))
+	ping, half := testkit.EncodeRESP("PING"), "*5\r\n$7\r\nENQ"
 	for name, c := range map[string]struct {
 		most  int
 		first string // what the client has sent before
@@ -26,7 +26,7 @@
 	}{
 		"shutdown while it rests":       {4, ping, "+PONG\r\n", func(_ *testing.T, c *Server, _ string) { c.Close() }},
 		"shutdown inside a request":     {4, ping + half, "+PONG\r\n", func(_ *testing.T, c *Server, _ string) { c.Close() }},
-		"a newcomer wants the place":    {1, ping, "+PONG\r\n", func(t *testing.T, _ *Server, addr string) { testkit.DialTest(t, addr) }},
+		"a newcomer wants the place":    {1, ping, "+PONG\r\n", func(t *testing.T, _ *Server, addr string) { testkit.Dial(t, addr) }},
 		"it has rested too long":        {4, ping, "+PONG\r\n", func(*testing.T, *Server, string) {}},
 		"a drain":                       {4, ping, "+PONG\r\n", func(_ *testing.T, c *Server, _ string) { c.Drain(true) }},
 		"a request that does not end":   {4, ping + half, "+PONG\r\n", func(*testing.T, *Server, string) {}},
@@ -40,7 +40,7 @@
 			}
 			addr, ended := ln.Addr().String(), make(chan *net.TCPConn, 8)
 			goOn := make(chan struct{})
-			s := NewServer(testkit.StopListener{TCPListener: ln.(*net.TCPListener), Ends: func(nc *net.TCPConn) {
+			s := NewServer(testkit.CloseHookListener{TCPListener: ln.(*net.TCPListener), BeforeClose: func(nc *net.TCPConn) {
 				ended <- nc
 				<-goOn
 			}}, c.most, testkit.TestNames, func(q Request) Answer {
@@ -48,7 +48,7 @@
 				return Answer{}
 			})
 			go s.Serve(t.Context())
-			nc, br := testkit.DialTest(t, addr)
+			nc, br := testkit.Dial(t, addr)
 			if _, err := io.WriteString(nc, c.first); err != nil {
 				t.Fatal(err)
 			}
@@ -65,7 +65,7 @@
 			if _, err := io.WriteString(nc, late); err != nil {
 				t.Fatal(err)
 			}
-			testkit.Queued(t, near)
+			testkit.WaitForPendingData(t, near)
 			close(goOn)
 			if got, err := io.ReadAll(br); err != nil || string(got) != c.want {
 				t.Errorf("the client reads %q, %v", got, err)
@@ -95,22 +95,22 @@
 // A request that lies in the socket when the wait for one has ended is seen, also by a node that does not run in time
 // to look: a deadline that has passed hides it.
 func TestLastLookSeesWhatLiesInTheSocket(t *testing.T) {
-	near, far := testkit.Pair(t)
+	near, far := testkit.TCPPair(t)
 	nc := slowClock{near}
 	in := &replayReader{src: nc}
 	callBack(nc)
 	if _, err := in.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) || lastLook(nc, in, err) {
 		t.Fatalf("%v, and a request where none has come", err)
 	}
-	if _, err := io.WriteString(far, testkit.Resp("PING")); err != nil {
+	if _, err := io.WriteString(far, testkit.EncodeRESP("PING")); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Queued(t, near)
+	testkit.WaitForPendingData(t, near)
 	callBack(nc)
 	if _, err := in.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) || !lastLook(nc, in, err) {
 		t.Fatalf("%v, and a request is not seen", err)
 	}
-	if got := string(in.unanswered()); got != testkit.Resp("PING") {
+	if got := string(in.unanswered()); got != testkit.EncodeRESP("PING") {
 		t.Errorf("%q is left to be read", got)
 	}
 	if lastLook(nc, in, io.EOF) {
@@ -123,8 +123,8 @@
 	c, addr := serveTest(t, 8, func(Request) Answer { return Answer{} })
 	began := time.Now()
 	for range 40 {
-		nc, br := testkit.DialTest(t, addr)
-		testkit.MustSay(t, nc, br, testkit.Resp("PING"), "+PONG")
+		nc, br := testkit.Dial(t, addr)
+		testkit.MustExchange(t, nc, br, testkit.EncodeRESP("PING"), "+PONG")
 		if n := c.Count(); n > 8 {
 			t.Errorf("%d connections are open", n)
 		}
@@ -143,13 +143,13 @@
 		<-goOn
 		return Answer{}
 	})
-	busy, busyReader := testkit.DialTest(t, addr)
-	if _, err := io.WriteString(busy, testkit.Enqueue("a", "c=notice,d=8000,dest=7", "b")); err != nil {
+	busy, busyReader := testkit.Dial(t, addr)
+	if _, err := io.WriteString(busy, testkit.EnqueueRequest("a", "c=notice,d=8000,dest=7", "b")); err != nil {
 		t.Fatal(err)
 	}
 	<-inside
-	waits, waitsReader := testkit.DialTest(t, addr)
-	if _, err := io.WriteString(waits, testkit.Resp("PING")); err != nil {
+	waits, waitsReader := testkit.Dial(t, addr)
+	if _, err := io.WriteString(waits, testkit.EncodeRESP("PING")); err != nil {
 		t.Fatal(err)
 	}
 	closed := make(chan struct{})
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -40,33 +40,33 @@
 	})
 	big := strings.Repeat("x", maxBody+1)
 	for _, text := range []string{
-		testkit.Enqueue("id", "c=notice,d=8000,dest=7", big),
-		testkit.Enqueue("id", "c=other,d=8000,dest=7", "b"),
-		testkit.Enqueue("id", "c=notice,d=soon,dest=7", "b"),
-		testkit.Enqueue("id", "c=notice,d=NaN,dest=7", "b"),
-		testkit.Enqueue("id", "c=notice,d=-1,dest=7", "b"),
-		testkit.Enqueue("id", "c=notice,d=1e300,dest=7", "b"),
-		testkit.Enqueue("id", "c=notice,d=8000,dest=-7", "b"),
-		testkit.Enqueue("id", "c=notice,d=8000,dest=seven", "b"),
-		testkit.Enqueue("id", "c=notice,d=8000", "b"),
-		testkit.Enqueue("", "c=notice,d=8000,dest=7", "b"),
-		testkit.Enqueue("id\r\nX-Other: 1", "c=notice,d=8000,dest=7", "b"),
-		testkit.Enqueue("id", "c=notice,d=8000,dest=7,k=a b", "b"),
-		testkit.Enqueue(strings.Repeat("i", 300), "c=notice,d=8000,dest=7", "b"),
-		testkit.Enqueue("id", strings.Repeat(",", 2000), "b"),
-		testkit.Resp("ENQUEUE", "0000", "id"), testkit.Resp("FLUSHALL"), "GET / HTTP/1.1\r\n",
+		testkit.EnqueueRequest("id", "c=notice,d=8000,dest=7", big),
+		testkit.EnqueueRequest("id", "c=other,d=8000,dest=7", "b"),
+		testkit.EnqueueRequest("id", "c=notice,d=soon,dest=7", "b"),
+		testkit.EnqueueRequest("id", "c=notice,d=NaN,dest=7", "b"),
+		testkit.EnqueueRequest("id", "c=notice,d=-1,dest=7", "b"),
+		testkit.EnqueueRequest("id", "c=notice,d=1e300,dest=7", "b"),
+		testkit.EnqueueRequest("id", "c=notice,d=8000,dest=-7", "b"),
+		testkit.EnqueueRequest("id", "c=notice,d=8000,dest=seven", "b"),
+		testkit.EnqueueRequest("id", "c=notice,d=8000", "b"),
+		testkit.EnqueueRequest("", "c=notice,d=8000,dest=7", "b"),
+		testkit.EnqueueRequest("id\r\nX-Other: 1", "c=notice,d=8000,dest=7", "b"),
+		testkit.EnqueueRequest("id", "c=notice,d=8000,dest=7,k=a b", "b"),
+		testkit.EnqueueRequest(strings.Repeat("i", 300), "c=notice,d=8000,dest=7", "b"),
+		testkit.EnqueueRequest("id", strings.Repeat(",", 2000), "b"),
+		testkit.EncodeRESP("ENQUEUE", "0000", "id"), testkit.EncodeRESP("FLUSHALL"), "GET / HTTP/1.1\r\n",
 		"*1\r\n$9223372036854775807\r\nPING\r\n", "*1\r\n$-5\r\n", "*2147483647\r\n", "*-3\r\n", "*x\r\n", "*1\r\n:4\r\n",
 		"*1\r\n$3\r\nPINGPONG\r\n", "*1\r\n$99999999999999999999\r\n", strings.Repeat("y", 5000),
 	} {
-		if got := testkit.Ask(t, addr, text); !strings.HasPrefix(got, "-ERR ") {
+		if got := testkit.Exchange(t, addr, text); !strings.HasPrefix(got, "-ERR ") {
 			t.Errorf("%.60q: got %q", text, got)
 		}
 	}
 	// Half a command and a close.
-	nc, _ := testkit.DialTest(t, addr)
+	nc, _ := testkit.Dial(t, addr)
 	io.WriteString(nc, "*5\r\n$7\r\nENQ")
 	nc.Close()
-	if got := testkit.Ask(t, addr, testkit.Resp("ping")); got != "+PONG" {
+	if got := testkit.Exchange(t, addr, testkit.EncodeRESP("ping")); got != "+PONG" {
 		t.Errorf("got %q", got)
 	}
 }
@@ -78,9 +78,9 @@
 		got = q
 		return Answer{}
 	})
-	nc, br := testkit.DialTest(t, addr)
-	go io.WriteString(nc, testkit.Enqueue("a", "c=notice,d=8000,dest=7", strings.Repeat("x", maxBody+1))+
-		"PING\r\n"+testkit.Enqueue("b", "c=notice,t=globex,d=1500.5,dest=7,k=key,r=1", "\r\n\x00$*")+testkit.Resp("PING"))
+	nc, br := testkit.Dial(t, addr)
+	go io.WriteString(nc, testkit.EnqueueRequest("a", "c=notice,d=8000,dest=7", strings.Repeat("x", maxBody+1))+
+		"PING\r\n"+testkit.EnqueueRequest("b", "c=notice,t=globex,d=1500.5,dest=7,k=key,r=1", "\r\n\x00$*")+testkit.EncodeRESP("PING"))
 	for _, want := range []string{"-ERR a body", "+PONG", "+OK", "+PONG"} {
 		if line, err := br.ReadString('\n'); err != nil || !strings.HasPrefix(line, want) {
 			t.Fatalf("got %q, %v, want %q", line, err, want)
@@ -110,13 +110,13 @@
 		<-release
 		return Answer{}
 	})
-	idle, idleReader := testkit.DialTest(t, addr)
-	io.WriteString(idle, testkit.Resp("PING"))
+	idle, idleReader := testkit.Dial(t, addr)
+	io.WriteString(idle, testkit.EncodeRESP("PING"))
 	if _, err := idleReader.ReadString('\n'); err != nil {
 		t.Fatal(err)
 	}
-	nc, br := testkit.DialTest(t, addr)
-	io.WriteString(nc, testkit.Enqueue("a", "c=notice,d=8000,dest=7", "b"))
+	nc, br := testkit.Dial(t, addr)
+	io.WriteString(nc, testkit.EnqueueRequest("a", "c=notice,d=8000,dest=7", "b"))
 	<-inside
 	done := make(chan struct{})
 	go func() {
@@ -136,8 +136,8 @@
 // Half a request must not keep the node from leaving before it is killed.
 func TestCloseDoesNotWaitForHalfARequest(t *testing.T) {
 	c, addr := serveTest(t, 100, func(Request) Answer { return Answer{} })
-	nc, br := testkit.DialTest(t, addr)
-	io.WriteString(nc, testkit.Resp("PING")+"*5\r\n$7\r\nENQ")
+	nc, br := testkit.Dial(t, addr)
+	io.WriteString(nc, testkit.EncodeRESP("PING")+"*5\r\n$7\r\nENQ")
 	if line, err := br.ReadString('\n'); line != "+PONG\r\n" {
 		t.Fatalf("got %q, %v", line, err)
 	}
@@ -157,8 +157,8 @@
 func TestConnectionsAreCapped(t *testing.T) {
 	c, addr := serveTest(t, 2, func(Request) Answer { return Answer{} })
 	for range 5 { // silent, but open
-		nc, br := testkit.DialTest(t, addr)
-		io.WriteString(nc, testkit.Resp("PING"))
+		nc, br := testkit.Dial(t, addr)
+		io.WriteString(nc, testkit.EncodeRESP("PING"))
 		if line, err := br.ReadString('\n'); line != "+PONG\r\n" {
 			t.Fatalf("got %q, %v", line, err)
 		}
@@ -176,14 +176,16 @@
 	for name, act := range map[string]func(net.Conn){
 		"silent":      func(net.Conn) {},
 		"empty lines": func(nc net.Conn) { drip(nc, strings.Repeat("\r\n", 100), 500*time.Millisecond) },
-		"slow":        func(nc net.Conn) { drip(nc, testkit.Enqueue("a", "c=notice,d=8000,dest=7", "b"), 100*time.Millisecond) },
+		"slow": func(nc net.Conn) {
+			drip(nc, testkit.EnqueueRequest("a", "c=notice,d=8000,dest=7", "b"), 100*time.Millisecond)
+		},
 		"half a request at the last moment": func(nc net.Conn) {
 			time.Sleep(idleTimeout - 50*time.Millisecond)
 			io.WriteString(nc, "*5\r\n$7\r\nENQ")
 		},
-		"not reading": func(nc net.Conn) { io.WriteString(nc, testkit.Resp("PING")) },
+		"not reading": func(nc net.Conn) { io.WriteString(nc, testkit.EncodeRESP("PING")) },
 		"silent after a request": func(nc net.Conn) {
-			io.WriteString(nc, testkit.Resp("PING"))
+			io.WriteString(nc, testkit.EncodeRESP("PING"))
 			bufio.NewReader(nc).ReadString('\n')
 		},
 	} {
@@ -226,19 +228,19 @@
 		handed <- q
 		return Answer{}
 	})
-	text := testkit.Enqueue("id", "c=notice,t=globex,d=8000,dest=7", "bo\r\ndy")
-	nc, br := testkit.DialTest(t, addr)
+	text := testkit.EnqueueRequest("id", "c=notice,t=globex,d=8000,dest=7", "bo\r\ndy")
+	nc, br := testkit.Dial(t, addr)
 	for cut := 1; cut < len(text); cut++ {
 		if _, err := io.WriteString(nc, text[:cut]); err != nil {
 			t.Fatal(err)
 		}
 		runtime.Gosched() // the pieces may still come as one; most don't
-		testkit.MustSay(t, nc, br, text[cut:], "+OK")
+		testkit.MustExchange(t, nc, br, text[cut:], "+OK")
 		if q := <-handed; string(q.Body) != "bo\r\ndy" || q.ID != "id" || q.Dest != 7 || q.Tenant != 1 {
 			t.Fatalf("cut at %d: got %+v", cut, q)
 		}
 	}
-	testkit.MustSay(t, nc, br, text+testkit.Resp("PING"), "+OK")
+	testkit.MustExchange(t, nc, br, text+testkit.EncodeRESP("PING"), "+OK")
 	<-handed
 	if line, err := br.ReadString('\n'); line != "+PONG\r\n" {
 		t.Errorf("got %q, %v", line, err)
@@ -254,7 +256,7 @@
 		<-answers
 		return Answer{}
 	})
-	text := testkit.Enqueue("id", "c=notice,t=acme,d=8000,dest=7", strings.Repeat("x", 100))
+	text := testkit.EnqueueRequest("id", "c=notice,t=acme,d=8000,dest=7", strings.Repeat("x", 100))
 	for cut := 0; cut < len(text); cut += 7 {
 		nc, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -265,7 +267,7 @@
 		}
 		nc.Close()
 	}
-	nc, _ := testkit.DialTest(t, addr)
+	nc, _ := testkit.Dial(t, addr)
 	if _, err := io.WriteString(nc, text); err != nil {
 		t.Fatal(err)
 	}
@@ -291,7 +293,7 @@
 				t.Fatal(err)
 			}
 			defer ln.Close()
-			client, br := testkit.DialTest(t, ln.Addr().String())
+			client, br := testkit.Dial(t, ln.Addr().String())
 			served, err := ln.Accept()
 			if err != nil {
 				t.Fatal(err)
@@ -302,12 +304,12 @@
 				defer close(done)
 				c.serveConn(served, start{since: testkit.StepWallClock(time.Now(), step)})
 			}()
-			request := testkit.Enqueue("a", "c=notice,d=1000,dest=1", "body")
+			request := testkit.EnqueueRequest("a", "c=notice,d=1000,dest=1", "body")
 			if _, err := io.WriteString(client, request[:len(request)/2]); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(50 * time.Millisecond) // the first half has been read
-			testkit.MustSay(t, client, br, request[len(request)/2:], "+OK")
+			testkit.MustExchange(t, client, br, request[len(request)/2:], "+OK")
 			client.Close()
 			<-done
 		})
--- a/internal/listwatch/follow_test.go
+++ b/internal/listwatch/follow_test.go
@@ -333,14 +333,14 @@
 // anew must not take one descriptor after another.
 func TestDialsThatNeverComeUpEnd(t *testing.T) {
 	t.Parallel()
-	addr := testkit.Deaf(t)
+	addr := testkit.UnresponsiveAddr(t)
 	client := NewClient(nil)
 	for range 5 {
 		if err := Follow(t.Context(), client, "http://"+addr+"/", Watch{Patience: 20 * time.Millisecond}, nil); err == nil {
 			t.Fatal("it answers")
 		}
 	}
-	testkit.Eventually(t, "no dial is under way", func() bool { return testkit.Dialing(t, addr) == 0 })
+	testkit.Eventually(t, "no dial is under way", func() bool { return testkit.CountPendingDials(t, addr) == 0 })
 }
 
 type roundTripper func(*http.Request) (*http.Response, error)
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -25,7 +25,7 @@
 			log.Info("serving")
 		}
 		log.Error("ended")
-		time.Sleep(sampleEvery)
+		time.Sleep(sampleInterval)
 		log.Warn("journal_waiting")
 		log.Debug("unheard")
 		if err := SetLevel(level, "debug"); err != nil {
@@ -53,7 +53,7 @@
 }
 
 // Every event that the program may log is in the page for operators, and none besides.
-func TestThePageListsTheEvents(t *testing.T) {
+func TestLogPageListsEveryEvent(t *testing.T) {
 	page, err := os.ReadFile("../../docs/logs.md")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -9,54 +9,54 @@
 	"time"
 )
 
-func full(t *testing.T) (*Set, string) {
+func newPopulatedSet(t *testing.T) (*Set, string) {
 	t.Helper()
-	f := New([]string{"status", "payout"})
-	f.Fellows, f.OwnList = true, true
-	f.Delivered(1)
-	f.Shed(0)
-	f.Tries.Add(3)
-	for dest := range 2 * MaxDests {
-		f.First(dest, 3*time.Millisecond)
+	s := New([]string{"status", "payout"})
+	s.MembershipEnabled, s.ListServiceEnabled = true, true
+	s.CountDelivered(1)
+	s.CountShed(0)
+	s.Attempts.Add(3)
+	for dest := range 2 * MaxDestHistograms {
+		s.ObserveFirstAttempt(dest, 3*time.Millisecond)
 	}
-	f.Attempted(0, time.Millisecond)
-	f.Attempted(99, time.Millisecond) // no outcome
-	f.Answered(time.Millisecond)
-	f.Appended(time.Millisecond)
-	f.Stepped(time.Millisecond)
+	s.ObserveAttempt(0, time.Millisecond)
+	s.ObserveAttempt(99, time.Millisecond) // no outcome
+	s.ObserveIntakeAnswer(time.Millisecond)
+	s.ObserveJournalAppend(time.Millisecond)
+	s.ObserveLoopStep(time.Millisecond)
 	var b strings.Builder
-	if err := f.WriteMetrics(&b); err != nil {
+	if err := s.WriteMetrics(&b); err != nil {
 		t.Fatal(err)
 	}
-	return f, b.String()
+	return s, b.String()
 }
 
 // Both forms tell the same numbers, and destinations beyond a bound share one histogram.
-func TestBothFormsTellTheSame(t *testing.T) {
-	f, text := full(t)
-	stats := string(f.Text())
-	for _, one := range f.figures() {
-		if !strings.Contains(stats, one.statsd+":") || !strings.Contains(text, namespace+one.name) {
-			t.Errorf("%s or %s is missing", one.statsd, one.name)
+func TestStatsDAndPrometheusAgree(t *testing.T) {
+	s, text := newPopulatedSet(t)
+	stats := string(s.StatsD())
+	for _, m := range s.snapshot() {
+		if !strings.Contains(stats, m.statsdName+":") || !strings.Contains(text, namespace+m.name) {
+			t.Errorf("%s or %s is missing", m.statsdName, m.name)
 		}
 	}
 	for _, want := range []string{
 		`harrierramp_messages_ended_total{class="payout",end="delivered"} 1`, `harrierramp_messages_ended_total{class="status",end="returned"} 1`,
 		"harrierramp_attempts_written_total 3", `harrierramp_attempt_seconds_count{outcome="pass"} 1`,
-		fmt.Sprintf(`harrierramp_first_attempt_seconds_count{dest="other"} %d`, MaxDests),
+		fmt.Sprintf(`harrierramp_first_attempt_seconds_count{dest="other"} %d`, MaxDestHistograms),
 	} {
 		if !strings.Contains(text, want+"\n") {
 			t.Errorf("no %s", want)
 		}
 	}
-	if n := strings.Count(text, "harrierramp_first_attempt_seconds_count"); n != MaxDests+1 {
+	if n := strings.Count(text, "harrierramp_first_attempt_seconds_count"); n != MaxDestHistograms+1 {
 		t.Errorf("%d destinations are told apart", n)
 	}
 }
 
 // The alerting rules ask for what there is, and tell what to do in a page that exists.
-func TestAlertsNameWhatThereIs(t *testing.T) {
-	_, text := full(t)
+func TestAlertsUseExistingMetrics(t *testing.T) {
+	_, text := newPopulatedSet(t)
 	rules, err := os.ReadFile("../../deploy/alerts.yaml")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/acts.go
+++ b/internal/node/acts.go
@@ -25,12 +25,12 @@
 
 // newActs goes on with the record in the folder. Without one that can be written the node goes on all the same.
 func (n *Node) newActs(life uint32) *actsRecord {
-	room := n.cfg.Audit.Record.Bytes()
+	room := n.cfg.Audit.RecordSize.Bytes()
 	if room == 0 {
 		return nil
 	}
 	now := func() time.Time { return n.began.Add(time.Since(n.began)) } // the wall clock may be set, this can't
-	r, err := acts.Open(n.cfg.State, room, acts.Head{Node: n.cfg.Name, Life: life, Build: build()}, now)
+	r, err := acts.Open(n.cfg.StateDir, room, acts.Head{Node: n.cfg.Name, Life: life, Build: build()}, now)
 	if err != nil {
 		n.log.Warn("acts_not_kept", "err", err)
 		return nil
@@ -90,7 +90,7 @@
 		l.List = revision
 	}
 	if a.why, a.line = why, (acts.Line{}); a.r.Write(l) != nil {
-		a.figures.ActsLost.Add(1)
+		a.figures.AuditRecordsLost.Add(1)
 	}
 }
 
@@ -102,8 +102,8 @@
 }
 
 // Acts writes the record of acts as it stands. It may be called from any goroutine.
-func (n *Node) Acts(w io.Writer) error {
-	raw, err := acts.ReadDir(n.cfg.State)
+func (n *Node) WriteAuditRecord(w io.Writer) error {
+	raw, err := acts.ReadDir(n.cfg.StateDir)
 	if err != nil {
 		return err
 	}
--- a/internal/node/audit.go
+++ b/internal/node/audit.go
@@ -49,11 +49,11 @@
 		return
 	}
 	now, g := n.now(), &n.audit.gap
-	changed, missed := g.Step(now, n.at(n.figures.ListHeard()))
+	changed, missed := g.Step(now, n.at(n.figures.LastListActivity()))
 	if missed > 0 {
 		n.late("the process did not run")
 		n.log.Warn("gap", "missed", missed)
-		n.figures.Gaps.Add(1)
+		n.figures.ProcessPauses.Add(1)
 	}
 	if changed && !g.Blind() {
 		n.log.Info("gap_over", "list_revision", n.revision)
@@ -81,7 +81,7 @@
 	if n.cfg.Audit == nil || n.cfg.Registry == nil {
 		return nil
 	}
-	path := filepath.Join(n.cfg.State, livesName)
+	path := filepath.Join(n.cfg.StateDir, livesName)
 	before, err := readIncarnation(path)
 	if err != nil {
 		n.log.Warn("lives_unreadable", "err", err)
@@ -93,7 +93,7 @@
 	}
 	a.core = roster.NewTeller(n.now(), roster.Claim{
 		Name: n.cfg.Name, Incarnation: int64(a.life), Revision: n.revision, Build: build(), Config: configDigest(n.cfg), Ready: n.ready(),
-		Door: n.cfg.Console,
+		Door: n.cfg.AdminListen,
 	}, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	a.acts = n.newActs(a.life)
 	return a
@@ -115,8 +115,8 @@
 
 // configDigest is the same for all nodes that are told the same of the deployment.
 func configDigest(c config.Config) string {
-	c.Deployment.Number = 0
-	raw, err := json.Marshal([]any{c.Deployment, c.Limits, c.Registry, c.Membership, c.Audit})
+	c.Delivery.Number = 0
+	raw, err := json.Marshal([]any{c.Delivery, c.Limits, c.Registry, c.Membership, c.Audit})
 	if err != nil {
 		return "unknown"
 	}
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -10,7 +10,7 @@
 
 func (n *Node) newPool() *egress.Pool {
 	s, most := n.cfg.Settings, n.cfg.Limits.Sockets
-	return egress.NewPool(n.cfg.From(), s.DialTimeout, s.ConnIdle, max(most/4, 8), callPlaces(most), &n.figures.Tries)
+	return egress.NewPool(n.cfg.SourceAddr(), s.DialTimeout, s.ConnIdle, max(most/4, 8), callPlaces(most), &n.figures.Attempts)
 }
 
 // callPlaces is how many descriptors calls may take: clients have a third, and the rest is set aside for the door,
--- a/internal/node/fellows.go
+++ b/internal/node/fellows.go
@@ -31,7 +31,7 @@
 }
 
 // viewAsk asks the loop who is there.
-type viewAsk struct{ reply chan *admin.View }
+type viewAsk struct{ reply chan *admin.MembershipView }
 
 // newFellows begins membership under an incarnation that this node never had, or nil where it is off. Each process
 // that comes to own the node is one more incarnation, so that one process after the other reads as a restart.
@@ -40,7 +40,7 @@
 	if m == nil || n.peers == nil {
 		return nil
 	}
-	f := &fellows{path: filepath.Join(n.cfg.State, incarnationName)}
+	f := &fellows{path: filepath.Join(n.cfg.StateDir, incarnationName)}
 	last, err := readIncarnation(f.path)
 	if err != nil {
 		n.log.Warn("incarnation_unreadable", "err", err)
@@ -129,18 +129,18 @@
 }
 
 // view is nil where the fleet's socket could not be opened.
-func (n *Node) view() *admin.View {
+func (n *Node) view() *admin.MembershipView {
 	if n.fellows == nil {
 		return nil
 	}
 	core, now := n.fellows.core, n.now()
 	agreed, health := core.Agreed()
-	v := &admin.View{
+	v := &admin.MembershipView{
 		Number: n.cfg.Settings.Number, Incarnation: core.Incarnation(), AgreedMS: ago(now, agreed), Health: health,
 	}
 	v.Present, v.Suspect = core.Present()
 	for _, m := range core.View() {
-		v.Members = append(v.Members, admin.Fellow{
+		v.Members = append(v.Members, admin.Member{
 			Number: m.Member, Addr: n.peers.addrs[m.Member].String(), State: m.State.String(), Reason: string(m.Reason),
 			Incarnation: m.Incarnation, SinceMS: (now - m.Since).Milliseconds(), HeardMS: ago(now, m.Heard),
 		})
--- a/internal/node/fellows_test.go
+++ b/internal/node/fellows_test.go
@@ -100,16 +100,16 @@
 		}
 		shut()
 	})
-	testkit.Eventually(f.t, "the node serves", func() bool { return n.NotReady() == "" })
+	testkit.Eventually(f.t, "the node serves", func() bool { return n.NotReadyReason() == "" })
 	f.kill[i] = func() { // the others hear no more of it, nor it of them
 		n.peers.close()
 	}
 }
 
 // view is what a node's door shows.
-func (f *fleetOf) view(i int) (v admin.View) {
+func (f *fleetOf) view(i int) (v admin.MembershipView) {
 	f.t.Helper()
-	code, body := testkit.Operate(f.t, f.doors[i], "GET", "/ops/members")
+	code, body := testkit.CallAdmin(f.t, f.doors[i], "GET", "/ops/members")
 	if code != 200 || json.Unmarshal([]byte(body), &v) != nil {
 		f.t.Fatalf("members: %d %s", code, body)
 	}
@@ -165,7 +165,7 @@
 			return m.State == "alive" && m.Incarnation > before
 		})
 	}
-	code, body := testkit.Operate(t, f.doors[0], "GET", "/ops/stats")
+	code, body := testkit.CallAdmin(t, f.doors[0], "GET", "/ops/stats")
 	if code != 200 || !strings.Contains(body, "router.members_present:3|g") || !strings.Contains(body, "router.members_strangers:0|c") {
 		t.Errorf("figures: %d %s", code, body)
 	}
@@ -184,7 +184,7 @@
 		if _, err := stranger.Write([]byte("M")); err != nil {
 			t.Fatal(err)
 		}
-		_, body := testkit.Operate(t, f.doors[0], "GET", "/ops/stats")
+		_, body := testkit.CallAdmin(t, f.doors[0], "GET", "/ops/stats")
 		return !strings.Contains(body, "router.members_strangers:0|c")
 	})
 }
@@ -192,10 +192,10 @@
 func TestMembershipIsOffUnlessConfigured(t *testing.T) {
 	t.Parallel()
 	_, door, _ := startOperated(t, newRegistry(t), t.TempDir(), held())
-	if code, body := testkit.Operate(t, door, "GET", "/ops/members"); code != 404 || !strings.Contains(body, "off") {
+	if code, body := testkit.CallAdmin(t, door, "GET", "/ops/members"); code != 404 || !strings.Contains(body, "off") {
 		t.Errorf("members: %d %s", code, body)
 	}
-	if _, body := testkit.Operate(t, door, "GET", "/ops/stats"); strings.Contains(body, "members_") {
+	if _, body := testkit.CallAdmin(t, door, "GET", "/ops/stats"); strings.Contains(body, "members_") {
 		t.Errorf("figures: %s", body)
 	}
 }
--- a/internal/node/fleetward.go
+++ b/internal/node/fleetward.go
@@ -26,12 +26,12 @@
 	if !n.unfit {
 		n.outcast.Store(nil) // of a time before, in which this process owned the node
 	}
-	if n.audit == nil || !n.cfg.Audit.ShutOut || n.peers == nil {
+	if n.audit == nil || !n.cfg.Audit.Fencing || n.peers == nil {
 		return nil
 	}
 	return &ward{core: straggler.New(straggler.Config{
 		Self: n.cfg.Settings.Number, Fleet: len(n.peers.addrs), Seed: rand.Uint64(),
-	}, n.now(), n.revision), beat: n.cfg.Registry.Beat.Duration()}
+	}, n.now(), n.revision), beat: n.cfg.Registry.HeartbeatInterval.Duration()}
 }
 
 func (w *ward) out() bool { return w != nil && w.core.Out() }
@@ -57,13 +57,13 @@
 	w.core.Listed(now, n.revision)
 	w.core.Floor(n.floor.Revision)
 	if w.beat > 0 {
-		w.core.Doubt(now, now-n.at(n.figures.ListHeard()) > 3*w.beat)
+		w.core.Doubt(now, now-n.at(n.figures.LastListActivity()) > 3*w.beat)
 	}
 	news := w.core.Step(now)
 	for _, d := range w.core.Take() {
 		n.peers.send(choice.Tell{To: d.To, Text: d.Text}, n.log)
 	}
-	n.figures.ListAhead.Store(max(news.Ahead-n.revision, 0))
+	n.figures.PeersAheadBy.Store(max(news.Ahead-n.revision, 0))
 	if news.AskServer {
 		n.late("others act on a later list")
 		n.log.Warn("fleet_ahead", "revision", news.Ahead, "own", n.revision)
@@ -79,7 +79,7 @@
 		n.log.Info("shut_out_over", "list_revision", n.revision)
 		return
 	}
-	n.figures.ShutOuts.Add(1)
+	n.figures.TimesFenced.Add(1)
 	n.outcast.Store(&awaited{time.Now(), "others act on a later list, and no list server tells it"})
 	n.log.Warn("shut_out", "revision", news.Ahead, "own", n.revision)
 }
@@ -113,7 +113,7 @@
 	n.log.Warn("floor", "revision", f.Revision, "build", f.Build, "config", f.Config, "unfit", n.unfit)
 	switch {
 	case n.unfit:
-		n.figures.ShutOuts.Add(1)
+		n.figures.TimesFenced.Add(1)
 		n.outcast.Store(&awaited{time.Now(), "the list service asks for another build or configuration"})
 	case was && !n.ward.out():
 		n.outcast.Store(nil)
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -66,7 +66,7 @@
 // unheard. It returns the module's first events.
 func (n *Node) begin(ctx context.Context, c handover.Claim, unheard []called) ([]choice.Event, error) {
 	err := n.patiently(ctx, func() (err error) {
-		n.journal, err = journal.Open(n.cfg.State, journalMB(n.cfg))
+		n.journal, err = journal.Open(n.cfg.StateDir, journalMB(n.cfg))
 		return err
 	})
 	if err != nil {
@@ -75,10 +75,10 @@
 	if n.journal.Damage != nil {
 		n.log.Error("journal_damaged", "err", n.journal.Damage)
 	}
-	n.journal.Appended = n.figures.Appended
+	n.journal.Appended = n.figures.ObserveJournalAppend
 	before := n.orders
 	err = n.patiently(ctx, func() (err error) {
-		if n.orders, err = readOrders(n.cfg.State); err == nil && !c.Upgrade {
+		if n.orders, err = readOrders(n.cfg.StateDir); err == nil && !c.Upgrade {
 			err = n.orders.setDrained(false) // a drain is the running node's: it ends with a restart
 		}
 		return err
--- a/internal/node/hard_test.go
+++ b/internal/node/hard_test.go
@@ -10,11 +10,11 @@
 // An endpoint that takes calls and says nothing costs each its time-out and no more: slots, connections and
 // goroutines come back, and the messages get their ends.
 func TestSilentEndpointLeavesNothingBehind(t *testing.T) {
-	p, r := testkit.NewPartner(t, testkit.Silent), newRegistry(t)
+	p, r := testkit.NewPartner(t, testkit.NeverRespond), newRegistry(t)
 	before := runtime.NumGoroutine()
 	addr, door, stop := startOperated(t, r, t.TempDir(), serving("e", p.Addr(), 7, "SERVING"))
 	for _, id := range []string{"a", "b", "c"} {
-		mustAnswer(t, addr, testkit.Enqueue(id, "c=payout,d=700,dest=7", ""), "+OK")
+		mustAnswer(t, addr, testkit.EnqueueRequest(id, "c=payout,d=700,dest=7", ""), "+OK")
 	}
 	for _, id := range []string{"a", "b", "c"} {
 		testkit.Eventually(t, "the end of "+id, func() bool { return r.state(id) != "" })
--- a/internal/node/keptlist.go
+++ b/internal/node/keptlist.go
@@ -17,7 +17,7 @@
 
 // keptRoom is the room of the kept list, 0 if there is none.
 func keptRoom(c config.Config) int64 {
-	if c.Registry == nil || !c.Registry.Keep {
+	if c.Registry == nil || !c.Registry.KeepList {
 		return 0
 	}
 	return min(int64(diskMB(c)*(1<<20))/keepShare, listwatch.MaxKeptList)
@@ -35,7 +35,7 @@
 func journalMB(c config.Config) float64 {
 	mb := diskMB(c) - 2*float64(keptRoom(c)+learntRoom(c))/(1<<20)
 	if c.Audit != nil {
-		mb -= float64(c.Audit.Record)
+		mb -= float64(c.Audit.RecordSize)
 	}
 	return mb
 }
@@ -44,13 +44,13 @@
 	if keptRoom(c) == 0 {
 		return nil
 	}
-	return listwatch.NewKept(c.State, keptRoom(c))
+	return listwatch.NewKept(c.StateDir, keptRoom(c))
 }
 
 // startWith begins to wait for a list, and returns what may be served on at once: what the configuration names, or the
 // list that is kept, whichever is later. One that may come into force later is left in n.stale.
 func (n *Node) startWith() listwatch.List {
-	known, at := n.cfg.Known, time.Time{}
+	known, at := n.cfg.KnownList, time.Time{}
 	if n.kept != nil {
 		if last, when, err := n.kept.Read(); err != nil {
 			n.log.Warn("kept_list_unusable", "err", err)
@@ -69,7 +69,7 @@
 	// kept ones come into force.
 	turn := n.turn()
 	n.cold = coldstart.New(coldstart.Config{
-		KeptAfter: n.cfg.Registry.KeptAfter.Duration() + turn.First(), KeptMost: n.cfg.Registry.KeptMost.Duration(), Cycle: turn.Cycle(),
+		KeptAfter: n.cfg.Registry.KeptListWait.Duration() + turn.First(), KeptMost: n.cfg.Registry.KeptListMaxAge.Duration(), Cycle: turn.Cycle(),
 	}, n.now(), was)
 	if n.cold.KeptDue(n.now()) {
 		n.unconfirmed = true
@@ -121,9 +121,9 @@
 	}
 	took, _ := n.cold.Took()
 	n.await()
-	n.figures.StartedWith(time.Since(n.began))
-	n.log.Info("list_known", "revision", l.Revision, "took", time.Since(n.began), "ready_after", took, "asks", n.figures.ListAsks.Load(),
-		"told_later", n.figures.ListLater.Load())
+	n.figures.ObserveFirstList(time.Since(n.began))
+	n.log.Info("list_known", "revision", l.Revision, "took", time.Since(n.began), "ready_after", took, "asks", n.figures.ListRequests.Load(),
+		"told_later", n.figures.ListRequestsDeferred.Load())
 }
 
 // keptDue brings the kept list into force where no server has told one for too long.
--- a/internal/node/largest_test.go
+++ b/internal/node/largest_test.go
@@ -29,7 +29,7 @@
 		if err := j.Close(); err != nil {
 			t.Fatal(err)
 		}
-		p, r := testkit.NewPartner(t, testkit.Says(testkit.Delivered)), newRegistry(t)
+		p, r := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newRegistry(t)
 		began := time.Now()
 		startChild(t, r, state, serving("e", p.Addr(), 7, "SERVING")) // answers PING with PONG
 		took := time.Since(began)
@@ -40,7 +40,7 @@
 		seen := map[string]bool{}
 		testkit.Eventually(t, "all that was found untried is tried", func() bool {
 			select {
-			case req := <-p.Came:
+			case req := <-p.Received:
 				seen[req.Header.Get("X-Trace-Id")] = true
 			default:
 			}
--- a/internal/node/learnt.go
+++ b/internal/node/learnt.go
@@ -39,7 +39,7 @@
 }
 
 func newLearnt(c config.Config) *learnt {
-	return &learnt{path: filepath.Join(c.State, learntName), room: learntRoom(c)}
+	return &learnt{path: filepath.Join(c.StateDir, learntName), room: learntRoom(c)}
 }
 
 // learntRoom is the room of the file, in bytes.
--- a/internal/node/learnt_test.go
+++ b/internal/node/learnt_test.go
@@ -14,7 +14,7 @@
 // What was learnt comes back as it was, with its age; what is cut, flipped, old or from the future does not, and nothing
 // is larger than its room.
 func TestWhatWasLearntComesBack(t *testing.T) {
-	l, now := newLearnt(config.Config{State: t.TempDir()}), time.UnixMilli(time.Now().UnixMilli())
+	l, now := newLearnt(config.Config{StateDir: t.TempDir()}), time.UnixMilli(time.Now().UnixMilli())
 	if _, ok, err := l.read(now); ok || err != nil {
 		t.Fatalf("nothing was written: %v, %v", ok, err)
 	}
@@ -76,7 +76,7 @@
 	}
 	s.Step(time.Hour, append([]choice.Event{listed}, came...))
 	s.Step(time.Hour+time.Second/7, ended)
-	l := newLearnt(config.Config{State: t.TempDir()})
+	l := newLearnt(config.Config{StateDir: t.TempDir()})
 	if err := l.write(s.Remember(), time.Now()); err != nil {
 		t.Fatal(err)
 	}
