--- a/internal/node/listservice.go
+++ b/internal/node/listservice.go
@@ -17,8 +17,8 @@
 // newWatcher is what follows the list for the node, from what it knows now.
 func (n *Node) newWatcher(tell func(listwatch.List)) *listwatch.Watcher {
 	w := &listwatch.Watcher{
-		Log: n.log, Client: n.client, At: n.discovery, Pause: listwatch.AgentPauses(), Patience: listwatch.AgentPatience, Heard: n.figures.ListLine,
-		Turned: func() { n.figures.ListTurns.Add(1) }, Tell: tell,
+		Log: n.log, Client: n.client, At: n.discovery, Pause: listwatch.AgentPauses(), Patience: listwatch.AgentPatience, Heard: n.figures.RecordListActivity,
+		Turned: func() { n.figures.ListWatchesEnded.Add(1) }, Tell: tell,
 	}
 	if n.cfg.Settings.AskForList {
 		w.Pause, w.Patience = listwatch.AskPauses(n.cfg.Settings.Fleet), listwatch.AskPatience
@@ -26,8 +26,8 @@
 	if n.cfg.Registry != nil {
 		w.Turns, w.Begin, w.Check = n.turn(), n.cold != nil && !n.cold.Whole(), n.newDoubt().Check
 		w.Trouble, w.Nudged = n.late, n.nudge
-		w.Beat = n.cfg.Registry.Beat.Duration()
-		w.Asked, w.Later = func() { n.figures.ListAsks.Add(1) }, func() { n.figures.ListLater.Add(1) }
+		w.Beat = n.cfg.Registry.HeartbeatInterval.Duration()
+		w.Asked, w.Later = func() { n.figures.ListRequests.Add(1) }, func() { n.figures.ListRequestsDeferred.Add(1) }
 	}
 	return w
 }
@@ -35,6 +35,6 @@
 func (n *Node) newDoubt() *listwatch.Doubt {
 	return listwatch.NewDoubt(listwatch.Doubt{
 		Log: n.log, Client: n.client, At: n.discovery, Hold: min(n.cfg.Settings.DrainGrace*3/4, listwatch.MostDoubt),
-		Head: n.revision, Unconfirmed: n.unconfirmed, Older: &n.figures.ListOlder, Doubted: &n.figures.ListDoubted,
+		Head: n.revision, Unconfirmed: n.unconfirmed, Older: &n.figures.OlderListsRefused, Doubted: &n.figures.SuspiciousListsHeld,
 	}, maps.Values(n.members))
 }
--- a/internal/node/listservice_test.go
+++ b/internal/node/listservice_test.go
@@ -75,7 +75,7 @@
 	}
 	cancel()
 	<-done
-	text := string(n.figures.Text())
+	text := string(n.figures.StatsD())
 	for _, want := range []string{"router.list_turns:2|c", "router.list_older:1|c", "router.list_doubted:0|c"} {
 		if !strings.Contains(text, want) {
 			t.Errorf("no %s in %s", want, text)
@@ -85,7 +85,7 @@
 
 func TestFiguresOfTheListAreOffWithoutTheService(t *testing.T) {
 	n := New(config.Config{Discovery: "127.0.0.1:1"}, slog.New(slog.DiscardHandler))
-	if text := string(n.figures.Text()); strings.Contains(text, "list_") {
+	if text := string(n.figures.StatsD()); strings.Contains(text, "list_") {
 		t.Errorf("got %s", text)
 	}
 }
@@ -93,14 +93,14 @@
 // The kept list, what was learnt, their copies while they are replaced, and the journal have room within the limit.
 func TestTheDiskIsShared(t *testing.T) {
 	for _, mb := range []float64{0, 1, 3, 100} {
-		for _, service := range []*config.ListService{nil, {}, {Keep: true}} {
+		for _, service := range []*config.ListService{nil, {}, {KeepList: true}} {
 			var c config.Config
 			c.Limits.Disk, c.Registry = config.MiB(mb), service
 			all := mb
 			if all == 0 {
 				all = journal.DefaultDiskMB
 			}
-			keeps := service != nil && service.Keep
+			keeps := service != nil && service.KeepList
 			if sum := journalMB(c) + 2*float64(keptRoom(c)+learntRoom(c))/(1<<20); sum != all || keeps != (keptRoom(c) > 0) || keeps != (keptList(c) != nil) {
 				t.Errorf("%v MB: %v for the journal and twice %d and %d bytes", mb, journalMB(c), keptRoom(c), learntRoom(c))
 			}
--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -57,16 +57,16 @@
 	case n.messages[a.ID] != nil:
 		return ingress.Answer{}, false // taken on before: handed in again it has no second effect
 	case n.ward.out() || n.unfit:
-		n.figures.Shed(a.Class)
+		n.figures.CountShed(a.Class)
 		return ingress.Answer{Refused: true, After: comeLater()}, false
 	case !n.dests[a.Dest] && n.cold != nil && !n.cold.Whole(): // the list that is awaited may name it
-		n.figures.Shed(a.Class)
+		n.figures.CountShed(a.Class)
 		return ingress.Answer{Refused: true, After: n.cold.Come(rand.Float64())}, false
 	case !n.dests[a.Dest]:
-		n.figures.Failed(a.Class)
+		n.figures.CountFailed(a.Class)
 		return ingress.Answer{Failed: "unknown destination"}, false
 	case n.cfg.Settings.MaxOpen > 0 && n.held >= n.cfg.Settings.MaxOpen:
-		n.figures.Shed(a.Class)
+		n.figures.CountShed(a.Class)
 		return ingress.Answer{Refused: true}, false
 	}
 	p := &journal.Message{
@@ -74,7 +74,7 @@
 	}
 	p, err := n.journal.Accept(p)
 	if err != nil {
-		n.figures.Shed(a.Class)
+		n.figures.CountShed(a.Class)
 		return ingress.Answer{Refused: true}, false
 	}
 	p.Came, p.Deadline = a.Came, a.Came.Add(a.Life) // on the monotonic clock, which the journal does not keep
@@ -106,10 +106,10 @@
 		n.audit.acts.ended(o.act, e.Result)
 	}
 	n.learnt.dirty = true
-	n.figures.Attempted(int(e.Outcome), e.took)
+	n.figures.ObserveAttempt(int(e.Outcome), e.took)
 	if n.log.Enabled(context.Background(), slog.LevelDebug) {
 		n.log.Debug("attempt_ended", "msg_id", e.id, "dest", m.Dest, "endpoint", e.endpoint.ID, "attempt", e.n,
-			"outcome", metrics.OutcomeNames[e.Outcome], "took", e.took)
+			"outcome", metrics.OutcomeLabels[e.Outcome], "took", e.took)
 	}
 	if delete(n.out, e.attempt); o.endpoint == nil {
 		n.remote--
@@ -123,10 +123,10 @@
 	}
 	if e.Closed && m.Ended == nil {
 		if e.Outcome == choice.Pass {
-			n.figures.Delivered(m.Class)
-			n.figures.FirstDelivery(time.Since(n.began))
+			n.figures.CountDelivered(m.Class)
+			n.figures.ObserveFirstDelivery(time.Since(n.began))
 		} else { // withdrawn or out of time, the endpoint says
-			n.figures.Failed(m.Class)
+			n.figures.CountFailed(m.Class)
 		}
 		n.forget(m)
 	}
@@ -146,9 +146,9 @@
 		return
 	}
 	if e.Failed {
-		n.figures.Failed(p.Class)
+		n.figures.CountFailed(p.Class)
 	} else {
-		n.figures.Shed(p.Class)
+		n.figures.CountShed(p.Class)
 	}
 	n.log.Debug("message_ended", "msg_id", id, "failed", e.Failed, "after", e.After, "sends", len(p.Sends), "left", time.Until(p.Deadline))
 	if a, ok := fresh[id]; ok {
@@ -180,15 +180,15 @@
 		sent.List, sent.Life = n.revision, n.audit.life
 	}
 	n.journal.Attempt(p, sent)
-	n.figures.FirstCall(time.Since(n.began))
+	n.figures.ObserveFirstCall(time.Since(n.began))
 	if name.n == 0 && !p.Came.IsZero() {
-		n.figures.First(p.Dest, now.Sub(p.Came))
+		n.figures.ObserveFirstAttempt(p.Dest, now.Sub(p.Came))
 	}
 	c := egress.Call{ID: p.ID, Key: p.Key, Body: p.Body, Endpoint: e, NotPast: n.wall(a.NotPast)}
 	if a.BeginBy > 0 {
 		c.BeginBy = n.wall(a.BeginBy)
 	}
-	if n.audit != nil && n.cfg.Audit.Mark {
+	if n.audit != nil && n.cfg.Audit.MarkCalls {
 		c.Rests = n.version()
 	}
 	var act int64
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -35,7 +35,7 @@
 	epoch      = 48 * time.Hour
 	maxBatch   = 256 // events in one Step
 	eventQueue = 1024
-	setAside   = 2*admin.DoorPlaces + 16 // descriptors that neither clients nor calls may take
+	setAside   = 2*admin.MaxConnections + 16 // descriptors that neither clients nor calls may take
 	// After SIGTERM clients go on coming for 0.4 s, and SIGKILL comes after 3.7 s. Until holdAfter all goes on
 	// as ever; then the module is told to send nothing new, and what is out has until leaveAfter to end. All the
 	// while messages are taken on: the journal has them for the next start.
@@ -154,23 +154,23 @@
 		cfg: cfg, log: log, sender: choice.New(cfg.Settings, seed(cfg.Seed)), start: time.Now(), began: time.Now(),
 		figures:   metrics.New(cfg.Names.Classes),
 		client:    newListClient(cfg),
-		discovery: listwatch.NewAddresses(cfg.DiscoveryAt()),
+		discovery: listwatch.NewAddresses(cfg.DiscoveryAddrs()),
 		events:    make(chan any, eventQueue), notices: make(chan []outbox.Notice), asks: make(chan *handover.Link),
 		nudge:    make(chan struct{}, 1),
 		messages: map[string]*journal.Message{}, out: map[attempt]outCall{}, eps: map[string]*egress.Endpoint{},
 		waits: map[int]*egress.Wait{}, dests: map[int]bool{}, named: map[string]bool{},
 	}
 	n.wallClock.began = n.began
-	n.figures.OwnList, n.figures.Fellows = cfg.Registry != nil, cfg.Membership != nil
+	n.figures.ListServiceEnabled, n.figures.MembershipEnabled = cfg.Registry != nil, cfg.Membership != nil
 	return n
 }
 
 // newListClient makes the client for the list and for notices.
 func newListClient(cfg config.Config) *http.Client {
 	if cfg.Registry != nil {
-		return listwatch.NewClient(cfg.From())
+		return listwatch.NewClient(cfg.SourceAddr())
 	}
-	return listwatch.NewAgentClient(cfg.From())
+	return listwatch.NewAgentClient(cfg.SourceAddr())
 }
 
 // seed reads the configuration's hexadecimal seed; any other text serves as well.
@@ -220,7 +220,7 @@
 	for ask := true; ; ask = false {
 		var c handover.Claim
 		err := n.patiently(ctx, func() (err error) {
-			c, err = handover.Acquire(ctx, n.cfg.State, ask)
+			c, err = handover.Acquire(ctx, n.cfg.StateDir, ask)
 			return err
 		})
 		if ctx.Err() != nil && err != nil {
@@ -275,7 +275,7 @@
 		}
 		outbox.Run(term, n.log, n.client, n.discovery, pace, n.notices, func(b []outbox.Notice) { n.tell(term, settled(b)) })
 	})
-	if ln, err := handover.Listen(n.cfg.State); err != nil {
+	if ln, err := handover.Listen(n.cfg.StateDir); err != nil {
 		n.log.Error("handover_unavailable", "err", err)
 	} else {
 		parts.Go(func() { n.successors(term, ln) })
@@ -290,7 +290,7 @@
 	}
 	n.ward = n.newWard()
 	if n.fellows = n.newFellows(); n.peers != nil {
-		parts.Go(func() { n.peers.receive(term, n.log, &n.figures.Strangers, n.noted) })
+		parts.Go(func() { n.peers.receive(term, n.log, &n.figures.UnknownSenders, n.noted) })
 		defer n.peers.close()
 	}
 	n.clients.Drain(n.orders.drained)
@@ -321,7 +321,7 @@
 
 // Reload takes from a configuration that has replaced the old one what may change while the node runs: the
 // address of discovery. It may be called at any time, from any goroutine.
-func (n *Node) Reload(cfg config.Config) { n.discovery.Move(cfg.DiscoveryAt()) }
+func (n *Node) Reload(cfg config.Config) { n.discovery.Move(cfg.DiscoveryAddrs()) }
 
 // tell hands the loop an event.
 func (n *Node) tell(ctx context.Context, e any) {
@@ -347,7 +347,7 @@
 	n.tell(ctx, a)
 	select {
 	case r := <-a.reply:
-		n.figures.Answered(time.Since(q.Came))
+		n.figures.ObserveIntakeAnswer(time.Since(q.Came))
 		return r
 	case <-ctx.Done():
 		return ingress.Answer{Refused: true} // the loop has ended and did not take it on
@@ -416,7 +416,7 @@
 // take turns a batch into the module's events, and steps.
 func (n *Node) take(ctx context.Context, batch []any) {
 	began := time.Now()
-	defer func() { n.figures.Stepped(time.Since(began)) }()
+	defer func() { n.figures.ObserveLoopStep(time.Since(began)) }()
 	n.look()
 	n.restamp(began)
 	events := n.withdrawn
@@ -491,7 +491,7 @@
 			return isNew
 		})
 		for id, a := range fresh {
-			n.figures.Shed(a.Class)
+			n.figures.CountShed(a.Class)
 			n.forget(n.messages[id])
 			n.refuseGivenUp(a)
 		}
@@ -599,7 +599,7 @@
 	n.figures.Active.Store(int64(n.held))
 	n.figures.ListRevision.Store(n.revision)
 	if n.fellows != nil {
-		n.figures.PublishFellows(n.fellows.core, n.now())
+		n.figures.PublishMembership(n.fellows.core, n.now())
 	}
 	n.figures.PoolSize.Store(int64(size))
 	n.figures.PoolEjected.Store(int64(avoided))
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -218,7 +218,7 @@
 		shut()
 	})
 	t.Cleanup(stop)
-	testkit.Eventually(t, "the node serves", func() bool { return n.NotReady() == "" })
+	testkit.Eventually(t, "the node serves", func() bool { return n.NotReadyReason() == "" })
 	return addr, door, stop
 }
 
@@ -226,7 +226,7 @@
 
 func mustAnswer(t *testing.T, addr, text, want string) {
 	t.Helper()
-	if got := testkit.Ask(t, addr, text); got != want {
+	if got := testkit.Exchange(t, addr, text); got != want {
 		t.Fatalf("got %q, want %q", got, want)
 	}
 }
@@ -252,15 +252,15 @@
 
 func TestDeliversAndForgets(t *testing.T) {
 	t.Parallel()
-	p, state := testkit.NewPartner(t, testkit.Says(testkit.Delivered)), t.TempDir()
+	p, state := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), t.TempDir()
 	r := newRegistry(t)
 	addr, stop := startNode(t, r, state, serving("e", p.Addr(), 7, "SERVING"))
-	mustAnswer(t, addr, testkit.Resp("PING"), "+PONG")
-	mustAnswer(t, addr, testkit.Enqueue("a", ofOrder, "body"), "+OK")
+	mustAnswer(t, addr, testkit.EncodeRESP("PING"), "+PONG")
+	mustAnswer(t, addr, testkit.EnqueueRequest("a", ofOrder, "body"), "+OK")
 	if req := p.Next(t); req.Header.Get("X-Trace-Id") != "a" || req.Header.Get("Idempotency-Key") != "key" {
 		t.Errorf("got %v", req.Header)
 	}
-	if got := testkit.Ask(t, addr, testkit.Enqueue("b", "c=status,d=5000,dest=99", "")); !strings.HasPrefix(got, "-ERR ") {
+	if got := testkit.Exchange(t, addr, testkit.EnqueueRequest("b", "c=status,d=5000,dest=99", "")); !strings.HasPrefix(got, "-ERR ") {
 		t.Errorf("an unknown destination: %q", got)
 	}
 	stop()
@@ -274,13 +274,13 @@
 
 func TestHeldMessageIsTakenOnOnceAndRoomIsBounded(t *testing.T) {
 	t.Parallel()
-	p, r := testkit.NewPartner(t, testkit.Says(testkit.Delivered)), newRegistry(t)
+	p, r := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newRegistry(t)
 	addr, _ := startNode(t, r, t.TempDir(), held())
-	mustAnswer(t, addr, testkit.Enqueue("a", ofStatus, "x"), "+OK")
-	mustAnswer(t, addr, testkit.Enqueue("a", ofStatus, "x"), "+OK") // the same one again
+	mustAnswer(t, addr, testkit.EnqueueRequest("a", ofStatus, "x"), "+OK")
+	mustAnswer(t, addr, testkit.EnqueueRequest("a", ofStatus, "x"), "+OK") // the same one again
 	answers := map[string]int{}
 	for i := range 6 {
-		answers[strings.Fields(testkit.Ask(t, addr, testkit.Enqueue("m"+strconv.Itoa(i), ofStatus, "x")))[0]]++
+		answers[strings.Fields(testkit.Exchange(t, addr, testkit.EnqueueRequest("m"+strconv.Itoa(i), ofStatus, "x")))[0]]++
 	}
 	if answers["-BUSY"] < 3 || answers["+OK"] < 1 { // four may be held in all
 		t.Errorf("got %v", answers)
@@ -297,9 +297,9 @@
 
 func TestDrainAndWholeList(t *testing.T) {
 	t.Parallel()
-	first, second, r := testkit.NewPartner(t, testkit.Says(testkit.Delivered)), testkit.NewPartner(t, testkit.Says(testkit.Delivered)), newRegistry(t)
+	first, second, r := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newRegistry(t)
 	addr, _ := startNode(t, r, t.TempDir(), serving("e1", first.Addr(), 7, "SERVING"))
-	mustAnswer(t, addr, testkit.Enqueue("a", ofStatus, ""), "+OK")
+	mustAnswer(t, addr, testkit.EnqueueRequest("a", ofStatus, ""), "+OK")
 	first.Next(t)
 	for i, l := range []string{
 		listOf(2, false, serving("e1", first.Addr(), 7, "DRAINING"), serving("e2", second.Addr(), 7, "SERVING")),
@@ -310,13 +310,13 @@
 		r.tell(l)
 		sentOn := func() bool {
 			// Until the list has come the other one is right; from the first call on the new one only it is.
-			mustAnswer(t, addr, testkit.Enqueue(fmt.Sprintf("m%d", time.Now().UnixNano()), ofStatus, ""), "+OK")
+			mustAnswer(t, addr, testkit.EnqueueRequest(fmt.Sprintf("m%d", time.Now().UnixNano()), ofStatus, ""), "+OK")
 			select {
-			case <-from.Came:
+			case <-from.Received:
 				return true
-			case <-other.Came:
+			case <-other.Received:
 				return false
-			case <-time.After(testkit.Patience):
+			case <-time.After(testkit.WaitTimeout):
 				t.Fatal("no call came")
 				return false
 			}
@@ -350,21 +350,21 @@
 		if early := wait - time.Since(told); early > 0 {
 			t.Errorf("a call came %v early", early)
 		}
-		return testkit.Says(testkit.Delivered)(nc, nil)
+		return testkit.RespondWith(testkit.DeliveredResponse)(nc, nil)
 	})
 	r := newRegistry(t)
 	addr, _ := startNode(t, r, t.TempDir(), serving("e", p.Addr(), 7, "SERVING"))
-	mustAnswer(t, addr, testkit.Enqueue("a", ofPayout, ""), "+OK")
+	mustAnswer(t, addr, testkit.EnqueueRequest("a", ofPayout, ""), "+OK")
 	p.Next(t)
 	time.Sleep(100 * time.Millisecond) // what crosses the answer is let through for so long
-	mustAnswer(t, addr, testkit.Enqueue("b", ofStatus, ""), "+OK")
+	mustAnswer(t, addr, testkit.EnqueueRequest("b", ofStatus, ""), "+OK")
 	p.Next(t)
 	p.Next(t)
 }
 
 func TestDiscoverySilentAndBack(t *testing.T) {
 	t.Parallel()
-	p, r := testkit.NewPartner(t, testkit.Says(testkit.Delivered)), newRegistry(t)
+	p, r := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newRegistry(t)
 	addr, _ := startNode(t, r, t.TempDir(), held())
 	watching := func(least int) func() bool {
 		return func() bool {
@@ -374,7 +374,7 @@
 		}
 	}
 	testkit.Eventually(t, "a watch", watching(1))
-	mustAnswer(t, addr, testkit.Enqueue("a", ofStatus, ""), "+OK") // without discovery all goes on
+	mustAnswer(t, addr, testkit.EnqueueRequest("a", ofStatus, ""), "+OK") // without discovery all goes on
 	r.mu.Lock()
 	r.cutNow()
 	r.cut, r.cutNow = context.WithCancel(context.Background())
@@ -386,12 +386,12 @@
 
 func TestNoticeIsRetriedUntilTaken(t *testing.T) {
 	t.Parallel()
-	p, r := testkit.NewPartner(t, testkit.Says("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")), newRegistry(t)
+	p, r := testkit.NewPartner(t, testkit.RespondWith("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")), newRegistry(t)
 	r.refuse = 2
 	state := t.TempDir()
 	addr, stop := startNode(t, r, state, serving("e", p.Addr(), 7, "SERVING"), serving("h", "127.0.0.1:9", 8, "DRAINING"))
-	mustAnswer(t, addr, testkit.Enqueue("unsafe", ofPayout, ""), "+OK") // it may have run: failed
-	mustAnswer(t, addr, testkit.Enqueue("short", "c=status,d=300,dest=8", ""), "+OK")
+	mustAnswer(t, addr, testkit.EnqueueRequest("unsafe", ofPayout, ""), "+OK") // it may have run: failed
+	mustAnswer(t, addr, testkit.EnqueueRequest("short", "c=status,d=300,dest=8", ""), "+OK")
 	testkit.Eventually(t, "the notice of a failure", func() bool { return r.state("unsafe") == "failed" })
 	testkit.Eventually(t, "the notice of a refusal", func() bool { return r.state("short") == "returned" })
 	stop()
@@ -463,7 +463,7 @@
 		t.Fatal(err)
 	}
 	c := &child{cmd, strings.TrimSpace(addr)}
-	mustAnswer(t, c.addr, testkit.Resp("PING"), "+PONG")
+	mustAnswer(t, c.addr, testkit.EncodeRESP("PING"), "+PONG")
 	return c
 }
 
@@ -479,18 +479,18 @@
 // without another call.
 func TestKilledWhileCallsAreOut(t *testing.T) {
 	t.Parallel()
-	p, r, state := testkit.NewPartner(t, testkit.Silent), newRegistry(t), t.TempDir()
+	p, r, state := testkit.NewPartner(t, testkit.NeverRespond), newRegistry(t), t.TempDir()
 	known := serving("e", p.Addr(), 7, "SERVING")
 	c := startChild(t, r, state, known)
 	for id, fields := range map[string]string{"safe": ofStatus, "keyed": ofOrder, "unsafe": ofPayout} {
-		mustAnswer(t, c.addr, testkit.Enqueue(id, fields, "body of "+id), "+OK")
+		mustAnswer(t, c.addr, testkit.EnqueueRequest(id, fields, "body of "+id), "+OK")
 		if got := p.Next(t).Header.Get("X-Trace-Id"); got != id {
 			t.Fatalf("got a call for %q", got)
 		}
 	}
 	c.kill(t)
 
-	q := testkit.NewPartner(t, testkit.Says(testkit.Delivered))
+	q := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse))
 	startChild(t, r, state, serving("e", q.Addr(), 7, "SERVING"))
 	seen := map[string]string{}
 	for range 2 {
@@ -509,15 +509,15 @@
 // Killed before anything was sent: all three effects are delivered, once each, in their order.
 func TestKilledWhileMessagesAreHeld(t *testing.T) {
 	t.Parallel()
-	p, r, state := testkit.NewPartner(t, testkit.Says(testkit.Delivered)), newRegistry(t), t.TempDir()
+	p, r, state := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newRegistry(t), t.TempDir()
 	c := startChild(t, r, state, held())
 	ids := []string{"safe", "keyed", "unsafe"}
 	for i, fields := range []string{ofStatus, ofOrder, ofPayout} {
-		mustAnswer(t, c.addr, testkit.Enqueue(ids[i], fields, ""), "+OK")
+		mustAnswer(t, c.addr, testkit.EnqueueRequest(ids[i], fields, ""), "+OK")
 	}
 	c.kill(t)
 	c = startChild(t, r, state, held())
-	mustAnswer(t, c.addr, testkit.Enqueue("safe", ofStatus, ""), "+OK") // handed in again: no second effect
+	mustAnswer(t, c.addr, testkit.EnqueueRequest("safe", ofStatus, ""), "+OK") // handed in again: no second effect
 	c.kill(t)
 	startChild(t, r, state, serving("e", p.Addr(), 7, "SERVING"))
 	seen := map[string]int{}
@@ -539,7 +539,7 @@
 		for point, records := range []string{"accepted", "attempt", "not run", "ended"} {
 			t.Run(name+" "+records, func(t *testing.T) {
 				t.Parallel()
-				p, r, state := testkit.NewPartner(t, testkit.Says(testkit.Delivered)), newRegistry(t), t.TempDir()
+				p, r, state := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newRegistry(t), t.TempDir()
 				j := openJournalAt(t, state)
 				m, err := j.Accept(&journal.Message{ID: "a", Key: "k", Class: class, Dest: 7, Deadline: time.Now().Add(50 * time.Second)})
 				if err != nil {
@@ -606,7 +606,7 @@
 
 func TestOverdueAndPastTheWindowEndAtOnce(t *testing.T) {
 	t.Parallel()
-	p, r, state := testkit.NewPartner(t, testkit.Says(testkit.Delivered)), newRegistry(t), t.TempDir()
+	p, r, state := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newRegistry(t), t.TempDir()
 	j := openJournalAt(t, state)
 	late, err := j.Accept(&journal.Message{ID: "late", Class: 0, Dest: 7, Deadline: time.Now().Add(-time.Second)})
 	if err != nil {
@@ -630,13 +630,13 @@
 // After SIGTERM clients are answered as ever, the process ends well by itself, and the next one has what was held.
 func TestSIGTERM(t *testing.T) {
 	t.Parallel()
-	p, r, state := testkit.NewPartner(t, testkit.Says(testkit.Delivered)), newRegistry(t), t.TempDir()
+	p, r, state := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newRegistry(t), t.TempDir()
 	c := startChild(t, r, state, held())
-	nc, br := testkit.DialTest(t, c.addr)
+	nc, br := testkit.Dial(t, c.addr)
 	if err := c.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	for _, m := range []string{testkit.Enqueue("a", ofStatus, ""), testkit.Enqueue("b", ofPayout, "")} { // on an old connection
+	for _, m := range []string{testkit.EnqueueRequest("a", ofStatus, ""), testkit.EnqueueRequest("b", ofPayout, "")} { // on an old connection
 		if _, err := io.WriteString(nc, m); err != nil {
 			t.Fatal(err)
 		}
@@ -644,7 +644,7 @@
 			t.Fatalf("got %q, %v", line, err)
 		}
 	}
-	mustAnswer(t, c.addr, testkit.Enqueue("c", ofOrder, ""), "+OK") // and on a new one
+	mustAnswer(t, c.addr, testkit.EnqueueRequest("c", ofOrder, ""), "+OK") // and on a new one
 	if err := c.cmd.Wait(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -14,7 +14,7 @@
 // The node as the door sees it; all of these are called from any goroutine.
 
 // NotReady says why this process does not take messages; empty if it owns the node, serves, and has a list.
-func (n *Node) NotReady() string {
+func (n *Node) NotReadyReason() string {
 	if !n.serving.Load() {
 		return admin.ErrNotServing.Error()
 	}
@@ -22,7 +22,7 @@
 }
 
 // Stats are the figures as StatsD lines.
-func (n *Node) Stats() []byte { return n.figures.Text() }
+func (n *Node) Stats() []byte { return n.figures.StatsD() }
 
 // WriteMetrics writes the figures in the Prometheus text format.
 func (n *Node) WriteMetrics(w io.Writer) error { return n.figures.WriteMetrics(w) }
@@ -30,29 +30,29 @@
 // SetLogLevel sets the least level that is logged, from debug to error, until the process ends.
 func (n *Node) SetLogLevel(name string) error {
 	if n.Level == nil || name == "" {
-		return admin.ErrLogLevel
+		return admin.ErrUnknownLogLevel
 	}
 	if err := logging.SetLevel(n.Level, name); err != nil {
-		return fmt.Errorf("%w: %w", admin.ErrLogLevel, err)
+		return fmt.Errorf("%w: %w", admin.ErrUnknownLogLevel, err)
 	}
 	n.log.Warn("log_level_set", "level", name)
 	return nil
 }
 
 // Members asks the loop who is there.
-func (n *Node) Members(ctx context.Context) (*admin.View, error) {
+func (n *Node) Members(ctx context.Context) (*admin.MembershipView, error) {
 	if n.cfg.Membership == nil {
-		return nil, admin.ErrNoMembership
+		return nil, admin.ErrMembershipDisabled
 	}
 	if !n.serving.Load() {
 		return nil, admin.ErrNotServing
 	}
-	ask := viewAsk{make(chan *admin.View, 1)}
+	ask := viewAsk{make(chan *admin.MembershipView, 1)}
 	n.tell(ctx, ask)
 	select {
 	case v := <-ask.reply:
 		if v == nil {
-			return nil, admin.ErrNoPeers
+			return nil, admin.ErrPeerSocketUnavailable
 		}
 		return v, nil
 	case <-ctx.Done():
@@ -61,17 +61,19 @@
 }
 
 // Disable takes an endpoint out until Enable, and returns once that holds.
-func (n *Node) Disable(ctx context.Context, endpoint string) error {
+func (n *Node) DisableEndpoint(ctx context.Context, endpoint string) error {
 	return n.tellOrder(ctx, order{endpoint: endpoint, on: true})
 }
 
 // Enable puts an endpoint back.
-func (n *Node) Enable(ctx context.Context, endpoint string) error {
+func (n *Node) EnableEndpoint(ctx context.Context, endpoint string) error {
 	return n.tellOrder(ctx, order{endpoint: endpoint})
 }
 
 // Drain sends clients away, or takes them again.
-func (n *Node) Drain(ctx context.Context, on bool) error { return n.tellOrder(ctx, order{on: on}) }
+func (n *Node) SetDraining(ctx context.Context, on bool) error {
+	return n.tellOrder(ctx, order{on: on})
+}
 
 // tellOrder hands an order to the loop and waits until it holds.
 func (n *Node) tellOrder(ctx context.Context, o order) error {
@@ -90,7 +92,7 @@
 
 // ServeOperators answers operators on ln until the function that it returns is called.
 func (n *Node) ServeOperators(ln net.Listener) (stop func()) {
-	d := admin.NewDoor(ln, n, n.log)
+	d := admin.NewServer(ln, n, n.log)
 	var serving sync.WaitGroup
 	serving.Go(d.Serve)
 	return func() {
--- a/internal/node/operators_test.go
+++ b/internal/node/operators_test.go
@@ -15,7 +15,7 @@
 // figureOf reads one figure at a door.
 func figureOf(t *testing.T, door, name string) string {
 	t.Helper()
-	_, body := testkit.Operate(t, door, "GET", "/ops/stats")
+	_, body := testkit.CallAdmin(t, door, "GET", "/ops/stats")
 	for line := range strings.Lines(body) {
 		if rest, ok := strings.CutPrefix(line, name+":"); ok {
 			return strings.TrimSpace(rest)
@@ -27,7 +27,7 @@
 func mustFigure(t *testing.T, door, name, want string) {
 	t.Helper()
 	got := ""
-	for end := time.Now().Add(testkit.Patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testkit.WaitTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if got = figureOf(t, door, name); got == want {
 			return
 		}
@@ -46,23 +46,23 @@
 	addr, door, _ := startOperated(t, r, t.TempDir(), serving("e", p.Addr(), 7, "SERVING"), serving("f", "127.0.0.1:9", 8, "DRAINING"))
 	mustFigure(t, door, "router.pool_size", "2|g")
 
-	mustAnswer(t, addr, testkit.Enqueue("a", ofStatus, ""), "+OK")
+	mustAnswer(t, addr, testkit.EnqueueRequest("a", ofStatus, ""), "+OK")
 	p.Next(t)
 	mustFigure(t, door, "router.active", "1|g")
 	answers <- "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n" // and once more
-	answers <- testkit.Delivered
+	answers <- testkit.DeliveredResponse
 	p.Next(t)
 	mustFigure(t, door, "router.ok.status", "1|c")
-	mustAnswer(t, addr, testkit.Enqueue("b", ofPayout, ""), "+OK")
+	mustAnswer(t, addr, testkit.EnqueueRequest("b", ofPayout, ""), "+OK")
 	answers <- "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n" // it may have run and must not again
 	testkit.Eventually(t, "the failure is told", func() bool { return r.state("b") == "failed" })
-	mustAnswer(t, addr, testkit.Enqueue("c", "c=order,d=50000,dest=99", ""), "-ERR unknown destination")
+	mustAnswer(t, addr, testkit.EnqueueRequest("c", "c=order,d=50000,dest=99", ""), "-ERR unknown destination")
 	for i := range 5 { // four fit, at an endpoint that takes nothing
 		want := "+OK"
 		if i == 4 {
 			want = "-BUSY"
 		}
-		got := testkit.Ask(t, addr, testkit.Enqueue(fmt.Sprint("h", i), "c=status,d=50000,dest=8", ""))
+		got := testkit.Exchange(t, addr, testkit.EnqueueRequest(fmt.Sprint("h", i), "c=status,d=50000,dest=8", ""))
 		if !strings.HasPrefix(got, want) && i < 3 {
 			t.Fatalf("message %d: got %q", i, got)
 		}
--- a/internal/node/orders_test.go
+++ b/internal/node/orders_test.go
@@ -16,15 +16,15 @@
 // need one call back.
 func TestEndpointOutByHand(t *testing.T) {
 	t.Parallel()
-	p, r, state := testkit.NewPartner(t, testkit.Says(testkit.Delivered)), newRegistry(t), t.TempDir()
+	p, r, state := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newRegistry(t), t.TempDir()
 	e := serving("e", p.Addr(), 7, "SERVING")
 	addr, door, stop := startOperated(t, r, state, e)
-	testkit.MustOperate(t, door, "PUT", "/ops/endpoints/down?id=nobody", 404)
-	testkit.MustOperate(t, door, "PUT", "/ops/endpoints/up?id=nobody", 404)
-	testkit.MustOperate(t, door, "PUT", "/ops/endpoints/down?id=e", 204)
-	testkit.MustOperate(t, door, "PUT", "/ops/endpoints/down?id=e", 204)
+	testkit.MustCallAdmin(t, door, "PUT", "/ops/endpoints/down?id=nobody", 404)
+	testkit.MustCallAdmin(t, door, "PUT", "/ops/endpoints/up?id=nobody", 404)
+	testkit.MustCallAdmin(t, door, "PUT", "/ops/endpoints/down?id=e", 204)
+	testkit.MustCallAdmin(t, door, "PUT", "/ops/endpoints/down?id=e", 204)
 	mustFigure(t, door, "router.pool_ejected", "1|g")
-	mustAnswer(t, addr, testkit.Enqueue("a", ofStatus, ""), "+OK")
+	mustAnswer(t, addr, testkit.EnqueueRequest("a", ofStatus, ""), "+OK")
 	r.tell(listOf(2, true))
 	mustFigure(t, door, "router.pool_size", "0|g")
 	r.tell(listOf(3, true, e))
@@ -34,29 +34,29 @@
 
 	addr, door, _ = startOperated(t, r, state, e)
 	mustFigure(t, door, "router.pool_ejected", "1|g")
-	mustAnswer(t, addr, testkit.Enqueue("b", ofStatus, ""), "+OK")
+	mustAnswer(t, addr, testkit.EnqueueRequest("b", ofStatus, ""), "+OK")
 	if calls, _ := p.Counts(); calls != 0 {
 		t.Fatalf("%d calls at an endpoint that is out", calls)
 	}
-	testkit.MustOperate(t, door, "PUT", "/ops/endpoints/up?id=e", 204)
+	testkit.MustCallAdmin(t, door, "PUT", "/ops/endpoints/up?id=e", 204)
 	p.Next(t)
 	p.Next(t)
 	mustFigure(t, door, "router.pool_ejected", "0|g")
-	testkit.MustOperate(t, door, "PUT", "/ops/endpoints/up?id=e", 204)
+	testkit.MustCallAdmin(t, door, "PUT", "/ops/endpoints/up?id=e", 204)
 }
 
 // A change that can't be made to last gets a no, and is not in force.
 func TestOrderThatCannotLastIsRefused(t *testing.T) {
 	t.Parallel()
-	p, r, state := testkit.NewPartner(t, testkit.Says(testkit.Delivered)), newRegistry(t), t.TempDir()
+	p, r, state := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newRegistry(t), t.TempDir()
 	addr, door, _ := startOperated(t, r, state, serving("e", p.Addr(), 7, "SERVING"))
 	if err := os.MkdirAll(filepath.Join(state, ordersName+".new", "x"), 0o700); err != nil { // nothing can be written there
 		t.Fatal(err)
 	}
-	testkit.MustOperate(t, door, "PUT", "/ops/endpoints/down?id=e", 503)
-	testkit.MustOperate(t, door, "PUT", "/ops/drain/start", 503)
-	mustAnswer(t, addr, testkit.Resp("PING"), "+PONG")
-	mustAnswer(t, addr, testkit.Enqueue("a", ofStatus, ""), "+OK")
+	testkit.MustCallAdmin(t, door, "PUT", "/ops/endpoints/down?id=e", 503)
+	testkit.MustCallAdmin(t, door, "PUT", "/ops/drain/start", 503)
+	mustAnswer(t, addr, testkit.EncodeRESP("PING"), "+PONG")
+	mustAnswer(t, addr, testkit.EnqueueRequest("a", ofStatus, ""), "+OK")
 	p.Next(t)
 }
 
@@ -67,44 +67,44 @@
 	answer := make(chan struct{})
 	p := testkit.NewPartner(t, func(nc net.Conn, _ *http.Request) bool {
 		<-answer
-		_, err := io.WriteString(nc, testkit.Delivered)
+		_, err := io.WriteString(nc, testkit.DeliveredResponse)
 		return err == nil
 	})
 	r := newRegistry(t)
 	addr, door, _ := startOperated(t, r, t.TempDir(), serving("e", p.Addr(), 7, "SERVING"))
-	mustAnswer(t, addr, testkit.Enqueue("a", ofStatus, ""), "+OK")
+	mustAnswer(t, addr, testkit.EnqueueRequest("a", ofStatus, ""), "+OK")
 	p.Next(t)
-	idle, idleR := testkit.DialTest(t, addr)
-	testkit.MustSay(t, idle, idleR, testkit.Resp("PING"), "+PONG")
-	half, halfR := testkit.DialTest(t, addr)
-	text := testkit.Enqueue("b", ofStatus, "")
+	idle, idleR := testkit.Dial(t, addr)
+	testkit.MustExchange(t, idle, idleR, testkit.EncodeRESP("PING"), "+PONG")
+	half, halfR := testkit.Dial(t, addr)
+	text := testkit.EnqueueRequest("b", ofStatus, "")
 	if _, err := io.WriteString(half, text[:20]); err != nil {
 		t.Fatal(err)
 	}
 
-	testkit.MustOperate(t, door, "PUT", "/ops/drain/start", 204)
-	if got := testkit.Ask(t, addr, testkit.Resp("PING")); got == "+PONG" {
+	testkit.MustCallAdmin(t, door, "PUT", "/ops/drain/start", 204)
+	if got := testkit.Exchange(t, addr, testkit.EncodeRESP("PING")); got == "+PONG" {
 		t.Fatal("a drained node says yes")
 	}
-	testkit.MustSay(t, half, halfR, text[20:], "+OK") // under way at the call
+	testkit.MustExchange(t, half, halfR, text[20:], "+OK") // under way at the call
 	for _, br := range []*bufio.Reader{idleR, halfR} {
 		if b, err := br.ReadByte(); err != io.EOF {
 			t.Errorf("got %q, %v and no close", b, err)
 		}
 	}
-	late, lateR := testkit.DialTest(t, addr) // one that came all the same is served, and ends
-	testkit.MustSay(t, late, lateR, testkit.Enqueue("c", ofStatus, ""), "+OK")
+	late, lateR := testkit.Dial(t, addr) // one that came all the same is served, and ends
+	testkit.MustExchange(t, late, lateR, testkit.EnqueueRequest("c", ofStatus, ""), "+OK")
 	if b, err := lateR.ReadByte(); err != io.EOF {
 		t.Errorf("got %q, %v and no close", b, err)
 	}
 	close(answer)
 	mustFigure(t, door, "router.ok.status", "3|c")
 
-	testkit.MustOperate(t, door, "PUT", "/ops/drain/stop", 204)
-	nc, br := testkit.DialTest(t, addr)
-	testkit.MustSay(t, nc, br, testkit.Resp("PING"), "+PONG")
-	testkit.MustSay(t, nc, br, testkit.Enqueue("d", ofStatus, ""), "+OK")
-	testkit.MustSay(t, nc, br, testkit.Resp("PING"), "+PONG")
+	testkit.MustCallAdmin(t, door, "PUT", "/ops/drain/stop", 204)
+	nc, br := testkit.Dial(t, addr)
+	testkit.MustExchange(t, nc, br, testkit.EncodeRESP("PING"), "+PONG")
+	testkit.MustExchange(t, nc, br, testkit.EnqueueRequest("d", ofStatus, ""), "+OK")
+	testkit.MustExchange(t, nc, br, testkit.EncodeRESP("PING"), "+PONG")
 	mustFigure(t, door, "router.ok.status", "4|c")
 }
 
@@ -113,10 +113,10 @@
 	t.Parallel()
 	r, state := newRegistry(t), t.TempDir()
 	_, door, stop := startOperated(t, r, state, held())
-	testkit.MustOperate(t, door, "PUT", "/ops/drain/start", 204)
+	testkit.MustCallAdmin(t, door, "PUT", "/ops/drain/start", 204)
 	stop()
 	addr, _, _ := startOperated(t, r, state, held())
-	mustAnswer(t, addr, testkit.Resp("PING"), "+PONG")
+	mustAnswer(t, addr, testkit.EncodeRESP("PING"), "+PONG")
 }
 
 // A connection whose wait for a request is ended is looked at once more before it is closed: one that has come by
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -92,8 +92,8 @@
 				t.Errorf("%s: %v", name, err)
 			}
 		})
-		for _, q := range []string{testkit.Resp("PING"), testkit.Enqueue("a", ofStatus, ""), testkit.Enqueue("b", ofOrder, ""), testkit.Enqueue("c", ofPayout, "")} {
-			if got := testkit.Ask(t, ln.Addr().String(), q); !strings.HasPrefix(got, "+") && !strings.HasPrefix(got, "-") {
+		for _, q := range []string{testkit.EncodeRESP("PING"), testkit.EnqueueRequest("a", ofStatus, ""), testkit.EnqueueRequest("b", ofOrder, ""), testkit.EnqueueRequest("c", ofPayout, "")} {
+			if got := testkit.Exchange(t, ln.Addr().String(), q); !strings.HasPrefix(got, "+") && !strings.HasPrefix(got, "-") {
 				t.Errorf("%s: got %q", name, got)
 			}
 		}
--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -83,7 +83,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p := testkit.NewPartner(t, testkit.Says(testkit.Delivered))
+			p := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse))
 			dir := t.TempDir()
 			if c.keep != "" {
 				keepListAt(t, dir, p.Addr(), 5)
@@ -104,22 +104,22 @@
 			addr, door := beginNode(t, dir, `{"addresses":["`+nobody+`"],`+c.section+`}`)
 			if c.why != "" {
 				time.Sleep(100 * time.Millisecond) // longer than a list that is kept for 50 ms takes
-				code, body := testkit.Operate(t, door, "GET", "/ops/readiness")
+				code, body := testkit.CallAdmin(t, door, "GET", "/ops/readiness")
 				if code != 503 || !strings.Contains(body, c.why) || !strings.Contains(body, "since") {
 					t.Errorf("readiness: %d %s", code, body)
 				}
-				if got := testkit.Ask(t, addr, testkit.Resp("PING")); !strings.HasPrefix(got, "-LOADING waiting for the list") {
+				if got := testkit.Exchange(t, addr, testkit.EncodeRESP("PING")); !strings.HasPrefix(got, "-LOADING waiting for the list") {
 					t.Errorf("PING: %s", got)
 				}
 			} else {
-				testkit.Eventually(t, "the node serves", func() bool { code, _ := testkit.Operate(t, door, "GET", "/ops/readiness"); return code == 204 })
-				mustAnswer(t, addr, testkit.Resp("PING"), "+PONG")
-				mustAnswer(t, addr, testkit.Enqueue("m1", ofStatus, "x"), "+OK")
+				testkit.Eventually(t, "the node serves", func() bool { code, _ := testkit.CallAdmin(t, door, "GET", "/ops/readiness"); return code == 204 })
+				mustAnswer(t, addr, testkit.EncodeRESP("PING"), "+PONG")
+				mustAnswer(t, addr, testkit.EnqueueRequest("m1", ofStatus, "x"), "+OK")
 				if req := p.Next(t); req.Header.Get("X-Trace-Id") != "m1" {
 					t.Error("another message is delivered")
 				}
 			}
-			got := testkit.Ask(t, addr, testkit.Enqueue("m2", "c=status,d=50000,dest=8", "x"))
+			got := testkit.Exchange(t, addr, testkit.EnqueueRequest("m2", "c=status,d=50000,dest=8", "x"))
 			var ms int
 			if n, err := fmt.Sscanf(got, "-BUSY %d", &ms); n != 1 || err != nil || ms < 25 || ms > 6000 {
 				t.Errorf("for a destination that no list names: %q", got)
@@ -145,21 +145,21 @@
 // With a server's list, what it does not name is unknown, and the figures tell how the start went. A kept list that is
 // ahead of every server is given up.
 func TestAStartWithAListServer(t *testing.T) {
-	p := testkit.NewPartner(t, testkit.Says(testkit.Delivered))
+	p := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse))
 	r := newRegistry(t)
 	dir := t.TempDir()
 	keepListAt(t, dir, nobody, 1<<40)
 	addr, door := beginNode(t, dir, fmt.Sprintf(`{"addresses":[%q],"keep":true}`, r.addr()))
 	r.tell(listOf(5, true, serving("q", p.Addr(), 7, "SERVING")))
 	testkit.Eventually(t, "the server's list holds", func() bool {
-		_, text := testkit.Operate(t, door, "GET", "/ops/stats")
+		_, text := testkit.CallAdmin(t, door, "GET", "/ops/stats")
 		return strings.Contains(text, "router.list_revision:5|")
 	})
-	mustAnswer(t, addr, testkit.Enqueue("m1", ofStatus, "x"), "+OK")
+	mustAnswer(t, addr, testkit.EnqueueRequest("m1", ofStatus, "x"), "+OK")
 	p.Next(t)
-	mustAnswer(t, addr, testkit.Enqueue("m2", "c=status,d=50000,dest=8", "x"), "-ERR unknown destination")
+	mustAnswer(t, addr, testkit.EnqueueRequest("m2", "c=status,d=50000,dest=8", "x"), "-ERR unknown destination")
 	testkit.Eventually(t, "the start is told", func() bool {
-		_, text := testkit.Operate(t, door, "GET", "/ops/stats")
+		_, text := testkit.CallAdmin(t, door, "GET", "/ops/stats")
 		return !strings.Contains(text, "router.start_list_ms:-1|") && !strings.Contains(text, "router.start_delivery_ms:-1|")
 	})
 }
--- a/internal/node/upgrade_test.go
+++ b/internal/node/upgrade_test.go
@@ -96,7 +96,7 @@
 }
 
 func (c *process) ready(t *testing.T) bool {
-	code, _ := testkit.Operate(t, c.door, "GET", "/ops/readiness")
+	code, _ := testkit.CallAdmin(t, c.door, "GET", "/ops/readiness")
 	return code == http.StatusNoContent
 }
 
@@ -119,7 +119,7 @@
 	}
 	select {
 	case <-c.ended:
-	case <-time.After(testkit.Patience):
+	case <-time.After(testkit.WaitTimeout):
 		t.Fatal("it does not end")
 	}
 	if c.err != nil {
@@ -156,18 +156,18 @@
 	answer := make(chan struct{})
 	p, r := testkit.NewPartner(t, func(nc net.Conn, _ *http.Request) bool {
 		<-answer
-		_, err := io.WriteString(nc, testkit.Delivered)
+		_, err := io.WriteString(nc, testkit.DeliveredResponse)
 		return err == nil
 	}), newRegistry(t)
 	node := newPlatform(t, r, serving("e", p.Addr(), 7, "SERVING"), serving("f", "127.0.0.1:9", 8, "DRAINING"))
 	old := node.serve()
-	mustAnswer(t, node.addr(), testkit.Enqueue("out", ofPayout, ""), "+OK")
+	mustAnswer(t, node.addr(), testkit.EnqueueRequest("out", ofPayout, ""), "+OK")
 	p.Next(t)
-	mustAnswer(t, node.addr(), testkit.Enqueue("held", "c=payout,d=50000,dest=8", ""), "+OK")
-	idle, idleR := testkit.DialTest(t, node.addr())
-	testkit.MustSay(t, idle, idleR, testkit.Resp("PING"), "+PONG")
-	half, halfR := testkit.DialTest(t, node.addr())
-	text := testkit.Enqueue("half", ofStatus, "body")
+	mustAnswer(t, node.addr(), testkit.EnqueueRequest("held", "c=payout,d=50000,dest=8", ""), "+OK")
+	idle, idleR := testkit.Dial(t, node.addr())
+	testkit.MustExchange(t, idle, idleR, testkit.EncodeRESP("PING"), "+PONG")
+	half, halfR := testkit.Dial(t, node.addr())
+	text := testkit.EnqueueRequest("half", ofStatus, "body")
 	if _, err := io.WriteString(half, text[:30]); err != nil {
 		t.Fatal(err)
 	}
@@ -176,9 +176,9 @@
 	if old.ready(t) {
 		t.Error("both say that they serve")
 	}
-	testkit.MustSay(t, half, halfR, text[30:], "+OK")
-	testkit.MustSay(t, idle, idleR, testkit.Enqueue("out", ofPayout, ""), "+OK") // taken on before: no second effect
-	testkit.MustSay(t, idle, idleR, testkit.Enqueue("held", "c=payout,d=50000,dest=8", ""), "+OK")
+	testkit.MustExchange(t, half, halfR, text[30:], "+OK")
+	testkit.MustExchange(t, idle, idleR, testkit.EnqueueRequest("out", ofPayout, ""), "+OK") // taken on before: no second effect
+	testkit.MustExchange(t, idle, idleR, testkit.EnqueueRequest("held", "c=payout,d=50000,dest=8", ""), "+OK")
 	mustFigure(t, next.door, "router.active", "3|g")
 	mustFigure(t, old.door, "router.active", "0|g")
 	close(answer)
@@ -188,8 +188,8 @@
 	mustFigure(t, next.door, "router.ok.payout", "1|c")
 	mustFigure(t, next.door, "router.ok.status", "1|c")
 	old.term(t)
-	testkit.MustSay(t, idle, idleR, testkit.Resp("PING"), "+PONG")
-	testkit.MustSay(t, half, halfR, testkit.Resp("PING"), "+PONG")
+	testkit.MustExchange(t, idle, idleR, testkit.EncodeRESP("PING"), "+PONG")
+	testkit.MustExchange(t, half, halfR, testkit.EncodeRESP("PING"), "+PONG")
 	r.tell(listOf(2, false, serving("f", p.Addr(), 8, "SERVING")))
 	if got := p.Next(t).Header.Get("X-Trace-Id"); got != "held" {
 		t.Errorf("got a call for %q", got)
@@ -205,14 +205,14 @@
 // Clients go on handing in messages over several upgrades: none is turned away or unheard, each is delivered once.
 func TestUpgradesUnderLoad(t *testing.T) {
 	t.Parallel()
-	p, r := testkit.NewPartner(t, testkit.Says(testkit.Delivered)), newRegistry(t)
+	p, r := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newRegistry(t)
 	node := newPlatform(t, r, serving("e", p.Addr(), 7, "SERVING"))
 	process := node.serve()
 	stop := make(chan struct{})
 	go func() { // the endpoint waits for whoever takes note of its calls
 		for {
 			select {
-			case <-p.Came:
+			case <-p.Received:
 			case <-t.Context().Done():
 				return
 			}
@@ -222,14 +222,14 @@
 	sent := make([]int, 4)
 	for w := range sent {
 		load.Go(func() {
-			nc, br := testkit.DialTest(t, node.addr())
+			nc, br := testkit.Dial(t, node.addr())
 			for {
 				select {
 				case <-stop:
 					return
 				default:
 				}
-				if _, err := io.WriteString(nc, testkit.Enqueue(fmt.Sprint(w, "-", sent[w]), ofPayout, "body")); err != nil {
+				if _, err := io.WriteString(nc, testkit.EnqueueRequest(fmt.Sprint(w, "-", sent[w]), ofPayout, "body")); err != nil {
 					t.Error(err)
 					return
 				}
@@ -276,24 +276,24 @@
 // What operators have told outlasts an upgrade, a drain too; orders reach the node at either door.
 func TestOrdersOutlastAnUpgrade(t *testing.T) {
 	t.Parallel()
-	p, r := testkit.NewPartner(t, testkit.Says(testkit.Delivered)), newRegistry(t)
+	p, r := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newRegistry(t)
 	node := newPlatform(t, r, serving("e", p.Addr(), 7, "SERVING"))
 	old := node.serve()
-	testkit.MustOperate(t, old.door, "PUT", "/ops/endpoints/down?id=e", 204)
-	testkit.MustOperate(t, old.door, "PUT", "/ops/drain/start", 204)
+	testkit.MustCallAdmin(t, old.door, "PUT", "/ops/endpoints/down?id=e", 204)
+	testkit.MustCallAdmin(t, old.door, "PUT", "/ops/drain/start", 204)
 	next := node.serve()
 	mustFigure(t, next.door, "router.pool_ejected", "1|g")
-	if got := testkit.Ask(t, node.addr(), testkit.Resp("PING")); got == "+PONG" {
+	if got := testkit.Exchange(t, node.addr(), testkit.EncodeRESP("PING")); got == "+PONG" {
 		t.Error("the drain is lost")
 	}
-	testkit.MustOperate(t, old.door, "PUT", "/ops/endpoints/up?id=nobody", 404)
-	testkit.MustOperate(t, old.door, "PUT", "/ops/drain/stop", 204)
-	mustAnswer(t, node.addr(), testkit.Resp("PING"), "+PONG")
-	mustAnswer(t, node.addr(), testkit.Enqueue("a", ofStatus, ""), "+OK")
+	testkit.MustCallAdmin(t, old.door, "PUT", "/ops/endpoints/up?id=nobody", 404)
+	testkit.MustCallAdmin(t, old.door, "PUT", "/ops/drain/stop", 204)
+	mustAnswer(t, node.addr(), testkit.EncodeRESP("PING"), "+PONG")
+	mustAnswer(t, node.addr(), testkit.EnqueueRequest("a", ofStatus, ""), "+OK")
 	if calls, _ := p.Counts(); calls != 0 {
 		t.Errorf("%d calls at an endpoint that is out", calls)
 	}
-	testkit.MustOperate(t, old.door, "PUT", "/ops/endpoints/up?id=e", 204)
+	testkit.MustCallAdmin(t, old.door, "PUT", "/ops/endpoints/up?id=e", 204)
 	p.Next(t)
 	old.term(t)
 }
@@ -305,14 +305,14 @@
 	for _, after := range []bool{false, true} {
 		t.Run(fmt.Sprint("after the handover ", after), func(t *testing.T) {
 			t.Parallel()
-			p, r := testkit.NewPartner(t, testkit.Silent), newRegistry(t)
+			p, r := testkit.NewPartner(t, testkit.NeverRespond), newRegistry(t)
 			node := newPlatform(t, r, serving("e", p.Addr(), 7, "SERVING"))
 			old := node.serve()
-			mustAnswer(t, node.addr(), testkit.Enqueue("unsafe", ofPayout, ""), "+OK")
+			mustAnswer(t, node.addr(), testkit.EnqueueRequest("unsafe", ofPayout, ""), "+OK")
 			p.Next(t)
-			mustAnswer(t, node.addr(), testkit.Enqueue("safe", ofStatus, ""), "+OK")
+			mustAnswer(t, node.addr(), testkit.EnqueueRequest("safe", ofStatus, ""), "+OK")
 			p.Next(t)
-			testkit.MustOperate(t, old.door, "PUT", "/ops/drain/start", 204)
+			testkit.MustCallAdmin(t, old.door, "PUT", "/ops/drain/start", 204)
 			var next *process
 			if after {
 				next = node.serve()
@@ -332,7 +332,7 @@
 			if got := p.Next(t).Header.Get("X-Trace-Id"); got != "safe" {
 				t.Errorf("got a call for %q", got)
 			}
-			if got := testkit.Ask(t, node.addr(), testkit.Resp("PING")); got == "+PONG" {
+			if got := testkit.Exchange(t, node.addr(), testkit.EncodeRESP("PING")); got == "+PONG" {
 				t.Error("the drain is lost")
 			}
 			mustFigure(t, next.door, "router.errors.payout", "1|c")
@@ -343,10 +343,10 @@
 // The new process ends, having served for a while or in the middle of the handover: the old one goes on.
 func TestNewProcessFails(t *testing.T) {
 	t.Parallel()
-	p, r := testkit.NewPartner(t, testkit.Says(testkit.Delivered)), newRegistry(t)
+	p, r := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newRegistry(t)
 	node := newPlatform(t, r, serving("e", p.Addr(), 7, "SERVING"), serving("f", "127.0.0.1:9", 8, "DRAINING"))
 	old := node.serve()
-	mustAnswer(t, node.addr(), testkit.Enqueue("a", "c=payout,d=50000,dest=8", ""), "+OK")
+	mustAnswer(t, node.addr(), testkit.EnqueueRequest("a", "c=payout,d=50000,dest=8", ""), "+OK")
 
 	// One that takes the state and is gone.
 	c, err := handover.Acquire(t.Context(), node.state, true)
@@ -357,23 +357,23 @@
 		t.Fatal(err)
 	}
 	testkit.Eventually(t, "the old one serves again", func() bool { return old.ready(t) })
-	mustAnswer(t, node.addr(), testkit.Enqueue("b", "c=payout,d=50000,dest=8", ""), "+OK")
+	mustAnswer(t, node.addr(), testkit.EnqueueRequest("b", "c=payout,d=50000,dest=8", ""), "+OK")
 
 	next := node.serve()
-	mustAnswer(t, node.addr(), testkit.Enqueue("c", ofPayout, ""), "+OK")
+	mustAnswer(t, node.addr(), testkit.EnqueueRequest("c", ofPayout, ""), "+OK")
 	p.Next(t)
-	testkit.MustOperate(t, next.door, "PUT", "/ops/endpoints/down?id=e", 204)
+	testkit.MustCallAdmin(t, next.door, "PUT", "/ops/endpoints/down?id=e", 204)
 	next.kill(t)
 	testkit.Eventually(t, "the old one serves again", func() bool { return old.ready(t) })
-	mustAnswer(t, node.addr(), testkit.Enqueue("a", "c=payout,d=50000,dest=8", ""), "+OK") // still known
-	mustAnswer(t, node.addr(), testkit.Enqueue("d", ofPayout, ""), "+OK")                  // for an endpoint that is out
+	mustAnswer(t, node.addr(), testkit.EnqueueRequest("a", "c=payout,d=50000,dest=8", ""), "+OK") // still known
+	mustAnswer(t, node.addr(), testkit.EnqueueRequest("d", ofPayout, ""), "+OK")                  // for an endpoint that is out
 	mustFigure(t, old.door, "router.active", "3|g")
 	r.tell(listOf(2, false, serving("f", p.Addr(), 8, "SERVING")))
 	seen := map[string]bool{}
 	for range 2 {
 		seen[p.Next(t).Header.Get("X-Trace-Id")] = true
 	}
-	testkit.MustOperate(t, old.door, "PUT", "/ops/endpoints/up?id=e", 204)
+	testkit.MustCallAdmin(t, old.door, "PUT", "/ops/endpoints/up?id=e", 204)
 	seen[p.Next(t).Header.Get("X-Trace-Id")] = true
 	if calls, _ := p.Counts(); len(seen) != 3 || seen["c"] || calls != 4 {
 		t.Errorf("sent afterwards: %v, of %d calls", seen, calls)
--- a/internal/nowait/nowait_test.go
+++ b/internal/nowait/nowait_test.go
@@ -31,10 +31,10 @@
 		}, syscall.ECONNRESET, 0},
 	} {
 		for deadline, at := range map[string]time.Time{"none": {}, "one that has passed": time.Unix(1, 0)} {
-			near, far := testkit.Pair(t)
+			near, far := testkit.TCPPair(t)
 			c.peer(t, far)
 			if name != "nothing" {
-				testkit.Queued(t, near)
+				testkit.WaitForPendingData(t, near)
 			}
 			if err := near.SetReadDeadline(at); err != nil {
 				t.Fatal(err)
--- a/internal/testkit/sockets.go
+++ b/internal/testkit/sockets.go
@@ -15,7 +15,7 @@
 )
 
 // Pair is a connection on loopback, both ends of it.
-func Pair(t *testing.T) (near, far *net.TCPConn) {
+func TCPPair(t *testing.T) (near, far *net.TCPConn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -38,7 +38,7 @@
 }
 
 // Queued waits until bytes, an end or a reset lie in a socket, and leaves them there.
-func Queued(t *testing.T, nc syscall.Conn) {
+func WaitForPendingData(t *testing.T, nc syscall.Conn) {
 	t.Helper()
 	raw, err := nc.SyscallConn()
 	if err != nil {
@@ -48,7 +48,7 @@
 		var peeked error
 		err := raw.Control(func(fd uintptr) {
 			// MSG_PEEK takes a pending error away: a reset is known by the state of the connection instead.
-			if closed(int(fd)) {
+			if isReset(int(fd)) {
 				return
 			}
 			_, _, peeked = syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -58,7 +58,7 @@
 }
 
 // closed tells that the other side has reset the connection.
-func closed(fd int) bool {
+func isReset(fd int) bool {
 	state, err := syscall.GetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_INFO)
 	const tcpClose = 7
 	return err == nil && state&0xff == tcpClose
@@ -66,41 +66,41 @@
 
 // Stop is a connection that calls a function of the test's once, before its own side ends: at the half-close, or at the
 // close if that comes first.
-type Stop struct {
+type CloseHookConn struct {
 	*net.TCPConn
-	Ends func(nc *net.TCPConn)
-	once sync.Once
+	BeforeClose func(nc *net.TCPConn)
+	once        sync.Once
 }
 
 // CloseWrite ends the sending side.
-func (s *Stop) CloseWrite() error {
-	s.once.Do(func() { s.Ends(s.TCPConn) })
+func (s *CloseHookConn) CloseWrite() error {
+	s.once.Do(func() { s.BeforeClose(s.TCPConn) })
 	return s.TCPConn.CloseWrite()
 }
 
 // Close ends the connection.
-func (s *Stop) Close() error {
-	s.once.Do(func() { s.Ends(s.TCPConn) })
+func (s *CloseHookConn) Close() error {
+	s.once.Do(func() { s.BeforeClose(s.TCPConn) })
 	return s.TCPConn.Close()
 }
 
 // StopListener accepts connections that are Stops.
-type StopListener struct {
+type CloseHookListener struct {
 	*net.TCPListener
-	Ends func(nc *net.TCPConn)
+	BeforeClose func(nc *net.TCPConn)
 }
 
 // Accept waits for the next connection.
-func (l StopListener) Accept() (net.Conn, error) {
+func (l CloseHookListener) Accept() (net.Conn, error) {
 	nc, err := l.AcceptTCP()
 	if err != nil {
 		return nil, err
 	}
-	return &Stop{TCPConn: nc, Ends: l.Ends}, nil
+	return &CloseHookConn{TCPConn: nc, BeforeClose: l.BeforeClose}, nil
 }
 
 // Deaf is an address where connections never come up: its queue is full, and nobody accepts.
-func Deaf(t *testing.T) string {
+func UnresponsiveAddr(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -133,7 +133,7 @@
 }
 
 // Dialing counts this process's connections to addr that have not come up yet.
-func Dialing(t *testing.T, addr string) int {
+func CountPendingDials(t *testing.T, addr string) int {
 	t.Helper()
 	at, err := netip.ParseAddrPort(addr)
 	if err != nil {
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -17,17 +17,17 @@
 )
 
 // Patience is how long a test waits
-const Patience = 30 * time.Second // nothing is asserted of how fast
+const WaitTimeout = 30 * time.Second // nothing is asserted of how fast
 
 // Partner is an endpoint on a loopback socket. serve answers each request it reads; false closes the connection.
 type Partner struct {
 	ln    net.Listener
 	serve func(nc net.Conn, req *http.Request) bool
 
-	Mu    sync.Mutex
-	Calls []*http.Request
-	conns int
-	Came  chan *http.Request
+	Mu       sync.Mutex
+	Calls    []*http.Request
+	conns    int
+	Received chan *http.Request
 }
 
 // NewPartner serves until the test ends.
@@ -37,7 +37,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &Partner{ln: ln, serve: serve, Came: make(chan *http.Request, 1000)}
+	p := &Partner{ln: ln, serve: serve, Received: make(chan *http.Request, 1000)}
 	t.Cleanup(func() { ln.Close() })
 	go func() {
 		for {
@@ -49,13 +49,13 @@
 			p.conns++
 			p.Mu.Unlock()
 			t.Cleanup(func() { nc.Close() })
-			go p.converse(nc)
+			go p.serveConn(nc)
 		}
 	}()
 	return p
 }
 
-func (p *Partner) converse(nc net.Conn) {
+func (p *Partner) serveConn(nc net.Conn) {
 	defer nc.Close()
 	br := bufio.NewReader(nc)
 	for {
@@ -69,7 +69,7 @@
 		p.Mu.Lock()
 		p.Calls = append(p.Calls, req)
 		p.Mu.Unlock()
-		p.Came <- req
+		p.Received <- req
 		if !p.serve(nc, req) {
 			return
 		}
@@ -90,34 +90,34 @@
 func (p *Partner) Next(t *testing.T) *http.Request {
 	t.Helper()
 	select {
-	case req := <-p.Came:
+	case req := <-p.Received:
 		return req
-	case <-time.After(Patience):
+	case <-time.After(WaitTimeout):
 		t.Fatal("no call came")
 		return nil
 	}
 }
 
 // Says answers every request with text.
-func Says(text string) func(net.Conn, *http.Request) bool {
+func RespondWith(text string) func(net.Conn, *http.Request) bool {
 	return func(nc net.Conn, _ *http.Request) bool {
 		_, err := io.WriteString(nc, text)
 		return err == nil
 	}
 }
 
-const Delivered = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const DeliveredResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 // Silent takes a request and never answers.
-func Silent(nc net.Conn, _ *http.Request) bool {
+func NeverRespond(nc net.Conn, _ *http.Request) bool {
 	io.Copy(io.Discard, nc)
 	return false
 }
 
 // Eventually waits until ok says so, and fails the test if it never does.
-func Eventually(t *testing.T, what string, ok func() bool) {
+func Eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(Patience); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(WaitTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("never: " + what)
 		}
@@ -127,21 +127,21 @@
 var TestNames = wire.Names{Classes: []string{"notice"}, Tenants: []string{"acme", "globex"}}
 
 // DialTest connects to a node as a client.
-func DialTest(t *testing.T, addr string) (net.Conn, *bufio.Reader) {
+func Dial(t *testing.T, addr string) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { nc.Close() })
-	if err := nc.SetDeadline(time.Now().Add(Patience)); err != nil {
+	if err := nc.SetDeadline(time.Now().Add(WaitTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	return nc, bufio.NewReader(nc)
 }
 
 // Resp writes words as an array of bulk strings.
-func Resp(words ...string) string {
+func EncodeRESP(words ...string) string {
 	var b strings.Builder
 	b.WriteString("*" + strconv.Itoa(len(words)) + "\r\n")
 	for _, w := range words {
@@ -151,12 +151,14 @@
 }
 
 // Enqueue is the request that hands one message in.
-func Enqueue(id, fields, body string) string { return Resp("ENQUEUE", "0000", id, fields, body) }
+func EnqueueRequest(id, fields, body string) string {
+	return EncodeRESP("ENQUEUE", "0000", id, fields, body)
+}
 
 // Ask sends text on a connection of its own and returns the first line of the answer.
-func Ask(t *testing.T, addr, text string) string {
+func Exchange(t *testing.T, addr, text string) string {
 	t.Helper()
-	nc, br := DialTest(t, addr)
+	nc, br := Dial(t, addr)
 	if _, err := io.WriteString(nc, text); err != nil {
 		t.Fatal(err)
 	}
@@ -168,7 +170,7 @@
 }
 
 // MustSay sends text and fails the test unless the next line is want.
-func MustSay(t *testing.T, w io.Writer, br *bufio.Reader, text, want string) {
+func MustExchange(t *testing.T, w io.Writer, br *bufio.Reader, text, want string) {
 	t.Helper()
 	if _, err := io.WriteString(w, text); err != nil {
 		t.Fatal(err)
@@ -179,9 +181,9 @@
 }
 
 // Operate makes one call at a door and returns its status and body.
-func Operate(t *testing.T, door, method, path string) (int, string) {
+func CallAdmin(t *testing.T, addr, method, path string) (int, string) {
 	t.Helper()
-	req, err := http.NewRequest(method, "http://"+door+path, nil)
+	req, err := http.NewRequest(method, "http://"+addr+path, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -199,9 +201,9 @@
 }
 
 // MustOperate makes one call at a door and fails the test unless it has this status.
-func MustOperate(t *testing.T, door, method, path string, want int) {
+func MustCallAdmin(t *testing.T, addr, method, path string, want int) {
 	t.Helper()
-	if got, body := Operate(t, door, method, path); got != want {
+	if got, body := CallAdmin(t, addr, method, path); got != want {
 		t.Fatalf("%s %s: got %d %q, want %d", method, path, got, body, want)
 	}
 }
