--- a/cmd/harrierramp/constants_test.go
+++ b/cmd/harrierramp/constants_test.go
@@ -16,12 +16,12 @@
 // Formats and exit statuses bear on no time, count or share.
 var noFigures = map[string]string{
 	"choice":              "noteAsk noteGrant noteEnd noteHand noteCold noteSize",
-	"internal/acts":       "Format sumBytes",
+	"internal/auditlog":   "Format checksumLen",
 	"internal/cli":        "exitFailed exitUsage epochShift",
 	"internal/journal":    "recordHead",
-	"internal/membership": "Magic version headSize digestWidth",
+	"internal/membership": "Magic version headerSize digestWidth",
 	"internal/statedir":   "Format",
-	"internal/straggler":  "Magic version wordSize",
+	"internal/staleness":  "Magic version datagramSize",
 }
 
 // docs/constants.md has each constant of the decisions and of the node's packages, with its value, and no others.
--- a/internal/turns/turns_test.go
+++ b/internal/admission/admission_test.go
@@ -1,4 +1,4 @@
-package turns
+package admission
 
 import (
 	"container/heap"
@@ -32,51 +32,51 @@
 }
 
 // storm is what came of a start.
-type storm struct {
-	asks, busiest, told int
-	last                time.Duration // the last member was served so long after the server came
-	early               int           // members that came sooner than they were told
+type startOutcome struct {
+	requests, busiest, deferred int
+	lastServed                  time.Duration // the last member was served so long after the server came
+	earlyRetries                int           // members that came sooner than they were told
 }
 
 // play has a fleet start within a span while its server comes late. turned members keep their turns; others ask at once
 // and then do as they are told.
-func play(seed uint64, fleet int, span, late time.Duration, turned bool) (s storm) {
+func simulateStart(seed uint64, fleet int, startSpread, serverDelay time.Duration, paced bool) (s startOutcome) {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	g := NewGate(testRate, 1)
+	g := NewLimiter(testRate, 1)
 	var q queue
-	turns, held := make([]*Turn, fleet), make([]uint64, fleet)
-	due := make([]time.Duration, fleet)
+	pacers, reservations := make([]*Pacer, fleet), make([]uint64, fleet)
+	notBefore := make([]time.Duration, fleet)
 	for i := range fleet {
-		turns[i] = NewTurn(fleet, i, rng)
-		at := time.Duration(rng.Float64() * float64(span))
-		if turned {
-			at += turns[i].First()
+		pacers[i] = NewPacer(fleet, i, rng)
+		at := time.Duration(rng.Float64() * float64(startSpread))
+		if paced {
+			at += pacers[i].InitialDelay()
 		}
 		heap.Push(&q, event{at, i})
 	}
 	var times []time.Duration
 	for q.Len() > 0 {
 		e := heap.Pop(&q).(event)
-		if e.at < due[e.member] {
-			s.early++
+		if e.at < notBefore[e.member] {
+			s.earlyRetries++
 		}
 		times = append(times, e.at)
-		if e.at < late {
-			heap.Push(&q, event{e.at + turns[e.member].Again(0), e.member})
+		if e.at < serverDelay {
+			heap.Push(&q, event{e.at + pacers[e.member].RetryDelay(0), e.member})
 			continue
 		}
-		ok, wait, turn := g.Ask(e.at, Whole, held[e.member])
+		ok, wait, reservation := g.Admit(e.at, FullList, reservations[e.member])
 		if ok {
-			s.last = e.at - late
+			s.lastServed = e.at - serverDelay
 			continue
 		}
-		s.told++
-		held[e.member] = turn
-		d, _ := turns[e.member].Told(wait)
-		due[e.member] = e.at + wait
+		s.deferred++
+		reservations[e.member] = reservation
+		d, _ := pacers[e.member].RetryAfter(wait)
+		notBefore[e.member] = e.at + wait
 		heap.Push(&q, event{e.at + d, e.member})
 	}
-	s.asks = len(times)
+	s.requests = len(times)
 	for i, from := 0, 0; i < len(times); i++ {
 		for times[i]-times[from] >= time.Second {
 			from++
@@ -88,18 +88,18 @@
 
 // Whatever the size of a fleet, and however late its server, the asks of a second stay under the server's rate, and the
 // last member is served after a time that follows from size and rate alone.
-func TestAStartTakesTurns(t *testing.T) {
+func TestPacedStartStaysUnderRate(t *testing.T) {
 	for _, fleet := range []int{1, 10, 100, 200, 300, 1000, 3000, 10_000} {
 		for _, late := range []time.Duration{0, 5 * time.Second, time.Minute} {
 			t.Run(fmt.Sprintf("%d members, server after %v", fleet, late), func(t *testing.T) {
 				for seed := range uint64(3) {
-					s := play(seed, fleet, 500*time.Millisecond, late, true)
-					bound := 500*time.Millisecond + 2*max(LeastCycle, time.Duration(fleet)*Spacing)*6/10
-					if s.busiest > testRate || s.last > bound || s.early > 0 {
-						t.Errorf("seed %d: %d asks in the busiest second, the last after %v of %v, %d told, %d early", seed, s.busiest, s.last, bound, s.told, s.early)
+					s := simulateStart(seed, fleet, 500*time.Millisecond, late, true)
+					bound := 500*time.Millisecond + 2*max(MinCycle, time.Duration(fleet)*RequestSpacing)*6/10
+					if s.busiest > testRate || s.lastServed > bound || s.earlyRetries > 0 {
+						t.Errorf("seed %d: %d asks in the busiest second, the last after %v of %v, %d told, %d early", seed, s.busiest, s.lastServed, bound, s.deferred, s.earlyRetries)
 					}
 					if seed == 0 {
-						t.Logf("%d asks, %d in the busiest second, %d told, the last after %v", s.asks, s.busiest, s.told, s.last)
+						t.Logf("%d asks, %d in the busiest second, %d told, the last after %v", s.requests, s.busiest, s.deferred, s.lastServed)
 					}
 				}
 			})
@@ -108,39 +108,39 @@
 }
 
 // Members that know nothing of turns and all ask in the same moment are served at the rate all the same.
-func TestTheGateAloneGivesEachATurn(t *testing.T) {
+func TestLimiterServesUnpacedStartAtRate(t *testing.T) {
 	for _, fleet := range []int{300, 3000, 10_000} {
-		s := play(7, fleet, time.Millisecond, 0, false)
+		s := simulateStart(7, fleet, time.Millisecond, 0, false)
 		ideal := time.Duration(float64(fleet) / testRate * float64(time.Second))
-		t.Logf("%d members: %d asks, the last after %v, at best %v", fleet, s.asks, s.last, ideal)
-		if s.last > ideal*11/10+300*time.Millisecond || s.asks > 3*fleet {
-			t.Errorf("%d members: %d asks, the last after %v", fleet, s.asks, s.last)
+		t.Logf("%d members: %d asks, the last after %v, at best %v", fleet, s.requests, s.lastServed, ideal)
+		if s.lastServed > ideal*11/10+300*time.Millisecond || s.requests > 3*fleet {
+			t.Errorf("%d members: %d asks, the last after %v", fleet, s.requests, s.lastServed)
 		}
 	}
 }
 
 // Whatever comes in whatever order, a gate serves no more whole lists than its rate and burst allow, gives no turn twice,
 // tells nobody a wait without sense, and lets renewals in while others wait.
-func TestTheGateHoldsItsRate(t *testing.T) {
+func TestLimiterNeverExceedsRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(1, 1000).Draw(t, "rate")
-		g := NewGate(rate, 1)
+		g := NewLimiter(rate, 1)
 		now, served, out := time.Duration(0), 0.0, map[uint64]bool{}
 		for range rapid.IntRange(1, 400).Draw(t, "asks") {
 			now += time.Duration(rapid.Int64Range(0, int64(50*time.Millisecond)).Draw(t, "pause"))
-			c := Class(rapid.IntRange(0, 2).Draw(t, "class"))
+			c := Priority(rapid.IntRange(0, 2).Draw(t, "class"))
 			held := uint64(rapid.IntRange(0, 60).Draw(t, "turn")) // also turns that were never given
-			ok, wait, turn := g.Ask(now, c, held)
+			ok, wait, turn := g.Admit(now, c, held)
 			switch {
 			case ok:
-				served += cost[c]
-			case wait < leastWait || wait > time.Minute+time.Duration(400/rate*float64(time.Second)):
+				served += requestCost[c]
+			case wait < minWait || wait > time.Minute+time.Duration(400/rate*float64(time.Second)):
 				t.Fatalf("told to wait %v", wait)
 			case turn != 0 && turn != held && out[turn]:
 				t.Fatalf("turn %d is given twice", turn)
 			}
 			out[turn] = true
-			if most := rate*now.Seconds() + g.burst()*(1+borrowFrom) + 1; served > most {
+			if most := rate*now.Seconds() + g.burst()*(1+renewalBorrowBursts) + 1; served > most {
 				t.Fatalf("%v served after %v, and %v at most", served, now, most)
 			}
 		}
@@ -148,16 +148,16 @@
 }
 
 // Renewals go before whole lists: in the middle of a storm they are let in.
-func TestRenewalsGoFirst(t *testing.T) {
-	g := NewGate(testRate, 1)
+func TestRenewalsAreAdmittedUnderLoad(t *testing.T) {
+	g := NewLimiter(testRate, 1)
 	refused := 0
 	for i := range 2000 {
 		now := time.Duration(i) * time.Millisecond
 		for range 3 {
-			g.Ask(now, Whole, 0)
+			g.Admit(now, FullList, 0)
 		}
 		if i%10 == 0 {
-			if ok, _, _ := g.Ask(now, Renewal, 0); !ok {
+			if ok, _, _ := g.Admit(now, Renewal, 0); !ok {
 				refused++
 			}
 		}
@@ -168,33 +168,33 @@
 }
 
 // A turn that nobody takes does not stay for ever, and no more are kept than the bound.
-func TestTurnsAreBounded(t *testing.T) {
-	g := NewGate(1, 1)
-	for range 2 * mostTurns {
-		g.Ask(0, Whole, 0)
+func TestReservationsAreBounded(t *testing.T) {
+	g := NewLimiter(1, 1)
+	for range 2 * maxReservations {
+		g.Admit(0, FullList, 0)
 	}
-	if g.Out() > mostTurns {
-		t.Errorf("%d turns are out", g.Out())
+	if g.Outstanding() > maxReservations {
+		t.Errorf("%d turns are out", g.Outstanding())
 	}
-	g.Ask(100*time.Hour, Whole, 0)
-	if g.Out() > 1 {
-		t.Errorf("%d turns are out long after their time", g.Out())
+	g.Admit(100*time.Hour, FullList, 0)
+	if g.Outstanding() > 1 {
+		t.Errorf("%d turns are out long after their time", g.Outstanding())
 	}
 }
 
 // What is told is heeded within its bounds, and what makes no sense is not.
-func TestWhatIsToldIsHeeded(t *testing.T) {
+func TestPacerDelaysStayInBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		turn := NewTurn(rapid.IntRange(-5, 20_000).Draw(t, "fleet"), rapid.IntRange(-5, 20_000).Draw(t, "number"), rand.New(rand.NewPCG(1, 2)))
+		turn := NewPacer(rapid.IntRange(-5, 20_000).Draw(t, "fleet"), rapid.IntRange(-5, 20_000).Draw(t, "number"), rand.New(rand.NewPCG(1, 2)))
 		wait := time.Duration(rapid.Int64().Draw(t, "wait"))
-		d, ok := turn.Told(wait)
-		if sense := wait > 0 && wait <= MostTold; ok != sense || sense && (d < wait || d > 2*wait) || d <= 0 || d > 2*max(MostTold, turn.Cycle()) {
+		d, ok := turn.RetryAfter(wait)
+		if sense := wait > 0 && wait <= MaxRetryAfter; ok != sense || sense && (d < wait || d > 2*wait) || d <= 0 || d > 2*max(MaxRetryAfter, turn.Cycle()) {
 			t.Fatalf("told %v, it waits %v, %v", wait, d, ok)
 		}
-		if first := turn.First(); first < 0 || first > turn.Cycle() {
+		if first := turn.InitialDelay(); first < 0 || first > turn.Cycle() {
 			t.Fatalf("first after %v of %v", first, turn.Cycle())
 		}
-		if again := turn.Again(wait); again <= 0 || again > turn.Cycle()*3/2 {
+		if again := turn.RetryDelay(wait); again <= 0 || again > turn.Cycle()*3/2 {
 			t.Fatalf("again after %v of %v", again, turn.Cycle())
 		}
 	})
--- a/internal/turns/turn.go
+++ b/internal/admission/pacer.go
@@ -1,4 +1,4 @@
-package turns
+package admission
 
 import (
 	"math"
@@ -9,26 +9,26 @@
 const (
 	// Spacing is between the asks of a fleet whose members all want the same at the same moment. A server's rate has to
 	// be above one ask a Spacing; the share between is for chance.
-	Spacing = 5500 * time.Microsecond
+	RequestSpacing = 5500 * time.Microsecond
 	// LeastCycle is between the asks of one member, however small its fleet.
-	LeastCycle = 100 * time.Millisecond
+	MinCycle = 100 * time.Millisecond
 	// MostTold is the longest wait that a member lets itself be told. More is a fault of whoever told it.
-	MostTold = 5 * time.Minute
-	slack    = 100 * time.Millisecond // of chance on top of a wait that was told, and no more than the wait
+	MaxRetryAfter       = 5 * time.Minute
+	maxRetryAfterJitter = 100 * time.Millisecond // of chance on top of a wait that was told, and no more than the wait
 )
 
 // Turn is when one member of a fleet asks for what all may want at once. Its place among the others follows from its
 // number, so that their asks are evenly apart and not merely apart on average; chance within the place keeps them from
 // coming in step with anything else.
-type Turn struct {
-	cycle time.Duration // from one ask to the next, of one member
-	place float64       // in the cycle, from 0 to 1
-	width float64       // of the place
-	rng   *rand.Rand
+type Pacer struct {
+	cycle      time.Duration // from one ask to the next, of one member
+	phase      float64       // in the cycle, from 0 to 1
+	phaseWidth float64       // of the place
+	rng        *rand.Rand
 }
 
 // NewTurn is for member number of so many; a number out of range is taken as any.
-func NewTurn(fleet, number int, rng *rand.Rand) *Turn {
+func NewPacer(fleet, number int, rng *rand.Rand) *Pacer {
 	fleet = max(fleet, 1)
 	number = ((number % fleet) + fleet) % fleet
 	// Neighbours by number often start one after the other. The golden ratio puts them far apart, and any run of
@@ -37,9 +37,9 @@
 	for gcd(stride, fleet) != 1 {
 		stride++
 	}
-	return &Turn{
-		cycle: max(LeastCycle, time.Duration(fleet)*Spacing), place: float64(number*stride%fleet) / float64(fleet),
-		width: 1 / float64(fleet), rng: rng,
+	return &Pacer{
+		cycle: max(MinCycle, time.Duration(fleet)*RequestSpacing), phase: float64(number*stride%fleet) / float64(fleet),
+		phaseWidth: 1 / float64(fleet), rng: rng,
 	}
 }
 
@@ -51,25 +51,25 @@
 }
 
 // Cycle is the time in which each member of the fleet has its turn once.
-func (t *Turn) Cycle() time.Duration { return t.cycle }
+func (t *Pacer) Cycle() time.Duration { return t.cycle }
 
 // First is how long to wait after something that all members notice at the same moment: a start of the whole fleet, or
 // the end of a server.
-func (t *Turn) First() time.Duration {
-	return time.Duration((t.place + t.width*t.rng.Float64()) * float64(t.cycle))
+func (t *Pacer) InitialDelay() time.Duration {
+	return time.Duration((t.phase + t.phaseWidth*t.rng.Float64()) * float64(t.cycle))
 }
 
 // Again is how long to wait after an ask that has failed, and took so long.
-func (t *Turn) Again(took time.Duration) time.Duration {
-	shift := time.Duration((t.rng.Float64() - 0.5) * t.width * float64(t.cycle))
-	return max(t.cycle+shift-max(took, 0), min(t.cycle, LeastCycle)/2)
+func (t *Pacer) RetryDelay(took time.Duration) time.Duration {
+	jitter := time.Duration((t.rng.Float64() - 0.5) * t.phaseWidth * float64(t.cycle))
+	return max(t.cycle+jitter-max(took, 0), min(t.cycle, MinCycle)/2)
 }
 
 // Told is how long to wait after an ask that was told to come after a wait: never less, and at most twice that. ok is
 // whether the wait makes sense; if not, the member goes by its own cycle.
-func (t *Turn) Told(wait time.Duration) (d time.Duration, ok bool) {
-	if wait <= 0 || wait > MostTold {
-		return t.Again(0), false
+func (t *Pacer) RetryAfter(wait time.Duration) (d time.Duration, ok bool) {
+	if wait <= 0 || wait > MaxRetryAfter {
+		return t.RetryDelay(0), false
 	}
-	return wait + time.Duration(t.rng.Float64()*float64(min(wait, slack))), true
+	return wait + time.Duration(t.rng.Float64()*float64(min(wait, maxRetryAfterJitter))), true
 }
--- a/internal/acts/audit.go
+++ b/internal/auditlog/audit.go
@@ -1,4 +1,4 @@
-package acts
+package auditlog
 
 import (
 	"cmp"
@@ -24,7 +24,7 @@
 }
 
 // Fuller is the one of two servers' histories that knows more: the later list, and of the same the more changes.
-func Fuller(a, b History) History {
+func MoreComplete(a, b History) History {
 	if cmp.Or(cmp.Compare(b.Head, a.Head), cmp.Compare(len(b.Changes), len(a.Changes))) > 0 {
 		return b
 	}
@@ -36,22 +36,22 @@
 // Finding is the calls of one process of a node at an endpoint, by one version of the list, after that endpoint had been
 // withdrawn or drained and the grace was over.
 type Finding struct {
-	Node     string `json:"node"`
-	Life     uint32 `json:"life"`
-	Endpoint string `json:"endpoint"`
-	Revision int64  `json:"revision"` // that the calls rest on
-	Gone     int64  `json:"gone"`     // the revision that withdrew it
-	Calls    int    `json:"calls"`    // surely made, and surely late
-	Unsure   int    `json:"unsure"`   // that may not have been made, or not late
-	LastMS   int64  `json:"last_ms"`  // the last of them, after the withdrawal
-	Why      string `json:"why"`      // the node's list was late, as it said itself
+	Node              string `json:"node"`
+	Incarnation       uint32 `json:"life"`
+	Endpoint          string `json:"endpoint"`
+	Revision          int64  `json:"revision"` // that the calls rest on
+	WithdrawnRevision int64  `json:"gone"`     // the revision that withdrew it
+	LateCalls         int    `json:"calls"`    // surely made, and surely late
+	UnsureCalls       int    `json:"unsure"`   // that may not have been made, or not late
+	LastMS            int64  `json:"last_ms"`  // the last of them, after the withdrawal
+	Reason            string `json:"why"`      // the node's list was late, as it said itself
 }
 
 // Unknown is something that the audit can't tell.
 type Unknown struct {
-	Node string `json:"node"`
-	Life uint32 `json:"life,omitempty"`
-	Text string `json:"text"`
+	Node        string `json:"node"`
+	Incarnation uint32 `json:"life,omitempty"`
+	Text        string `json:"text"`
 }
 
 // Report is what an audit finds.
@@ -63,19 +63,19 @@
 }
 
 // span is a time in which an endpoint was not to be called, by the service's clock; until is 0 for now.
-type span struct {
+type withdrawal struct {
 	revision, from, until int64
 }
 
 // spans are the times in which each endpoint was out.
-func (h History) spans() map[string][]span {
-	out := map[string][]span{}
+func (h History) withdrawals() map[string][]withdrawal {
+	out := map[string][]withdrawal{}
 	for _, c := range h.Changes {
 		all := out[c.ID]
 		gone := len(all) > 0 && all[len(all)-1].until == 0
 		switch {
 		case c.Phase != serving && !gone:
-			out[c.ID] = append(all, span{revision: c.Revision, from: c.AtMS})
+			out[c.ID] = append(all, withdrawal{revision: c.Revision, from: c.AtMS})
 		case c.Phase == serving && gone:
 			all[len(all)-1].until = max(c.AtMS, 1)
 		}
@@ -98,31 +98,31 @@
 }
 
 // Missing notes a node whose record can't be had, and why.
-func (a *Auditor) Missing(node, why string) { a.unknown(node, 0, "%s", why) }
+func (a *Auditor) AddMissing(node, why string) { a.addUnknown(node, 0, "%s", why) }
 
 // life is one process's part of a record.
-type life struct {
-	head   Head
-	calls  []callMade
-	open   map[int64]int // index of calls by number
-	offset int64         // the service's clock less the node's
-	err    int64         // of it, milliseconds; below 0 for not known
-	whys   []trouble
-	lost   int
-	last   int64 // moment on record
-	over   int64 // by when the process had ended, 0 for not known
+type processLog struct {
+	header      Header
+	calls       []call
+	pending     map[int64]int // index of calls by number
+	clockOffset int64         // the service's clock less the node's
+	clockError  int64         // of it, milliseconds; below 0 for not known
+	staleNotes  []staleNote
+	lostEntries int
+	lastMS      int64 // moment on record
+	endedMS     int64 // by when the process had ended, 0 for not known
 }
 
-type callMade struct {
+type call struct {
 	endpoint    string
 	revision    int64
 	from, until int64 // written between, node's clock; until 0 while the process may still write it
-	how         How
+	outcome     Outcome
 }
 
-type trouble struct {
-	at  int64
-	why string
+type staleNote struct {
+	at     int64
+	reason string
 }
 
 // Add takes a node's record in. A record that can't be read is told among what is unknown.
@@ -130,86 +130,86 @@
 	lines, damaged, err := Parse(raw)
 	a.report.Nodes++
 	if err != nil {
-		a.unknown(node, 0, "%v", err)
+		a.addUnknown(node, 0, "%v", err)
 		return
 	}
 	if damaged > 0 {
-		a.unknown(node, 0, "%d lines of its record are cut or flipped", damaged)
+		a.addUnknown(node, 0, "%d lines of its record are cut or flipped", damaged)
 	}
-	lives := map[uint32]*life{}
-	var now *life
+	processes := map[uint32]*processLog{}
+	var current *processLog
 	for _, l := range lines {
-		if l.Head != nil {
-			before := now
-			if now = lives[l.Head.Life]; now == nil && before != nil && l.AtMS >= before.last {
-				before.over = l.AtMS // a folder has one process at a time
+		if l.Header != nil {
+			previous := current
+			if current = processes[l.Header.Incarnation]; current == nil && previous != nil && l.AtMS >= previous.lastMS {
+				previous.endedMS = l.AtMS // a folder has one process at a time
 			}
-			if now == nil {
-				now = &life{head: *l.Head, open: map[int64]int{}, err: -1}
-				lives[l.Head.Life] = now
+			if current == nil {
+				current = &processLog{header: *l.Header, pending: map[int64]int{}, clockError: -1}
+				processes[l.Header.Incarnation] = current
 			}
 		}
-		if now == nil { // its head was damaged
+		if current == nil { // its head was damaged
 			continue
 		}
-		now.take(l)
+		current.add(l)
 	}
-	spans := a.History.spans()
-	for _, n := range slices.Sorted(maps.Keys(lives)) {
-		a.hold(lives[n], spans)
+	withdrawals := a.History.withdrawals()
+	for _, n := range slices.Sorted(maps.Keys(processes)) {
+		a.auditProcess(processes[n], withdrawals)
 	}
 }
 
-func (x *life) take(l Line) {
-	x.lost, x.last = x.lost+l.Lost, max(x.last, l.AtMS)
-	for _, b := range l.Begun {
-		x.open[b.Seq] = len(x.calls)
-		x.calls = append(x.calls, callMade{endpoint: b.Endpoint, revision: l.List, from: l.AtMS})
+func (x *processLog) add(l Entry) {
+	x.lostEntries, x.lastMS = x.lostEntries+l.LostEntries, max(x.lastMS, l.AtMS)
+	for _, b := range l.Starts {
+		x.pending[b.Seq] = len(x.calls)
+		x.calls = append(x.calls, call{endpoint: b.Endpoint, revision: l.Revision, from: l.AtMS})
 	}
-	for _, e := range l.Ended {
-		i, known := x.open[e.Seq]
+	for _, e := range l.Ends {
+		i, known := x.pending[e.Seq]
 		if !known {
 			continue
 		}
 		c := &x.calls[i]
-		if c.how = e.How; e.How != Unsent {
-			c.from, c.until = e.FromMS, e.FromMS+e.TookMS
+		if c.outcome = e.Outcome; e.Outcome != OutcomeUnsent {
+			c.from, c.until = e.WriteStartMS, e.WriteStartMS+e.WriteTookMS
 		}
-		delete(x.open, e.Seq)
+		delete(x.pending, e.Seq)
 	}
-	if s := l.Sync; s != nil {
+	if s := l.ClockSync; s != nil {
 		// The server read its clock between the exchange's beginning and its end.
-		if half := (s.TookMS + 1) / 2; x.err < 0 || half < x.err {
-			x.offset, x.err = s.ServerMS-(s.EndedMS-s.TookMS/2), half
+		if half := (s.TookMS + 1) / 2; x.clockError < 0 || half < x.clockError {
+			x.clockOffset, x.clockError = s.ServerMS-(s.EndedMS-s.TookMS/2), half
 		}
 	}
-	if l.Why != "" {
-		x.whys = append(x.whys, trouble{l.AtMS, l.Why})
+	if l.StaleReason != "" {
+		x.staleNotes = append(x.staleNotes, staleNote{l.AtMS, l.StaleReason})
 	}
 }
 
 // why is the last trouble up to a moment.
-func (x *life) why(at int64) string {
+func (x *processLog) staleReasonAt(at int64) string {
 	why := "not told"
-	for _, t := range x.whys {
+	for _, t := range x.staleNotes {
 		if t.at <= at {
-			why = t.why
+			why = t.reason
 		}
 	}
 	return why
 }
 
-func (a *Auditor) unknown(node string, n uint32, format string, args ...any) {
+func (a *Auditor) addUnknown(node string, n uint32, format string, args ...any) {
 	a.report.Unknown = append(a.report.Unknown, Unknown{node, n, fmt.Sprintf(format, args...)})
 }
 
 // hold looks at every call of a life.
-func (a *Auditor) hold(x *life, spans map[string][]span) {
-	if x.lost > 0 {
-		a.unknown(x.head.Node, x.head.Life, "%d lines could not be written", x.lost)
+func (a *Auditor) auditProcess(p *processLog, withdrawals map[string][]withdrawal) {
+	if p.lostEntries > 0 {
+		a.addUnknown(p.header.Node, p.header.Incarnation, "%d lines could not be written", p.lostEntries)
 	}
-	if x.err < 0 && len(x.calls) > 0 {
-		a.unknown(x.head.Node, x.head.Life, "its clock was never set against the service's: %d calls", len(x.calls))
+	if p.clockError < 0 && len(p.calls) > 0 {
+		a.addUnknown(p.header.Node, p.header.Incarnation, "its clock was never set against the service's: %d calls", len(p.calls))
 		return
 	}
 	type key struct {
@@ -217,46 +217,46 @@
 		revision, gone int64
 	}
 	found := map[key]*Finding{}
-	early := 0
-	grace, slack := a.Grace.Milliseconds(), a.Slack.Milliseconds()+x.err
-	for _, c := range x.calls {
+	untraceable := 0
+	grace, slack := a.Grace.Milliseconds(), a.Slack.Milliseconds()+p.clockError
+	for _, c := range p.calls {
 		a.report.Calls++
 		if c.until == 0 {
-			c.until = x.over
+			c.until = p.endedMS
 		}
-		if c.how == Unsent || c.from+x.offset < a.SinceMS {
+		if c.outcome == OutcomeUnsent || c.from+p.clockOffset < a.SinceMS {
 			continue
 		}
 		if c.revision < a.History.Floor {
-			early++
+			untraceable++
 		}
-		for _, s := range spans[c.endpoint] {
-			verdict, last := c.judge(s, x.offset, grace, slack)
+		for _, w := range withdrawals[c.endpoint] {
+			verdict, last := c.classify(w, p.clockOffset, grace, slack)
 			if verdict == inTime {
 				continue
 			}
-			k := key{c.endpoint, c.revision, s.revision}
+			k := key{c.endpoint, c.revision, w.revision}
 			f := found[k]
 			if f == nil {
 				f = &Finding{
-					Node: x.head.Node, Life: x.head.Life, Endpoint: c.endpoint, Revision: c.revision, Gone: s.revision, Why: x.why(c.from),
+					Node: p.header.Node, Incarnation: p.header.Incarnation, Endpoint: c.endpoint, Revision: c.revision, WithdrawnRevision: w.revision, Reason: p.staleReasonAt(c.from),
 				}
-				if c.revision >= s.revision {
-					f.Why = "it knew"
+				if c.revision >= w.revision {
+					f.Reason = "it knew"
 				}
 				found[k] = f
 			}
 			if verdict == late {
-				f.Calls++
+				f.LateCalls++
 				f.LastMS = max(f.LastMS, last)
 			} else {
-				f.Unsure++
+				f.UnsureCalls++
 			}
 			break
 		}
 	}
-	if early > 0 {
-		a.unknown(x.head.Node, x.head.Life, "%d calls rest on lists that the service no longer remembers", early)
+	if untraceable > 0 {
+		a.addUnknown(p.header.Node, p.header.Incarnation, "%d calls rest on lists that the service no longer remembers", untraceable)
 	}
 	for _, f := range found {
 		a.report.Findings = append(a.report.Findings, *f)
@@ -272,7 +272,7 @@
 )
 
 // judge holds a call against a time in which its endpoint was out, and tells how long after the withdrawal it was made.
-func (c callMade) judge(s span, offset, grace, slack int64) (verdict, int64) {
+func (c call) classify(s withdrawal, offset, grace, slack int64) (verdict, int64) {
 	from, until := c.from+offset, c.until+offset
 	if c.until == 0 { // from its beginning on, nobody knows when it was written, if it was
 		until = 1 << 62
@@ -284,7 +284,7 @@
 	switch {
 	case until+slack < begins || from-slack > ends:
 		return inTime, 0
-	case from-slack > begins && until+slack < ends && c.how == Answered:
+	case from-slack > begins && until+slack < ends && c.outcome == OutcomeAnswered:
 		return late, until - s.from
 	}
 	return unsure, 0
@@ -293,10 +293,12 @@
 // Report ends the audit: findings in the order of revisions, then nodes.
 func (a *Auditor) Report() Report {
 	slices.SortFunc(a.report.Findings, func(x, y Finding) int {
-		return cmp.Or(cmp.Compare(x.Gone, y.Gone), cmp.Compare(x.Node, y.Node), cmp.Compare(x.Life, y.Life),
+		return cmp.Or(cmp.Compare(x.WithdrawnRevision, y.WithdrawnRevision), cmp.Compare(x.Node, y.Node), cmp.Compare(x.Incarnation, y.Incarnation),
 			cmp.Compare(x.Revision, y.Revision), cmp.Compare(x.Endpoint, y.Endpoint))
 	})
-	slices.SortStableFunc(a.report.Unknown, func(x, y Unknown) int { return cmp.Or(cmp.Compare(x.Node, y.Node), cmp.Compare(x.Life, y.Life)) })
+	slices.SortStableFunc(a.report.Unknown, func(x, y Unknown) int {
+		return cmp.Or(cmp.Compare(x.Node, y.Node), cmp.Compare(x.Incarnation, y.Incarnation))
+	})
 	if a.report.Findings == nil {
 		a.report.Findings = []Finding{}
 	}
--- a/internal/acts/acts_test.go
+++ b/internal/auditlog/auditlog_test.go
@@ -1,4 +1,4 @@
-package acts
+package auditlog
 
 import (
 	"errors"
@@ -15,20 +15,20 @@
 )
 
 // clock is a clock that a test moves.
-type clock struct{ at time.Time }
+type fakeClock struct{ at time.Time }
 
-func (c *clock) now() time.Time { return c.at }
+func (c *fakeClock) now() time.Time { return c.at }
 
-func open(t testing.TB, dir string, most int64, life uint32, c *clock) *Record {
+func openLog(t testing.TB, dir string, most int64, life uint32, c *fakeClock) *Log {
 	t.Helper()
-	r, err := Open(dir, most, Head{Node: "n", Life: life}, c.now)
+	r, err := Open(dir, most, Header{Node: "n", Incarnation: life}, c.now)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-func readBack(t testing.TB, dir string) ([]Line, int) {
+func readBack(t testing.TB, dir string) ([]Entry, int) {
 	t.Helper()
 	raw, err := ReadDir(dir)
 	if err != nil {
@@ -43,12 +43,12 @@
 
 // What was written is read again after a kill: of a process that never closed its record, with a line torn at its end,
 // and what the next process writes behind that.
-func TestARecordOutlastsAKill(t *testing.T) {
-	dir, c := t.TempDir(), &clock{time.UnixMilli(1_000_000)}
-	r := open(t, dir, 1<<20, 1, c)
-	want := []Line{
-		{List: 7, Begun: []Begun{{1, "e-1"}, {2, "e-2"}}},
-		{Ended: []Ended{{Seq: 1, How: Answered, FromMS: 1_000_003, TookMS: 1}}, Why: "a cut", Sync: &Sync{1_000_010, 1_000_000, 4}},
+func TestLogSurvivesKill(t *testing.T) {
+	dir, c := t.TempDir(), &fakeClock{time.UnixMilli(1_000_000)}
+	r := openLog(t, dir, 1<<20, 1, c)
+	want := []Entry{
+		{Revision: 7, Starts: []CallStart{{1, "e-1"}, {2, "e-2"}}},
+		{Ends: []CallEnd{{Seq: 1, Outcome: OutcomeAnswered, WriteStartMS: 1_000_003, WriteTookMS: 1}}, StaleReason: "a cut", ClockSync: &ClockSync{1_000_010, 1_000_000, 4}},
 	}
 	for i := range want {
 		if err := r.Write(want[i]); err != nil {
@@ -56,7 +56,7 @@
 		}
 		want[i].AtMS = 1_000_000
 	}
-	path := filepath.Join(dir, NowName)
+	path := filepath.Join(dir, CurrentName)
 	whole, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -65,34 +65,34 @@
 		if err := os.WriteFile(path, whole[:len(whole)-cut], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		open(t, dir, 1<<20, 2, c).Close()
+		openLog(t, dir, 1<<20, 2, c).Close()
 		lines, damaged := readBack(t, dir)
 		kept := lines[1 : len(lines)-1]
 		if cut <= 1 && (damaged != 0 || !reflect.DeepEqual(kept, want)) || cut > 1 && (damaged != 1 || !reflect.DeepEqual(kept, want[:1])) {
 			t.Fatalf("%d bytes cut: %d damaged, %+v", cut, damaged, kept)
 		}
-		if h := lines[len(lines)-1].Head; h == nil || h.Life != 2 {
+		if h := lines[len(lines)-1].Header; h == nil || h.Incarnation != 2 {
 			t.Fatalf("%d bytes cut: the next process's head is %+v", cut, lines[len(lines)-1])
 		}
 	}
 }
 
 // However much is written, the files stay within their bound, each can be read by itself, and the newest lines stand.
-func TestARecordIsBounded(t *testing.T) {
-	dir, c := t.TempDir(), &clock{time.Now()}
+func TestLogSizeIsBounded(t *testing.T) {
+	dir, c := t.TempDir(), &fakeClock{time.Now()}
 	const most = 32 << 10
-	r := open(t, dir, most, 3, c)
+	r := openLog(t, dir, most, 3, c)
 	for i := range 5000 {
-		if err := r.Write(Line{List: 1, Begun: []Begun{{int64(i), "endpoint"}}}); err != nil {
+		if err := r.Write(Entry{Revision: 1, Starts: []CallStart{{int64(i), "endpoint"}}}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	lines, damaged := readBack(t, dir)
-	if last := lines[len(lines)-1]; damaged != 0 || len(last.Begun) != 1 || last.Begun[0].Seq != 4999 || lines[0].Head == nil {
+	if last := lines[len(lines)-1]; damaged != 0 || len(last.Starts) != 1 || last.Starts[0].Seq != 4999 || lines[0].Header == nil {
 		t.Errorf("%d damaged, first %+v, last %+v", damaged, lines[0], last)
 	}
 	size := int64(0)
-	for _, name := range []string{NowName, BeforeName} {
+	for _, name := range []string{CurrentName, PreviousName} {
 		info, err := os.Stat(filepath.Join(dir, name))
 		if err != nil {
 			t.Fatal(err)
@@ -103,47 +103,47 @@
 		t.Errorf("%d bytes, %d at most", size, most)
 	}
 	r.Close()
-	c.at = c.at.Add(MostAge + time.Hour)
-	open(t, dir, most, 4, c).Close()
-	if _, err := os.Stat(filepath.Join(dir, BeforeName)); !errors.Is(err, os.ErrNotExist) {
+	c.at = c.at.Add(MaxAge + time.Hour)
+	openLog(t, dir, most, 4, c).Close()
+	if _, err := os.Stat(filepath.Join(dir, PreviousName)); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("the older part is still there: %v", err)
 	}
 }
 
 // A line that can't be written is missing, and the next one says so.
-func TestALineThatCantBeWrittenIsCounted(t *testing.T) {
-	dir, c := t.TempDir(), &clock{time.Now()}
-	r := open(t, dir, 1<<20, 1, c)
-	good := r.f
-	bad, err := os.Open(filepath.Join(dir, NowName)) // for reading only
+func TestFailedWritesAreCounted(t *testing.T) {
+	dir, c := t.TempDir(), &fakeClock{time.Now()}
+	r := openLog(t, dir, 1<<20, 1, c)
+	good := r.file
+	bad, err := os.Open(filepath.Join(dir, CurrentName)) // for reading only
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.f = bad
+	r.file = bad
 	for range 2 {
-		if r.Write(Line{Why: "x"}) == nil {
+		if r.Write(Entry{StaleReason: "x"}) == nil {
 			t.Fatal("it is written")
 		}
 	}
 	bad.Close()
-	r.f = good
-	if err := r.Write(Line{Why: "y"}); err != nil {
+	r.file = good
+	if err := r.Write(Entry{StaleReason: "y"}); err != nil {
 		t.Fatal(err)
 	}
-	if lines, _ := readBack(t, dir); len(lines) != 2 || lines[1].Lost != 2 {
+	if lines, _ := readBack(t, dir); len(lines) != 2 || lines[1].LostEntries != 2 {
 		t.Errorf("%+v", lines)
 	}
 }
 
-func TestRecordsThatCantBeReadAreToldSo(t *testing.T) {
-	newer, err := Line{Head: &Head{Format: Format + 1, Node: "n", Life: 1}}.appendTo(nil)
+func TestUnreadableLogsAreReported(t *testing.T) {
+	newer, err := Entry{Header: &Header{Format: Format + 1, Node: "n", Incarnation: 1}}.appendEncoded(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for name, c := range map[string]struct {
 		raw  string
 		want error
-	}{"a later form": {string(newer), ErrNewer}, "nothing": {"", ErrNoHead}, "noise": {"deadbeef{}\nxx\n", ErrNoHead}} {
+	}{"a later form": {string(newer), ErrNewer}, "nothing": {"", ErrNoHeader}, "noise": {"deadbeef{}\nxx\n", ErrNoHeader}} {
 		if _, _, err := Parse([]byte(c.raw)); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", name, err)
 		}
@@ -156,20 +156,20 @@
 }
 
 // world plays a fleet with clocks hours apart in which endpoints come and go, and keeps the truth.
-type world struct {
-	history History
-	truth   map[auditKey]int
-	records map[string][]byte
+type simulation struct {
+	history   History
+	lateCalls map[callKey]int
+	records   map[string][]byte
 }
 
-type auditKey struct {
+type callKey struct {
 	node     string
 	endpoint string
 	revision int64
 }
 
-func play(rng *rand.Rand, nodes, calls int, grace int64) world {
-	w := world{truth: map[auditKey]int{}, records: map[string][]byte{}}
+func simulateFleet(rng *rand.Rand, nodes, calls int, grace int64) simulation {
+	w := simulation{lateCalls: map[callKey]int{}, records: map[string][]byte{}}
 	type state struct {
 		gone  int64 // when; 0 for there
 		known bool
@@ -180,12 +180,12 @@
 		names = append(names, fmt.Sprint("e", i))
 		endpoints[names[i]] = &state{}
 	}
-	lines := map[string][]Line{}
+	lines := map[string][]Entry{}
 	offset, heard, seq := map[string]int64{}, map[string]int64{}, int64(0)
 	for i := range nodes {
 		n := fmt.Sprint("n", i)
 		offset[n], heard[n] = rng.Int64N(10*3600_000)-5*3600_000, 1
-		lines[n] = []Line{{Head: &Head{Format: Format, Node: n, Life: 1}}}
+		lines[n] = []Entry{{Header: &Header{Format: Format, Node: n, Incarnation: 1}}}
 	}
 	w.history = History{Floor: 1, Head: 1}
 	for now := int64(50_000_000_000); calls > 0; now += 10 + rng.Int64N(200) {
@@ -205,60 +205,60 @@
 			heard[n] = w.history.Head
 		}
 		if rng.IntN(4) == 0 {
-			lines[n] = append(lines[n], Line{AtMS: at + rng.Int64N(3000), Sync: &Sync{now - rng.Int64N(20), at, 20}})
+			lines[n] = append(lines[n], Entry{AtMS: at + rng.Int64N(3000), ClockSync: &ClockSync{now - rng.Int64N(20), at, 20}})
 		}
 		id := names[rng.IntN(len(names))]
-		how := []How{Answered, Answered, Answered, Answered, Answered, Unsure, Unsent}[rng.IntN(7)]
+		how := []Outcome{OutcomeAnswered, OutcomeAnswered, OutcomeAnswered, OutcomeAnswered, OutcomeAnswered, OutcomeUnknown, OutcomeUnsent}[rng.IntN(7)]
 		seq++
 		calls--
-		lines[n] = append(lines[n], Line{AtMS: at, List: heard[n], Begun: []Begun{{seq, id}}})
+		lines[n] = append(lines[n], Entry{AtMS: at, Revision: heard[n], Starts: []CallStart{{seq, id}}})
 		if rng.IntN(20) > 0 {
-			lines[n] = append(lines[n], Line{AtMS: at + 5, Ended: []Ended{{seq, how, at, 2}}})
-		} else if how = Unsure; rng.IntN(2) == 0 {
-			how = Answered // a kill came between
+			lines[n] = append(lines[n], Entry{AtMS: at + 5, Ends: []CallEnd{{seq, how, at, 2}}})
+		} else if how = OutcomeUnknown; rng.IntN(2) == 0 {
+			how = OutcomeAnswered // a kill came between
 		}
-		if gone := endpoints[id].gone; how != Unsent && gone != 0 && now > gone+grace {
-			w.truth[auditKey{n, id, heard[n]}]++
+		if gone := endpoints[id].gone; how != OutcomeUnsent && gone != 0 && now > gone+grace {
+			w.lateCalls[callKey{n, id, heard[n]}]++
 		}
 	}
 	for n, all := range lines {
 		for _, l := range all {
-			w.records[n], _ = l.appendTo(w.records[n])
+			w.records[n], _ = l.appendEncoded(w.records[n])
 		}
 	}
 	return w
 }
 
 // Whatever the clocks say, the audit finds no call that was not late, and misses none but what it tells as unsure.
-func TestTheAuditTellsTheTruth(t *testing.T) {
+func TestAuditMatchesSimulatedCalls(t *testing.T) {
 	const grace, nodes = 1000, 6
 	found, unsure := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := play(rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)), nodes, 400, grace)
+		w := simulateFleet(rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)), nodes, 400, grace)
 		a := Auditor{History: w.history, Grace: grace * time.Millisecond, Slack: 30 * time.Millisecond}
 		for n, raw := range w.records {
 			a.Add(n, raw)
 		}
 		r := a.Report()
-		got := map[auditKey][2]int{}
+		got := map[callKey][2]int{}
 		for _, f := range r.Findings {
-			k := auditKey{f.Node, f.Endpoint, f.Revision}
+			k := callKey{f.Node, f.Endpoint, f.Revision}
 			sum := got[k]
-			got[k] = [2]int{sum[0] + f.Calls, sum[1] + f.Unsure}
-			found, unsure = found+f.Calls, unsure+f.Unsure
+			got[k] = [2]int{sum[0] + f.LateCalls, sum[1] + f.UnsureCalls}
+			found, unsure = found+f.LateCalls, unsure+f.UnsureCalls
 		}
 		unknown := map[string]bool{}
 		for _, u := range r.Unknown {
 			unknown[u.Node] = true
 		}
-		for k, n := range w.truth {
+		for k, n := range w.lateCalls {
 			if g := got[k]; !unknown[k.node] && (g[0] > n || g[0]+g[1] < n) {
 				t.Fatalf("%+v: %d late, the audit has %d and is unsure of %d", k, n, g[0], g[1])
 			}
 		}
 		for k, g := range got {
-			if g[0] > w.truth[k] {
-				t.Fatalf("%+v: %d late, the audit has %d", k, w.truth[k], g[0])
+			if g[0] > w.lateCalls[k] {
+				t.Fatalf("%+v: %d late, the audit has %d", k, w.lateCalls[k], g[0])
 			}
 		}
 	})
@@ -269,11 +269,11 @@
 
 // FuzzParse: no text panics, and what is read of a spoilt record stands in the good one.
 func FuzzParse(f *testing.F) {
-	good, err := Line{Head: &Head{Format: Format, Node: "n", Life: 1}, AtMS: 5}.appendTo(nil)
+	good, err := Entry{Header: &Header{Format: Format, Node: "n", Incarnation: 1}, AtMS: 5}.appendEncoded(nil)
 	if err != nil {
 		f.Fatal(err)
 	}
-	good, _ = Line{AtMS: 6, List: 7, Begun: []Begun{{1, "e"}}}.appendTo(good)
+	good, _ = Entry{AtMS: 6, Revision: 7, Starts: []CallStart{{1, "e"}}}.appendEncoded(good)
 	f.Add(good, 3, byte(1))
 	f.Fuzz(func(t *testing.T, raw []byte, at int, flip byte) {
 		Parse(raw)
@@ -291,13 +291,13 @@
 
 // BenchmarkWrite is what a call costs: a line before it and a line after it.
 func BenchmarkWrite(b *testing.B) {
-	r := open(b, b.TempDir(), 1<<20, 1, &clock{time.Now()})
+	r := openLog(b, b.TempDir(), 1<<20, 1, &fakeClock{time.Now()})
 	defer r.Close()
 	for i := int64(0); b.Loop(); i++ {
-		if err := r.Write(Line{List: 68719476740, Begun: []Begun{{i, "partner-17"}}}); err != nil {
+		if err := r.Write(Entry{Revision: 68719476740, Starts: []CallStart{{i, "partner-17"}}}); err != nil {
 			b.Fatal(err)
 		}
-		if err := r.Write(Line{Ended: []Ended{{Seq: i, How: Answered, FromMS: 1796169754000, TookMS: 0}}}); err != nil {
+		if err := r.Write(Entry{Ends: []CallEnd{{Seq: i, Outcome: OutcomeAnswered, WriteStartMS: 1796169754000, WriteTookMS: 0}}}); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/acts/record.go
+++ b/internal/auditlog/log.go
@@ -1,7 +1,7 @@
 // Package acts is what a node has done by which version of the list: a bounded record on disk that a kill leaves
 // readable, and the audit of many such records against what the list service said. The record is written by the owner of
 // a node's state; the audit does no input or output.
-package acts
+package auditlog
 
 import (
 	"bytes"
@@ -20,74 +20,74 @@
 // Bounds.
 const (
 	// MostAge is how old the older part of a record may be; then it goes at the next turn or start.
-	MostAge  = 24 * time.Hour
-	maxLine  = 1 << 20
-	maxWhy   = 128
-	sumBytes = 8 // hexadecimal, before each line
+	MaxAge        = 24 * time.Hour
+	maxEntryBytes = 1 << 20
+	maxReasonLen  = 128
+	checksumLen   = 8 // hexadecimal, before each line
 )
 
 // The record's files in the node's folder: the one that is written, and the part before it.
 const (
-	NowName    = "acts"
-	BeforeName = "acts.before"
+	CurrentName  = "acts"
+	PreviousName = "acts.before"
 )
 
 // How a call ended, as far as the endpoint's side is known.
-type How int
+type Outcome int
 
 // Answered means that the endpoint has surely had the call, Unsent that it surely has not; Unsure that nothing was heard.
 const (
-	Unsure How = iota
-	Answered
-	Unsent
+	OutcomeUnknown Outcome = iota
+	OutcomeAnswered
+	OutcomeUnsent
 )
 
 // Head names whose record it is and in which form; each file begins with one, and so does each process's part.
-type Head struct {
-	Format int    `json:"format"`
-	Node   string `json:"node"`
-	Life   uint32 `json:"life"` // of the process
-	Build  string `json:"build,omitempty"`
+type Header struct {
+	Format      int    `json:"format"`
+	Node        string `json:"node"`
+	Incarnation uint32 `json:"life"` // of the process
+	Build       string `json:"build,omitempty"`
 }
 
 // Begun is a call that is about to be made, numbered within its life.
-type Begun struct {
+type CallStart struct {
 	Seq      int64  `json:"n"`
 	Endpoint string `json:"e"`
 }
 
 // Ended is the end of a call. Its request was written from a moment on, and for so long; both are 0 for one that was not.
-type Ended struct {
-	Seq    int64 `json:"n"`
-	How    How   `json:"h"`
-	FromMS int64 `json:"f,omitempty"`
-	TookMS int64 `json:"t,omitempty"`
+type CallEnd struct {
+	Seq          int64   `json:"n"`
+	Outcome      Outcome `json:"h"`
+	WriteStartMS int64   `json:"f,omitempty"`
+	WriteTookMS  int64   `json:"t,omitempty"`
 }
 
 // Sync is a list server's clock, read by an exchange that ended at a moment of the node's and took so long. The moment is
 // not the line's: the process may not have run in between.
-type Sync struct {
+type ClockSync struct {
 	ServerMS int64 `json:"s"`
 	EndedMS  int64 `json:"e"`
 	TookMS   int64 `json:"t"`
 }
 
 // Line is what is written at once. AtMS is the node's clock: the wall clock at its process's start, and monotonic since.
-type Line struct {
-	Head  *Head   `json:"head,omitempty"`
-	AtMS  int64   `json:"at"`
-	List  int64   `json:"list,omitempty"` // the revision that Begun rests on
-	Begun []Begun `json:"b,omitempty"`
-	Ended []Ended `json:"d,omitempty"`
-	Sync  *Sync   `json:"sync,omitempty"`
-	Why   string  `json:"why,omitempty"`  // the list may be late from here on
-	Lost  int     `json:"lost,omitempty"` // lines before this one that could not be written
+type Entry struct {
+	Header      *Header     `json:"head,omitempty"`
+	AtMS        int64       `json:"at"`
+	Revision    int64       `json:"list,omitempty"` // the revision that Begun rests on
+	Starts      []CallStart `json:"b,omitempty"`
+	Ends        []CallEnd   `json:"d,omitempty"`
+	ClockSync   *ClockSync  `json:"sync,omitempty"`
+	StaleReason string      `json:"why,omitempty"`  // the list may be late from here on
+	LostEntries int         `json:"lost,omitempty"` // lines before this one that could not be written
 }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // appendTo adds the line in its written form.
-func (l Line) appendTo(b []byte) ([]byte, error) {
+func (l Entry) appendEncoded(b []byte) ([]byte, error) {
 	raw, err := json.Marshal(l)
 	if err != nil {
 		return b, fmt.Errorf("acts: %w", err)
@@ -100,22 +100,22 @@
 // Invariants: a line is in the file, as far as the system goes, before Write returns nil; the two files together never
 // hold more than the bound and one line; each begins with a head. A write that fails never stops the node: the
 // next line that can be written says how many are missing.
-type Record struct {
-	dir    string
-	most   int64 // bytes of one file
-	head   Head
-	now    func() time.Time
-	f      *os.File
-	size   int64
-	lost   int
-	buffer []byte
+type Log struct {
+	dir          string
+	maxFileBytes int64 // bytes of one file
+	header       Header
+	now          func() time.Time
+	file         *os.File
+	size         int64
+	lost         int
+	buffer       []byte
 }
 
 // Open goes on with the record in a folder, or begins one, of so many bytes at most.
-func Open(dir string, most int64, head Head, now func() time.Time) (*Record, error) {
-	head.Format = Format
-	r := &Record{dir: dir, most: max(most/2, 4<<10), head: head, now: now}
-	f, err := os.OpenFile(filepath.Join(dir, NowName), os.O_RDWR|os.O_CREATE|os.O_APPEND, 0o600)
+func Open(dir string, maxBytes int64, header Header, now func() time.Time) (*Log, error) {
+	header.Format = Format
+	r := &Log{dir: dir, maxFileBytes: max(maxBytes/2, 4<<10), header: header, now: now}
+	f, err := os.OpenFile(filepath.Join(dir, CurrentName), os.O_RDWR|os.O_CREATE|os.O_APPEND, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("acts: %w", err)
 	}
@@ -123,9 +123,9 @@
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("acts: %w", err), f.Close())
 	}
-	r.f, r.size = f, info.Size()
-	if before, err := os.Stat(filepath.Join(dir, BeforeName)); err == nil && now().Sub(before.ModTime()) > MostAge {
-		if err := os.Remove(filepath.Join(dir, BeforeName)); err != nil {
+	r.file, r.size = f, info.Size()
+	if before, err := os.Stat(filepath.Join(dir, PreviousName)); err == nil && now().Sub(before.ModTime()) > MaxAge {
+		if err := os.Remove(filepath.Join(dir, PreviousName)); err != nil {
 			return nil, errors.Join(fmt.Errorf("acts: %w", err), f.Close())
 		}
 	}
@@ -135,18 +135,18 @@
 		}
 		r.size++
 	}
-	return r, r.Write(Line{Head: &r.head})
+	return r, r.Write(Entry{Header: &r.header})
 }
 
 // Write writes a line down; its moment is now.
-func (r *Record) Write(l Line) error {
-	l.AtMS, l.Lost = r.now().UnixMilli(), r.lost
-	if len(l.Why) > maxWhy {
-		l.Why = l.Why[:maxWhy]
+func (r *Log) Write(l Entry) error {
+	l.AtMS, l.LostEntries = r.now().UnixMilli(), r.lost
+	if len(l.StaleReason) > maxReasonLen {
+		l.StaleReason = l.StaleReason[:maxReasonLen]
 	}
-	err := r.turn()
+	err := r.rotate()
 	if err == nil {
-		err = r.write(l)
+		err = r.writeEntry(l)
 	}
 	if err != nil {
 		r.lost++
@@ -156,17 +156,17 @@
 	return nil
 }
 
-func (r *Record) write(l Line) (err error) {
-	if r.buffer, err = l.appendTo(r.buffer[:0]); err != nil {
+func (r *Log) writeEntry(l Entry) (err error) {
+	if r.buffer, err = l.appendEncoded(r.buffer[:0]); err != nil {
 		return err
 	}
-	n, err := r.f.Write(r.buffer)
+	n, err := r.file.Write(r.buffer)
 	r.size += int64(n)
 	if err == nil {
 		return nil
 	}
 	if n > 0 { // what stands there is no line
-		if end := r.f.Truncate(r.size - int64(n)); end != nil {
+		if end := r.file.Truncate(r.size - int64(n)); end != nil {
 			return fmt.Errorf("acts: %w", errors.Join(err, end))
 		}
 		r.size -= int64(n)
@@ -175,12 +175,12 @@
 }
 
 // turn begins a new file where the one that is written has grown to its bound. What was before that goes.
-func (r *Record) turn() error {
-	if r.size < r.most {
+func (r *Log) rotate() error {
+	if r.size < r.maxFileBytes {
 		return nil
 	}
-	path := filepath.Join(r.dir, NowName)
-	err := os.Rename(path, filepath.Join(r.dir, BeforeName))
+	path := filepath.Join(r.dir, CurrentName)
+	err := os.Rename(path, filepath.Join(r.dir, PreviousName))
 	if err != nil && !errors.Is(err, os.ErrNotExist) { // gone already: the new one could not be made
 		return fmt.Errorf("acts: %w", err)
 	}
@@ -188,14 +188,14 @@
 	if err != nil {
 		return fmt.Errorf("acts: %w", err)
 	}
-	err = r.f.Close()
-	r.f, r.size = f, 0
-	return errors.Join(err, r.write(Line{Head: &r.head, AtMS: r.now().UnixMilli()}))
+	err = r.file.Close()
+	r.file, r.size = f, 0
+	return errors.Join(err, r.writeEntry(Entry{Header: &r.header, AtMS: r.now().UnixMilli()}))
 }
 
 // Close closes the file. What is in it stays.
-func (r *Record) Close() error {
-	if err := r.f.Close(); err != nil {
+func (r *Log) Close() error {
+	if err := r.file.Close(); err != nil {
 		return fmt.Errorf("acts: %w", err)
 	}
 	return nil
@@ -203,14 +203,14 @@
 
 // Errors of reading.
 var (
-	ErrNewer  = errors.New("the record was written by a later build")
-	ErrNoHead = errors.New("no record of acts")
+	ErrNewer    = errors.New("the record was written by a later build")
+	ErrNoHeader = errors.New("no record of acts")
 )
 
 // ReadDir reads both files of a folder's record, the older part first, as they stand.
 func ReadDir(dir string) ([]byte, error) {
 	var all []byte
-	for _, name := range []string{BeforeName, NowName} {
+	for _, name := range []string{PreviousName, CurrentName} {
 		raw, err := os.ReadFile(filepath.Join(dir, name))
 		if err != nil && !errors.Is(err, os.ErrNotExist) {
 			return nil, fmt.Errorf("acts: %w", err)
@@ -222,36 +222,36 @@
 
 // Parse reads lines. Those that are cut, flipped or of no sense are counted, and the rest is used; a record of a later
 // form is refused as a whole, and so is one without any head.
-func Parse(raw []byte) (lines []Line, damaged int, err error) {
-	heads := 0
+func Parse(raw []byte) (lines []Entry, damaged int, err error) {
+	headers := 0
 	for text := range bytes.SplitSeq(raw, []byte("\n")) {
 		if len(text) == 0 {
 			continue
 		}
-		l, good := parse(text)
-		if !good {
+		l, ok := parseEntry(text)
+		if !ok {
 			damaged++
 			continue
 		}
-		if l.Head != nil {
-			if heads++; l.Head.Format > Format {
-				return nil, damaged, fmt.Errorf("%w: form %d, and this one reads %d", ErrNewer, l.Head.Format, Format)
+		if l.Header != nil {
+			if headers++; l.Header.Format > Format {
+				return nil, damaged, fmt.Errorf("%w: form %d, and this one reads %d", ErrNewer, l.Header.Format, Format)
 			}
 		}
 		lines = append(lines, l)
 	}
-	if heads == 0 {
-		return nil, damaged, fmt.Errorf("%w: %d lines that can't be read", ErrNoHead, damaged)
+	if headers == 0 {
+		return nil, damaged, fmt.Errorf("%w: %d lines that can't be read", ErrNoHeader, damaged)
 	}
 	return lines, damaged, nil
 }
 
-func parse(text []byte) (l Line, good bool) {
-	if len(text) <= sumBytes || len(text) > maxLine {
+func parseEntry(text []byte) (l Entry, ok bool) {
+	if len(text) <= checksumLen || len(text) > maxEntryBytes {
 		return l, false
 	}
-	if fmt.Sprintf("%08x", crc32.Checksum(text[sumBytes:], castagnoli)) != string(text[:sumBytes]) {
+	if fmt.Sprintf("%08x", crc32.Checksum(text[checksumLen:], castagnoli)) != string(text[:checksumLen]) {
 		return l, false
 	}
-	return l, json.Unmarshal(text[sumBytes:], &l) == nil
+	return l, json.Unmarshal(text[checksumLen:], &l) == nil
 }
--- a/internal/cli/audit.go
+++ b/internal/cli/audit.go
@@ -14,7 +14,7 @@
 
 	"github.com/spf13/cobra"
 
-	"harrierramp/internal/acts"
+	"harrierramp/internal/auditlog"
 )
 
 const (
@@ -43,7 +43,7 @@
 }
 
 // changes is what the list servers remember: of the one that knows most.
-func (o *fleetOptions) fetchHistory(ctx context.Context) (best acts.History, err error) {
+func (o *fleetOptions) fetchHistory(ctx context.Context) (best auditlog.History, err error) {
 	addrs, err := o.serverAddrs()
 	if err != nil {
 		return best, err
@@ -51,7 +51,7 @@
 	var errs []error
 	for _, addr := range addrs {
 		raw, err := httpGet(ctx, "http://"+addr+"/registry/history", maxFleetBodyBytes)
-		var h acts.History
+		var h auditlog.History
 		if err == nil {
 			err = json.Unmarshal(raw, &h)
 		}
@@ -59,7 +59,7 @@
 			errs = append(errs, fmt.Errorf("%s: %w", addr, err))
 			continue
 		}
-		best = acts.Fuller(best, h)
+		best = auditlog.MoreComplete(best, h)
 	}
 	if len(errs) == len(addrs) {
 		return best, errors.Join(errs...)
@@ -113,15 +113,15 @@
 }
 
 // gather reads all records and holds them against a history.
-func (o *fleetOptions) collectReport(ctx context.Context, a auditOptions, h acts.History) (acts.Report, error) {
-	audit := acts.Auditor{History: h, Grace: a.grace, Slack: a.slack}
+func (o *fleetOptions) collectReport(ctx context.Context, a auditOptions, h auditlog.History) (auditlog.Report, error) {
+	audit := auditlog.Auditor{History: h, Grace: a.grace, Slack: a.slack}
 	if a.since > 0 {
 		audit.SinceMS = time.Now().Add(-a.since).UnixMilli()
 	}
 	for _, dir := range a.stateDirs {
-		raw, err := acts.ReadDir(dir)
+		raw, err := auditlog.ReadDir(dir)
 		if err != nil {
-			return acts.Report{}, err
+			return auditlog.Report{}, err
 		}
 		audit.Add(filepath.Base(dir), raw)
 	}
@@ -130,17 +130,17 @@
 	if len(addrs) == 0 {
 		v, unanswered, err := o.fetchView(ctx)
 		if err != nil {
-			return acts.Report{}, err
+			return auditlog.Report{}, err
 		}
 		for _, s := range unanswered {
-			audit.Missing(s, "the list server does not answer: nodes that told only it are not looked at")
+			audit.AddMissing(s, "the list server does not answer: nodes that told only it are not looked at")
 		}
 		for _, n := range v.Nodes {
-			if n.Door == "" {
-				audit.Missing(n.Name, "it has no door: give its folder")
+			if n.AdminAddr == "" {
+				audit.AddMissing(n.Name, "it has no door: give its folder")
 				continue
 			}
-			addrs, names[n.Door] = append(addrs, n.Door), n.Name
+			addrs, names[n.AdminAddr] = append(addrs, n.AdminAddr), n.Name
 		}
 	}
 	records, errs := make([][]byte, len(addrs)), make([]error, len(addrs))
@@ -160,7 +160,7 @@
 			name = n
 		}
 		if errs[i] != nil {
-			audit.Missing(name, fmt.Sprintf("its door does not answer: %v", errs[i]))
+			audit.AddMissing(name, fmt.Sprintf("its door does not answer: %v", errs[i]))
 			continue
 		}
 		audit.Add(name, records[i])
@@ -168,11 +168,11 @@
 	return audit.Report(), nil
 }
 
-func printAudit(out io.Writer, r acts.Report) error {
+func printAudit(out io.Writer, r auditlog.Report) error {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "NODE\tLIFE\tENDPOINT\tON REVISION\tWITHDRAWN BY\tCALLS\tUNSURE\tLAST AFTER\tWHY")
 	for _, f := range r.Findings {
-		fmt.Fprintf(t, "%s\t%d\t%s\t%d\t%d\t%d\t%d\t%s\t%s\n", f.Node, f.Life, f.Endpoint, f.Revision, f.Gone, f.Calls, f.Unsure, formatSeconds(f.LastMS), f.Why)
+		fmt.Fprintf(t, "%s\t%d\t%s\t%d\t%d\t%d\t%d\t%s\t%s\n", f.Node, f.Incarnation, f.Endpoint, f.Revision, f.WithdrawnRevision, f.LateCalls, f.UnsureCalls, formatSeconds(f.LastMS), f.Reason)
 	}
 	if err := t.Flush(); err != nil {
 		return err
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -18,7 +18,7 @@
 	"github.com/spf13/cobra"
 
 	"harrierramp/internal/config"
-	"harrierramp/internal/roster"
+	"harrierramp/internal/rollout"
 )
 
 const (
@@ -61,18 +61,18 @@
 }
 
 // view joins what all servers know. Servers that don't answer are named; all of them is an error.
-func (o *fleetOptions) fetchView(ctx context.Context) (roster.View, []string, error) {
+func (o *fleetOptions) fetchView(ctx context.Context) (rollout.Snapshot, []string, error) {
 	addrs, err := o.serverAddrs()
 	if err != nil {
-		return roster.View{}, nil, err
+		return rollout.Snapshot{}, nil, err
 	}
-	views, errs := make([]*roster.View, len(addrs)), make([]error, len(addrs))
+	views, errs := make([]*rollout.Snapshot, len(addrs)), make([]error, len(addrs))
 	var fetches sync.WaitGroup
 	for i, addr := range addrs {
 		fetches.Go(func() { views[i], errs[i] = fetchServerView(ctx, addr) })
 	}
 	fetches.Wait()
-	var answered []roster.View
+	var answered []rollout.Snapshot
 	var unanswered []string
 	for i, v := range views {
 		if v == nil {
@@ -82,13 +82,13 @@
 		answered = append(answered, *v)
 	}
 	if len(answered) == 0 {
-		return roster.View{}, unanswered, errors.Join(errs...)
+		return rollout.Snapshot{}, unanswered, errors.Join(errs...)
 	}
-	return roster.Merge(answered), unanswered, nil
+	return rollout.Merge(answered), unanswered, nil
 }
 
-func fetchServerView(ctx context.Context, addr string) (*roster.View, error) {
-	var v roster.View
+func fetchServerView(ctx context.Context, addr string) (*rollout.Snapshot, error) {
+	var v rollout.Snapshot
 	raw, err := httpGet(ctx, "http://"+addr+"/registry/nodes", maxFleetBodyBytes)
 	if err == nil {
 		err = json.Unmarshal(raw, &v)
@@ -100,13 +100,13 @@
 }
 
 // state is a node's in one word.
-func nodeState(r roster.Row) string {
+func nodeState(r rollout.NodeStatus) string {
 	switch {
 	case r.Silent:
 		return "silent"
 	case r.BehindMS > 0:
 		return "behind"
-	case r.Out:
+	case r.Fenced:
 		return "shut out"
 	case !r.Ready:
 		return "not ready"
@@ -151,7 +151,7 @@
 	}
 }
 
-func printFleet(out io.Writer, v roster.View, states, builds, configs map[string]int) error {
+func printFleet(out io.Writer, v rollout.Snapshot, states, builds, configs map[string]int) error {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "NODE\tSTATE\tREVISION\tBEHIND\tSINCE\tHEARD\tBUILD\tCONFIG\tLAST TROUBLE")
 	for _, r := range v.Nodes {
@@ -159,7 +159,7 @@
 		if r.BehindMS > 0 {
 			behind, since = strconv.FormatInt(v.Head-r.Revision, 10), formatSeconds(r.BehindMS)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\n", r.Name, nodeState(r), r.Revision, behind, since, formatSeconds(r.HeardMS), r.Build, r.Config, cmp.Or(r.Why, "-"))
+		fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\n", r.Name, nodeState(r), r.Revision, behind, since, formatSeconds(r.LastReportMS), r.Build, r.Config, cmp.Or(r.LagReason, "-"))
 	}
 	if err := t.Flush(); err != nil {
 		return err
@@ -250,7 +250,7 @@
 				return formatSeconds(ms)
 			}
 			for _, h := range v.Changes {
-				fmt.Fprintf(t, "%d\t%s\t%d\t%d\t%s\t%s\t%s\t\n", h.Revision, formatSeconds(h.AgoMS), h.Applied, h.Nodes, after(h.Half), after(h.Most), after(h.All))
+				fmt.Fprintf(t, "%d\t%s\t%d\t%d\t%s\t%s\t%s\t\n", h.Revision, formatSeconds(h.AgeMS), h.Applied, h.Nodes, after(h.HalfMS), after(h.P99MS), after(h.AllMS))
 			}
 			return t.Flush()
 		},
--- a/internal/cli/floor.go
+++ b/internal/cli/floor.go
@@ -81,7 +81,7 @@
 			if err != nil {
 				return err
 			}
-			unfit, total := v.Unfit(f.Revision, f.Build, f.Config)
+			unfit, total := v.BelowFloor(f.Revision, f.Build, f.Config)
 			fmt.Fprintf(c.OutOrStdout(), "%d of %d nodes do not reach it now: %s\n", len(unfit), total, strings.Join(unfit, " "))
 			if len(unanswered) > 0 {
 				fmt.Fprintf(c.OutOrStdout(), "list servers that don't answer: %s\n", strings.Join(unanswered, " "))
--- a/internal/cli/registry.go
+++ b/internal/cli/registry.go
@@ -13,9 +13,9 @@
 	"syscall"
 	"time"
 
+	"harrierramp/internal/admission"
 	"harrierramp/internal/logging"
 	"harrierramp/internal/registry"
-	"harrierramp/internal/turns"
 
 	"github.com/spf13/cobra"
 )
@@ -60,7 +60,7 @@
 	f.DurationVar(&o.server.Coalesce, "coalesce", 20*time.Millisecond, "changes so close together are told at once")
 	f.IntVar(&o.server.MaxWatchers, "watchers", 4096, "watches at most")
 	f.DurationVar(&o.server.Settle, "settle", 5*time.Second, "a list that is begun anew is told as not whole for so long")
-	f.Float64Var(&o.server.StartRate, "start-rate", turns.DefaultRate,
+	f.Float64Var(&o.server.StartRate, "start-rate", admission.DefaultRate,
 		"whole lists a second for nodes that begin; the others are told when to come (0: no bound)")
 	f.Int64Var(&o.maxConns, "connections", 8192, "connections at most")
 	f.Int64Var(&o.server.MaxReports, "report-bytes", 16<<20, "bytes of notices that are kept")
--- a/internal/lab/stage/audit.go
+++ b/internal/lab/stage/audit.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"harrierramp/internal/acts"
+	"harrierramp/internal/auditlog"
 	"harrierramp/internal/lab/process"
 	"harrierramp/internal/lab/relay"
 )
@@ -18,11 +18,11 @@
 const auditSlack = 300 * time.Millisecond
 
 // Audit holds the nodes' own records of acts, as they stand in their folders, against what the list servers remember.
-func (st *Stage) Audit() (acts.Report, error) {
-	var best acts.History
+func (st *Stage) Audit() (auditlog.Report, error) {
+	var best auditlog.History
 	var errs []error
 	for i := range st.lists {
-		var h acts.History
+		var h auditlog.History
 		raw, err := get("http://" + process.At(st.block.Own(relay.Party{Kind: relay.Server, N: i}), process.ListPort) + "/registry/history")
 		if err == nil {
 			err = json.Unmarshal(raw, &h)
@@ -31,17 +31,17 @@
 			errs = append(errs, err)
 			continue
 		}
-		best = acts.Fuller(best, h)
+		best = auditlog.MoreComplete(best, h)
 	}
 	if len(errs) == len(st.lists) {
-		return acts.Report{}, fmt.Errorf("stage: no list server tells what it remembers: %w", errors.Join(errs...))
+		return auditlog.Report{}, fmt.Errorf("stage: no list server tells what it remembers: %w", errors.Join(errs...))
 	}
-	a := acts.Auditor{History: best, Grace: st.ledger.day.Settings.DrainGrace + lateSlack, Slack: auditSlack}
+	a := auditlog.Auditor{History: best, Grace: st.ledger.day.Settings.DrainGrace + lateSlack, Slack: auditSlack}
 	for i := range st.nodes {
 		name := relay.Party{Kind: relay.Node, N: i}.String()
-		raw, err := acts.ReadDir(filepath.Join(st.dir, name))
+		raw, err := auditlog.ReadDir(filepath.Join(st.dir, name))
 		if err != nil {
-			return acts.Report{}, fmt.Errorf("stage: %w", err)
+			return auditlog.Report{}, fmt.Errorf("stage: %w", err)
 		}
 		a.Add(name, raw)
 	}
@@ -59,16 +59,16 @@
 // compare holds what an audit has found against what partners have seen. Missed are late calls that it neither found nor
 // told as unsure; false ones it found that were not so. Nodes' records that it told as unreadable, or lives without a clock,
 // are excused: it says that it does not know.
-func compare(late []LateCalls, r acts.Report) (missed, wrong int, text []string) {
+func compare(late []LateCalls, r auditlog.Report) (missed, wrong int, text []string) {
 	unknown := map[string]bool{}
 	for _, u := range r.Unknown {
-		unknown[fmt.Sprint(u.Node, " ", u.Life)] = true
+		unknown[fmt.Sprint(u.Node, " ", u.Incarnation)] = true
 	}
-	found := map[auditEntry]acts.Finding{}
+	found := map[auditEntry]auditlog.Finding{}
 	for _, f := range r.Findings {
-		k := auditEntry{f.Node, f.Life, f.Endpoint, f.Revision}
+		k := auditEntry{f.Node, f.Incarnation, f.Endpoint, f.Revision}
 		sum := found[k]
-		sum.Calls, sum.Unsure = sum.Calls+f.Calls, sum.Unsure+f.Unsure
+		sum.LateCalls, sum.UnsureCalls = sum.LateCalls+f.LateCalls, sum.UnsureCalls+f.UnsureCalls
 		found[k] = sum
 	}
 	for _, l := range late {
@@ -78,19 +78,19 @@
 		if unknown[fmt.Sprint(k.node, " ", k.life)] || unknown[fmt.Sprint(k.node, " ", 0)] {
 			continue
 		}
-		if l.Count > f.Calls+f.Unsure {
-			missed += l.Count - f.Calls - f.Unsure
-			text = append(text, fmt.Sprintf("%+v: %d calls are late, the audit has %d, and %d that it is unsure of", k, l.Count, f.Calls, f.Unsure))
+		if l.Count > f.LateCalls+f.UnsureCalls {
+			missed += l.Count - f.LateCalls - f.UnsureCalls
+			text = append(text, fmt.Sprintf("%+v: %d calls are late, the audit has %d, and %d that it is unsure of", k, l.Count, f.LateCalls, f.UnsureCalls))
 		}
-		if f.Calls > l.Count {
-			wrong += f.Calls - l.Count
-			text = append(text, fmt.Sprintf("%+v: %d calls are late, the audit has %d", k, l.Count, f.Calls))
+		if f.LateCalls > l.Count {
+			wrong += f.LateCalls - l.Count
+			text = append(text, fmt.Sprintf("%+v: %d calls are late, the audit has %d", k, l.Count, f.LateCalls))
 		}
 	}
 	for k, f := range found {
-		if f.Calls > 0 {
-			wrong += f.Calls
-			text = append(text, fmt.Sprintf("%+v: no call is late, the audit has %d", k, f.Calls))
+		if f.LateCalls > 0 {
+			wrong += f.LateCalls
+			text = append(text, fmt.Sprintf("%+v: no call is late, the audit has %d", k, f.LateCalls))
 		}
 	}
 	slices.Sort(text)
@@ -109,8 +109,8 @@
 	f["audit_missed"], f["audit_wrong"] = float64(missed), float64(wrong)
 	f["audit_calls"], f["audit_unknown"] = float64(found.Calls), float64(len(found.Unknown))
 	for _, x := range found.Findings {
-		f["audit_late"] += float64(x.Calls)
-		f["audit_unsure"] += float64(x.Unsure)
+		f["audit_late"] += float64(x.LateCalls)
+		f["audit_unsure"] += float64(x.UnsureCalls)
 	}
 	r.Audit, r.AuditText = &found, text
 }
--- a/internal/lab/stage/audit_test.go
+++ b/internal/lab/stage/audit_test.go
@@ -10,7 +10,7 @@
 	"strings"
 	"testing"
 
-	"harrierramp/internal/acts"
+	"harrierramp/internal/auditlog"
 	"harrierramp/internal/cli"
 	"harrierramp/internal/lab/process"
 	"harrierramp/internal/lab/relay"
@@ -67,7 +67,7 @@
 	}
 	var out, errs bytes.Buffer
 	code := cli.Main([]string{"fleet", "audit", "--json", "--servers", strings.Join(servers, ","), "--grace", "1050ms", "--slack", auditSlack.String()}, &out, &errs)
-	var by acts.Report
+	var by auditlog.Report
 	if err := json.Unmarshal(out.Bytes(), &by); err != nil || code != 1 {
 		t.Fatalf("status %d, %v, %s", code, err, errs.String())
 	}
@@ -75,7 +75,7 @@
 		t.Errorf("by the doors %d findings, in the folders %d: %v, unknown %v", len(by.Findings), len(r.Audit.Findings), text, by.Unknown)
 	}
 	for _, f := range by.Findings {
-		if f.Endpoint != "p0-0" || strings.Contains("node-4 node-5 node-6 node-7", f.Node) || f.Gone <= f.Revision || f.Why == "not told" {
+		if f.Endpoint != "p0-0" || strings.Contains("node-4 node-5 node-6 node-7", f.Node) || f.WithdrawnRevision <= f.Revision || f.Reason == "not told" {
 			t.Errorf("%+v", f)
 		}
 	}
@@ -157,7 +157,7 @@
 		testkit.Eventually(t, fmt.Sprint(want, " are shut out"), func() bool {
 			out := 0
 			for _, r := range st.Roster().Nodes {
-				if r.Out {
+				if r.Fenced {
 					out++
 				}
 			}
@@ -190,20 +190,20 @@
 // Each way in which an audit and the ledger can differ is told.
 func TestTheStageSeesAWrongAudit(t *testing.T) {
 	late := []LateCalls{{Endpoint: "p0-0", Node: 1, Life: 2, Revision: 7, Count: 5}}
-	finding := func(calls, unsure int) acts.Report {
-		return acts.Report{Findings: []acts.Finding{{Node: "node-1", Life: 2, Endpoint: "p0-0", Revision: 7, Calls: calls, Unsure: unsure}}}
+	finding := func(calls, unsure int) auditlog.Report {
+		return auditlog.Report{Findings: []auditlog.Finding{{Node: "node-1", Incarnation: 2, Endpoint: "p0-0", Revision: 7, LateCalls: calls, UnsureCalls: unsure}}}
 	}
 	for name, c := range map[string]struct {
 		late          []LateCalls
-		audit         acts.Report
+		audit         auditlog.Report
 		missed, wrong int
 	}{
 		"equal":                {late, finding(5, 0), 0, 0},
 		"partly unsure":        {late, finding(3, 4), 0, 0},
 		"too few":              {late, finding(3, 1), 1, 0},
 		"too many":             {late, finding(6, 0), 0, 1},
-		"nothing":              {late, acts.Report{}, 5, 0},
-		"nothing, and it says": {late, acts.Report{Unknown: []acts.Unknown{{Node: "node-1", Life: 2}}}, 0, 0},
+		"nothing":              {late, auditlog.Report{}, 5, 0},
+		"nothing, and it says": {late, auditlog.Report{Unknown: []auditlog.Unknown{{Node: "node-1", Incarnation: 2}}}, 0, 0},
 		"invented":             {nil, finding(2, 0), 0, 2},
 	} {
 		if missed, wrong, text := compare(c.late, c.audit); missed != c.missed || wrong != c.wrong {
--- a/internal/lab/stage/play.go
+++ b/internal/lab/stage/play.go
@@ -19,7 +19,7 @@
 	"harrierramp/internal/lab/model"
 	"harrierramp/internal/lab/process"
 	"harrierramp/internal/lab/relay"
-	"harrierramp/internal/roster"
+	"harrierramp/internal/rollout"
 )
 
 const (
@@ -84,16 +84,16 @@
 }
 
 // Roster is what the list servers know of the nodes' versions.
-func (st *Stage) Roster() roster.View {
-	var views []roster.View
+func (st *Stage) Roster() rollout.Snapshot {
+	var views []rollout.Snapshot
 	for i := range st.lists {
 		addr := process.At(st.block.Own(relay.Party{Kind: relay.Server, N: i}), process.ListPort)
-		var v roster.View
+		var v rollout.Snapshot
 		if text, err := get("http://" + addr + "/registry/nodes"); err == nil && json.Unmarshal(text, &v) == nil {
 			views = append(views, v)
 		}
 	}
-	return roster.Merge(views)
+	return rollout.Merge(views)
 }
 
 const staleWait = 10 * time.Second // after the traffic, for every node to have the newest list
--- a/internal/lab/stage/report.go
+++ b/internal/lab/stage/report.go
@@ -18,7 +18,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"harrierramp/internal/acts"
+	"harrierramp/internal/auditlog"
 	"harrierramp/internal/lab/experiment"
 	"harrierramp/internal/lab/judge"
 )
@@ -43,8 +43,8 @@
 	Bins    []Bin              `json:"bins"` // of 100 ms each
 	Result  *judge.Result      `json:"result"`
 	// Audit is what the nodes' own records of acts say, where they keep them, and AuditText where the ledger differs.
-	Audit     *acts.Report `json:"audit,omitempty"`
-	AuditText []string     `json:"audit_text,omitempty"`
+	Audit     *auditlog.Report `json:"audit,omitempty"`
+	AuditText []string         `json:"audit_text,omitempty"`
 }
 
 // LateCalls are the calls of a node at an endpoint after that was withdrawn and the grace was over.
--- a/internal/lab/stage/stage_test.go
+++ b/internal/lab/stage/stage_test.go
@@ -15,7 +15,7 @@
 
 	"harrierramp/internal/cli"
 	"harrierramp/internal/lab/relay"
-	"harrierramp/internal/roster"
+	"harrierramp/internal/rollout"
 )
 
 const childEnv = "TEST_CHILD_OF_THE_STAGE"
@@ -273,11 +273,11 @@
 	s.Node.Audit, s.Node.Beat = true, 250
 	st, run, done := playing(t, s)
 	run()
-	eventually := func(what string, holds func(current, behind int, rows []roster.Row) bool) {
+	eventually := func(what string, holds func(current, behind int, rows []rollout.NodeStatus) bool) {
 		t.Helper()
 		for end := time.Now().Add(20 * time.Second); ; time.Sleep(50 * time.Millisecond) {
 			v := st.Roster()
-			behind := slices.DeleteFunc(slices.Clone(v.Nodes), func(r roster.Row) bool { return r.BehindMS == 0 })
+			behind := slices.DeleteFunc(slices.Clone(v.Nodes), func(r rollout.NodeStatus) bool { return r.BehindMS == 0 })
 			if holds(len(v.Nodes)-len(behind), len(behind), behind) {
 				return
 			}
@@ -286,11 +286,11 @@
 			}
 		}
 	}
-	eventually("all are current", func(current, behind int, _ []roster.Row) bool { return current == 6 && behind == 0 })
-	eventually("the one that is cut off is behind alone", func(current, behind int, rows []roster.Row) bool {
+	eventually("all are current", func(current, behind int, _ []rollout.NodeStatus) bool { return current == 6 && behind == 0 })
+	eventually("the one that is cut off is behind alone", func(current, behind int, rows []rollout.NodeStatus) bool {
 		return current == 5 && behind == 1 && rows[0].Name == "node-2"
 	})
-	eventually("it is brought up", func(current, behind int, _ []roster.Row) bool { return current == 6 && behind == 0 })
+	eventually("it is brought up", func(current, behind int, _ []rollout.NodeStatus) bool { return current == 6 && behind == 0 })
 	done()
 }
 
--- a/internal/lab/watchers/watchers.go
+++ b/internal/lab/watchers/watchers.go
@@ -16,9 +16,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"harrierramp/internal/admission"
 	"harrierramp/internal/lab/relay"
 	"harrierramp/internal/listwatch"
-	"harrierramp/internal/turns"
 )
 
 // Most is how many watchers there may be.
@@ -75,21 +75,21 @@
 	listed := make(chan struct{}, o.Count)
 	for i := range o.Count {
 		w := listwatch.Watcher{
-			Log: slog.New(slog.DiscardHandler), Client: client, At: listwatch.NewAddresses(o.Servers), Begin: o.Turned, Beat: o.Beat,
-			Turns: turns.NewTurn(o.Count, i, rand.New(rand.NewPCG(uint64(i), 1))), Heard: func() {}, Turned: func() {},
-			Asked: func() {
+			Log: slog.New(slog.DiscardHandler), Client: client, Servers: listwatch.NewAddresses(o.Servers), PaceStart: o.Turned, HeartbeatInterval: o.Beat,
+			Pacer: admission.NewPacer(o.Count, i, rand.New(rand.NewPCG(uint64(i), 1))), OnActivity: func() {}, OnServerChange: func() {},
+			OnRequest: func() {
 				mu.Lock()
 				defer mu.Unlock()
 				asks = append(asks, time.Since(began))
 			},
-			Later: func() {
+			OnRetryLater: func() {
 				mu.Lock()
 				defer mu.Unlock()
 				r.Told++
 			},
 		}
 		first := true
-		w.Tell = func(listwatch.List) {
+		w.OnList = func(listwatch.List) {
 			mu.Lock()
 			defer mu.Unlock()
 			r.RevisionsSeen++
--- a/internal/listwatch/pauses_test.go
+++ b/internal/listwatch/backoff_test.go
@@ -8,16 +8,16 @@
 )
 
 // busiestSecond is the most asks within a second that a fleet makes whose every ask fails, all from the same moment on.
-func busiestSecond(fleet int, asks bool) int {
-	return busiest(fleet, func() backoff.Backoff {
+func busiestSecondOfFleet(fleet int, asks bool) int {
+	return busiestSecond(fleet, func() backoff.Backoff {
 		if asks {
-			return AskPauses(fleet)
+			return DiscoveryBackoff(fleet)
 		}
-		return AgentPauses()
+		return AgentBackoff()
 	})
 }
 
-func busiest(fleet int, pauses func() backoff.Backoff) int {
+func busiestSecond(fleet int, pauses func() backoff.Backoff) int {
 	const length = 120
 	counts := make([]int, length*10)
 	for range fleet {
@@ -43,23 +43,23 @@
 // Up to the size from which the pauses would be longer than a change may go unheard, the asks of all together hang little on
 // the fleet's size. Beyond it they are spread over the time that there is, and never come more often than a pause allows.
 func TestAFleetThatFailsInCommonDoesNotAskInStep(t *testing.T) {
-	most := int(askPause / askSpacing)
-	small, large := busiestSecond(most/2, true), busiestSecond(most, true)
+	most := int(maxDiscoveryBackoff / retrySpacing)
+	small, large := busiestSecondOfFleet(most/2, true), busiestSecondOfFleet(most, true)
 	if large > 2*small {
 		t.Errorf("%d nodes ask up to %d times a second, %d nodes %d times", most, large, most/2, small)
 	}
 	for _, fleet := range []int{80, 400, 1024} {
-		if busy, bound := busiestSecond(fleet, true), int(1.15*float64(fleet)*float64(time.Second)/float64(askPause/2)); busy > bound {
+		if busy, bound := busiestSecondOfFleet(fleet, true), int(1.15*float64(fleet)*float64(time.Second)/float64(maxDiscoveryBackoff/2)); busy > bound {
 			t.Errorf("%d nodes ask up to %d times a second, and %d if they share the time", fleet, busy, bound)
 		}
 	}
-	if all := busiestSecond(400, false); all < 2*busiestSecond(400, true) {
+	if all := busiestSecondOfFleet(400, false); all < 2*busiestSecondOfFleet(400, true) {
 		t.Errorf("asks that are no work for discovery are held back as well: %d a second", all)
 	}
 }
 
-func TestPausesEndWithSuccess(t *testing.T) {
-	pause := AskPauses(10)
+func TestBackoffResetsOnSuccess(t *testing.T) {
+	pause := DiscoveryBackoff(10)
 	first := pause.Next()
 	for range 5 {
 		pause.Next()
@@ -68,7 +68,7 @@
 		t.Errorf("a pause of %v after %v: it does not grow", late, first)
 	}
 	pause.Reset()
-	if again := pause.Next(); again > 10*askSpacing {
-		t.Errorf("the first pause after a success is %v, more than %v", again, 10*askSpacing)
+	if again := pause.Next(); again > 10*retrySpacing {
+		t.Errorf("the first pause after a success is %v, more than %v", again, 10*retrySpacing)
 	}
 }
--- a/internal/listwatch/kept_test.go
+++ b/internal/listwatch/cache_test.go
@@ -8,28 +8,28 @@
 	"time"
 )
 
-func TestTheKeptList(t *testing.T) {
+func TestCacheRoundTrip(t *testing.T) {
 	dir := t.TempDir()
-	k := NewKept(dir, 1<<17)
+	k := NewCache(dir, 1<<17)
 	if l, _, err := k.Read(); err != nil || l.Revision != 0 {
 		t.Fatalf("nothing was kept: %+v, %v", l, err)
 	}
 	now := time.Now()
-	if k.Wait(now) < time.Minute {
+	if k.UntilDue(now) < time.Minute {
 		t.Error("nothing is known, and due")
 	}
-	k.Changed(7)
-	if k.Wait(now) != 0 {
+	k.MarkDirty(7)
+	if k.UntilDue(now) != 0 {
 		t.Error("a new list is not due")
 	}
 	want := List{Revision: 7, Complete: true, Members: membersOf("a", "b")}
 	if err := k.Write(want); err != nil {
 		t.Fatal(err)
 	}
-	if wait := k.Wait(now); wait <= 0 || wait > 2*keepPause {
+	if wait := k.UntilDue(now); wait <= 0 || wait > 2*cacheWriteInterval {
 		t.Errorf("the next is due in %v", wait)
 	}
-	if got, _, err := NewKept(dir, 1<<17).Read(); err != nil || fmt.Sprint(got) != fmt.Sprint(want) {
+	if got, _, err := NewCache(dir, 1<<17).Read(); err != nil || fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Errorf("got %+v, %v", got, err)
 	}
 	var ids []string
@@ -51,8 +51,8 @@
 }
 
 // A kept list that was cut or flipped anywhere is told, or is the list that was kept; it is never another one.
-func TestADamagedKeptListIsNeverTaken(t *testing.T) {
-	k := NewKept(t.TempDir(), 1<<17)
+func TestCacheRejectsDamagedFile(t *testing.T) {
+	k := NewCache(t.TempDir(), 1<<17)
 	want := List{Revision: 1<<32 + 7, Complete: true, Members: membersOf("a", "b")}
 	if err := k.Write(want); err != nil {
 		t.Fatal(err)
--- a/internal/listwatch/racing.go
+++ b/internal/listwatch/dial.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	raceAfter = 75 * time.Millisecond // a connection to an agent on the same machine is up at once
-	raceMost  = 4                     // dials beside each other
+	dialRaceInterval = 75 * time.Millisecond // a connection to an agent on the same machine is up at once
+	maxRacingDials   = 4                     // dials beside each other
 )
 
 // NewAgentClient is NewClient for an agent on the node's own machine. A connection to it that does not come up is not waited
@@ -19,14 +19,14 @@
 	return &http.Client{Transport: &http.Transport{
 		MaxIdleConnsPerHost: 2, DisableCompression: true,
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-			return race(ctx, func(ctx context.Context) (net.Conn, error) { return dialer.DialContext(ctx, network, addr) })
+			return raceDials(ctx, func(ctx context.Context) (net.Conn, error) { return dialer.DialContext(ctx, network, addr) })
 		},
 	}}
 }
 
 // race dials, and again every raceAfter beside the dials that have not come up, raceMost at most. It returns the first
 // connection, or an error once every dial that was begun has failed. Other connections are closed.
-func race(ctx context.Context, dial func(context.Context) (net.Conn, error)) (net.Conn, error) {
+func raceDials(ctx context.Context, dial func(context.Context) (net.Conn, error)) (net.Conn, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	type result struct {
@@ -34,7 +34,7 @@
 		err  error
 	}
 	results := make(chan result)
-	begin := func() {
+	start := func() {
 		go func() {
 			conn, err := dial(ctx)
 			select {
@@ -46,21 +46,21 @@
 			}
 		}()
 	}
-	begin()
-	begun, out := 1, 1
-	again := time.NewTicker(raceAfter)
+	start()
+	started, pending := 1, 1
+	again := time.NewTicker(dialRaceInterval)
 	defer again.Stop()
 	for {
 		select {
 		case r := <-results:
-			if out--; r.err == nil || out == 0 {
+			if pending--; r.err == nil || pending == 0 {
 				return r.conn, r.err
 			}
 		case <-again.C:
-			if begun < raceMost {
-				begin()
-				begun++
-				out++
+			if started < maxRacingDials {
+				start()
+				started++
+				pending++
 			}
 		case <-ctx.Done():
 			return nil, ctx.Err()
--- a/internal/listwatch/racing_test.go
+++ b/internal/listwatch/dial_test.go
@@ -21,7 +21,7 @@
 	return nil
 }
 
-func TestADialThatDoesNotComeUpIsNotWaitedFor(t *testing.T) {
+func TestRaceDialsPastHangingDial(t *testing.T) {
 	hangs := func(ctx context.Context) (net.Conn, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -34,10 +34,10 @@
 		begun int32
 	}{
 		"at once":             {dials: []func(context.Context) (net.Conn, error){nil}, begun: 1},
-		"the first hangs":     {dials: []func(context.Context) (net.Conn, error){hangs, nil}, took: raceAfter, begun: 2},
-		"two hang":            {dials: []func(context.Context) (net.Conn, error){hangs, hangs, nil}, took: 2 * raceAfter, begun: 3},
+		"the first hangs":     {dials: []func(context.Context) (net.Conn, error){hangs, nil}, took: dialRaceInterval, begun: 2},
+		"two hang":            {dials: []func(context.Context) (net.Conn, error){hangs, hangs, nil}, took: 2 * dialRaceInterval, begun: 3},
 		"refused":             {dials: []func(context.Context) (net.Conn, error){func(context.Context) (net.Conn, error) { return nil, refused }}, err: refused, begun: 1},
-		"all hang to the end": {dials: []func(context.Context) (net.Conn, error){hangs, hangs, hangs, hangs}, took: time.Second, err: context.DeadlineExceeded, begun: raceMost},
+		"all hang to the end": {dials: []func(context.Context) (net.Conn, error){hangs, hangs, hangs, hangs}, took: time.Second, err: context.DeadlineExceeded, begun: maxRacingDials},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -45,7 +45,7 @@
 				ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 				defer cancel()
 				began := time.Now()
-				conn, err := race(ctx, func(ctx context.Context) (net.Conn, error) {
+				conn, err := raceDials(ctx, func(ctx context.Context) (net.Conn, error) {
 					if dial := c.dials[begun.Add(1)-1]; dial != nil {
 						return dial(ctx)
 					}
@@ -63,12 +63,12 @@
 	}
 }
 
-func TestTheLoserOfTwoDialsIsClosed(t *testing.T) {
+func TestRaceDialsClosesLosingConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var begun, closed atomic.Int32
-		conn, err := race(t.Context(), func(context.Context) (net.Conn, error) {
+		conn, err := raceDials(t.Context(), func(context.Context) (net.Conn, error) {
 			if begun.Add(1) == 1 {
-				time.Sleep(2 * raceAfter) // it comes up after the other
+				time.Sleep(2 * dialRaceInterval) // it comes up after the other
 			}
 			return closeCounter{closed: &closed}, nil
 		})
--- a/internal/listwatch/links_test.go
+++ b/internal/listwatch/failover_test.go
@@ -18,50 +18,50 @@
 )
 
 const (
-	testBeat = 100 * time.Millisecond // in stepped time
-	realBeat = 300 * time.Millisecond // long enough for a busy machine
+	testHeartbeat = 100 * time.Millisecond // in stepped time
+	realHeartbeat = 300 * time.Millisecond // long enough for a busy machine
 )
 
 // playLinks steps the links of a server whose beats are heard as given, and another's beside it, and returns the acts.
-func playLinks(span time.Duration, first, other func(now time.Duration) (heard, more bool)) (acts []string) {
-	l := NewLinks(0, testBeat)
+func runFailover(span time.Duration, first, other func(now time.Duration) (heard, more bool)) (acts []string) {
+	l := NewFailover(0, testHeartbeat)
 	open := false
 	for now := time.Duration(0); now < span; now += 10 * time.Millisecond {
 		if heard, _ := first(now); heard {
-			l.Heard(now)
+			l.CurrentHeard(now)
 		}
 		if heard, more := other(now); heard && open {
-			l.HeardOther(now, more)
+			l.CandidateHeard(now, more)
 		}
 		switch l.Step(now) {
-		case Open:
+		case OpenCandidate:
 			open = true
 			acts = append(acts, fmt.Sprint("open ", now))
-		case Drop:
+		case DropCandidate:
 			open = false
 			acts = append(acts, fmt.Sprint("drop ", now))
-		case Leave:
+		case SwitchToCandidate:
 			acts = append(acts, fmt.Sprint("leave ", now))
 			return acts
-		case Renew:
+		case ReplaceCandidate:
 			acts = append(acts, fmt.Sprint("renew ", now))
 		}
 	}
 	return acts
 }
 
-func TestWhatIsDoneAboutASilentServer(t *testing.T) {
-	beats := func(now time.Duration) (bool, bool) { return now%testBeat == 0, false }
+func TestFailoverActions(t *testing.T) {
+	beats := func(now time.Duration) (bool, bool) { return now%testHeartbeat == 0, false }
 	never := func(time.Duration) (bool, bool) { return false, false }
-	knows := func(now time.Duration) (bool, bool) { return now%testBeat == 0, true }
+	knows := func(now time.Duration) (bool, bool) { return now%testHeartbeat == 0, true }
 	until := func(end time.Duration) func(time.Duration) (bool, bool) {
-		return func(now time.Duration) (bool, bool) { return now%testBeat == 0 && now <= end, false }
+		return func(now time.Duration) (bool, bool) { return now%testHeartbeat == 0 && now <= end, false }
 	}
 	gap := func(now time.Duration) (bool, bool) {
-		return now%testBeat == 0 && (now <= time.Second || now >= 1500*time.Millisecond), false
+		return now%testHeartbeat == 0 && (now <= time.Second || now >= 1500*time.Millisecond), false
 	}
 	late := func(now time.Duration) (bool, bool) { // each beat comes 50 ms late, from a second on
-		return now <= time.Second && now%testBeat == 0 || now > time.Second && now%testBeat == 50*time.Millisecond, false
+		return now <= time.Second && now%testHeartbeat == 0 || now > time.Second && now%testHeartbeat == 50*time.Millisecond, false
 	}
 	for name, c := range map[string]struct {
 		first, other func(time.Duration) (bool, bool)
@@ -74,45 +74,45 @@
 		"silent, and the other too":       {until(time.Second), never, "[open 1.31s renew 2.52s renew 3.73s renew 4.94s]"},
 		"it comes back":                   {gap, beats, "[open 1.31s drop 2.3s]"},
 	} {
-		if got := fmt.Sprint(playLinks(5*time.Second, c.first, c.other)); got != c.want {
+		if got := fmt.Sprint(runFailover(5*time.Second, c.first, c.other)); got != c.want {
 			t.Errorf("%s: %s, want %s", name, got, c.want)
 		}
 	}
 }
 
 // Whatever is heard when: a server that beats is never left, and no act comes without the one that it follows.
-func TestLinksKeepTheirOrder(t *testing.T) {
+func TestFailoverInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l, now, beside, heard, knew := NewLinks(0, testBeat), time.Duration(0), false, time.Duration(0), false
+		l, now, beside, heard, knew := NewFailover(0, testHeartbeat), time.Duration(0), false, time.Duration(0), false
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
-			now += time.Duration(rapid.Int64Range(0, int64(4*testBeat)).Draw(t, "pause"))
+			now += time.Duration(rapid.Int64Range(0, int64(4*testHeartbeat)).Draw(t, "pause"))
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
-				l.Heard(now)
+				l.CurrentHeard(now)
 				heard = now
 			case 1:
 				if beside {
 					more := rapid.Bool().Draw(t, "more")
-					l.HeardOther(now, more)
+					l.CandidateHeard(now, more)
 					knew = knew || more
 				}
 			case 2:
 				if beside {
-					l.Lost()
+					l.CandidateLost()
 					beside, knew = false, false
 				}
 			}
 			act := l.Step(now)
-			silent := now-heard > 3*testBeat
+			silent := now-heard > 3*testHeartbeat
 			switch {
-			case act == Open && (beside || !silent), (act == Drop || act == Leave || act == Renew) && !beside, act == Leave && !silent && !knew:
+			case act == OpenCandidate && (beside || !silent), (act == DropCandidate || act == SwitchToCandidate || act == ReplaceCandidate) && !beside, act == SwitchToCandidate && !silent && !knew:
 				t.Fatalf("act %d, beside %v, silent %v", act, beside, silent)
 			}
-			if beside = beside || act == Open; act == Drop || act == Leave {
+			if beside = beside || act == OpenCandidate; act == DropCandidate || act == SwitchToCandidate {
 				beside, knew = false, false
 			}
-			knew = knew && act != Renew
-			if act == Leave {
+			knew = knew && act != ReplaceCandidate
+			if act == SwitchToCandidate {
 				heard = now
 			}
 		}
@@ -120,22 +120,22 @@
 }
 
 // beating is a list server that beats until it is stalled.
-type beating struct {
-	srv     *httptest.Server
-	stalled atomic.Bool
-	mu      sync.Mutex
-	list    List
-	asks    int
+type heartbeatServer struct {
+	srv      *httptest.Server
+	stalled  atomic.Bool
+	mu       sync.Mutex
+	list     List
+	requests int
 }
 
-func newBeating(t *testing.T, l List) *beating {
-	b := &beating{list: l}
+func newHeartbeatServer(t *testing.T, l List) *heartbeatServer {
+	b := &heartbeatServer{list: l}
 	b.srv = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		b.mu.Lock()
-		b.asks++
+		b.requests++
 		b.mu.Unlock()
-		w.Header().Set(BeatHeader, r.FormValue("beat"))
-		for told := int64(-1); r.Context().Err() == nil; time.Sleep(realBeat / 2) {
+		w.Header().Set(HeartbeatHeader, r.FormValue("beat"))
+		for told := int64(-1); r.Context().Err() == nil; time.Sleep(realHeartbeat / 2) {
 			if b.stalled.Load() {
 				continue
 			}
@@ -158,16 +158,16 @@
 }
 
 // watching is a watcher of two servers, the first of which it begins with.
-type watching struct {
-	servers []*beating
-	told    chan int64
-	turned  atomic.Int64
-	nudged  chan struct{}
+type twoServerWatch struct {
+	servers           []*heartbeatServer
+	revisions         chan int64
+	serverChanges     atomic.Int64
+	candidateRequests chan struct{}
 }
 
-func watchTwo(t *testing.T) *watching {
+func watchTwoServers(t *testing.T) *twoServerWatch {
 	before := List{Revision: 5, Complete: true, Members: membersOf("a", "b")}
-	x := &watching{servers: []*beating{newBeating(t, before), newBeating(t, before)}, told: make(chan int64, 100), nudged: make(chan struct{}, 1)}
+	x := &twoServerWatch{servers: []*heartbeatServer{newHeartbeatServer(t, before), newHeartbeatServer(t, before)}, revisions: make(chan int64, 100), candidateRequests: make(chan struct{}, 1)}
 	var addrs []string
 	for _, s := range x.servers {
 		addrs = append(addrs, s.srv.Listener.Addr().String())
@@ -177,8 +177,8 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	known := int64(0)
 	w := Watcher{
-		Log: slog.New(slog.NewTextHandler(t.Output(), nil)), Client: &http.Client{}, At: at, Turns: &fixedTurns{}, Beat: realBeat,
-		Heard: func() {}, Turned: func() { x.turned.Add(1) }, Tell: func(l List) { x.told <- l.Revision }, Nudged: x.nudged,
+		Log: slog.New(slog.NewTextHandler(t.Output(), nil)), Client: &http.Client{}, Servers: at, Pacer: &fixedPacer{}, HeartbeatInterval: realHeartbeat,
+		OnActivity: func() {}, OnServerChange: func() { x.serverChanges.Add(1) }, OnList: func(l List) { x.revisions <- l.Revision }, CandidateRequests: x.candidateRequests,
 		Check: func(_ context.Context, _ string, l List) (List, error) {
 			if l.Revision < known {
 				return l, errOlderList
@@ -196,80 +196,80 @@
 		cancel()
 		<-done
 	})
-	if got := <-x.told; got != 5 {
+	if got := <-x.revisions; got != 5 {
 		t.Fatalf("revision %d", got)
 	}
 	return x
 }
 
-func (b *beating) asked() int {
+func (b *heartbeatServer) requestCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.asks
+	return b.requests
 }
 
 // change gives the second server a list that the first does not have.
-func (x *watching) change() {
+func (x *twoServerWatch) publishOnSecond() {
 	x.servers[1].mu.Lock()
 	defer x.servers[1].mu.Unlock()
 	x.servers[1].list = List{Revision: 6, Members: []Member{{ID: "a", Phase: "DELETED"}}}
 }
 
 // until waits for a revision, and tells how long that took.
-func (x *watching) until(revision int64) time.Duration {
+func (x *twoServerWatch) waitForRevision(revision int64) time.Duration {
 	began := time.Now()
-	for got := int64(0); got != revision; got = <-x.told {
+	for got := int64(0); got != revision; got = <-x.revisions {
 	}
 	return time.Since(began)
 }
 
 // A link that goes silent while its connection stays open is met within a few beats: the other server's list holds.
-func TestASilentLinkIsMetByAnotherServer(t *testing.T) {
-	x := watchTwo(t)
-	time.Sleep(8 * realBeat)
-	if x.servers[1].asked() != 0 || x.turned.Load() != 0 {
-		t.Errorf("at rest the other is asked %d times", x.servers[1].asked())
+func TestWatcherLeavesSilentServer(t *testing.T) {
+	x := watchTwoServers(t)
+	time.Sleep(8 * realHeartbeat)
+	if x.servers[1].requestCount() != 0 || x.serverChanges.Load() != 0 {
+		t.Errorf("at rest the other is asked %d times", x.servers[1].requestCount())
 	}
 	x.servers[0].stalled.Store(true)
-	x.change()
-	if took := x.until(6); took > 20*realBeat {
+	x.publishOnSecond()
+	if took := x.waitForRevision(6); took > 20*realHeartbeat {
 		t.Errorf("the other's list holds after %v", took)
 	}
 	x.servers[0].stalled.Store(false) // it may beat again, and is not gone back to
-	time.Sleep(8 * realBeat)
-	if x.turned.Load() != 1 {
-		t.Errorf("%d turns", x.turned.Load())
+	time.Sleep(8 * realHeartbeat)
+	if x.serverChanges.Load() != 1 {
+		t.Errorf("%d turns", x.serverChanges.Load())
 	}
 }
 
 // Who hears that others act on a later list asks another server beside the one that is behind, and follows that if it knows
 // more; if it does not, the first is kept.
-func TestANudgedWatcherFindsWhoKnowsMore(t *testing.T) {
-	x := watchTwo(t)
-	Nudge(x.nudged)
-	time.Sleep(4 * realBeat)
-	if x.turned.Load() != 0 || x.servers[1].asked() != 1 {
-		t.Errorf("%d turns, %d asks, and the other knows no more", x.turned.Load(), x.servers[1].asked())
+func TestRequestedCandidateReplacesServerThatIsBehind(t *testing.T) {
+	x := watchTwoServers(t)
+	RequestCandidate(x.candidateRequests)
+	time.Sleep(4 * realHeartbeat)
+	if x.serverChanges.Load() != 0 || x.servers[1].requestCount() != 1 {
+		t.Errorf("%d turns, %d asks, and the other knows no more", x.serverChanges.Load(), x.servers[1].requestCount())
 	}
-	x.change()
-	Nudge(x.nudged)
-	x.until(6)
-	Nudge(x.nudged) // the first is behind
-	time.Sleep(4 * realBeat)
-	if x.turned.Load() != 1 {
-		t.Errorf("%d turns", x.turned.Load())
+	x.publishOnSecond()
+	RequestCandidate(x.candidateRequests)
+	x.waitForRevision(6)
+	RequestCandidate(x.candidateRequests) // the first is behind
+	time.Sleep(4 * realHeartbeat)
+	if x.serverChanges.Load() != 1 {
+		t.Errorf("%d turns", x.serverChanges.Load())
 	}
 }
 
 // A move of the servers ends the pause before the next ask, too.
-func TestAMoveEndsThePause(t *testing.T) {
-	b := newBeating(t, List{Revision: 5, Complete: true, Members: membersOf("a")})
+func TestAddressChangeEndsBackoff(t *testing.T) {
+	b := newHeartbeatServer(t, List{Revision: 5, Complete: true, Members: membersOf("a")})
 	at := NewAddresses([]string{"127.0.0.1:1"})
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
 	w := Watcher{
-		Log: slog.New(slog.DiscardHandler), Client: &http.Client{}, At: at, Pause: backoff.Backoff{First: time.Hour, Last: time.Hour},
-		Heard: func() {}, Turned: func() { at.Move([]string{b.srv.Listener.Addr().String()}) }, Tell: func(List) { cancel() },
+		Log: slog.New(slog.DiscardHandler), Client: &http.Client{}, Servers: at, Backoff: backoff.Backoff{First: time.Hour, Last: time.Hour},
+		OnActivity: func() {}, OnServerChange: func() { at.Set([]string{b.srv.Listener.Addr().String()}) }, OnList: func(List) { cancel() },
 	}
 	w.Run(ctx, 0)
 	if err := ctx.Err(); err != context.Canceled {
--- a/internal/listwatch/follow_test.go
+++ b/internal/listwatch/follow_test.go
@@ -20,10 +20,10 @@
 	"harrierramp/internal/testkit"
 )
 
-const listHead = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n" // to the end of the connection
+const responseHead = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n" // to the end of the connection
 
 // agent is a discovery in virtual time: each connection it gets is served by the next function, the last by all after it.
-func agent(serve ...func(nc net.Conn)) *http.Client {
+func fakeAgent(serve ...func(nc net.Conn)) *http.Client {
 	var n atomic.Int64
 	return &http.Client{Transport: &http.Transport{
 		DisableKeepAlives: true,
@@ -51,7 +51,7 @@
 }
 
 // says writes pieces with a pause before each, and then stays silent with its connection open.
-func says(pause time.Duration, pieces ...string) func(net.Conn) {
+func writePieces(pause time.Duration, pieces ...string) func(net.Conn) {
 	return func(nc net.Conn) {
 		for _, p := range pieces {
 			time.Sleep(pause)
@@ -63,7 +63,7 @@
 }
 
 // bubble plays in virtual time, and lets all that is still on its way end.
-func bubble(t *testing.T, play func(t *testing.T)) {
+func inVirtualTime(t *testing.T, play func(t *testing.T)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		play(t)
@@ -71,11 +71,11 @@
 	})
 }
 
-func beats(n int) []string { return slices.Repeat([]string{"\n"}, n) }
+func emptyLines(n int) []string { return slices.Repeat([]string{"\n"}, n) }
 
 // Messages may come on one line each, indented, many in a piece, or cut anywhere; empty lines between them are heard and
 // those inside them are not.
-func TestMessagesOfAWatch(t *testing.T) {
+func TestFollowFramesMessages(t *testing.T) {
 	indented, err := json.MarshalIndent(List{Revision: 7, Complete: true, Members: membersOf("a", "b")}, "", "  ")
 	if err != nil {
 		t.Fatal(err)
@@ -87,18 +87,18 @@
 	text := "\n" + string(indented) + "\n\n\r\n" + string(flat) + "\n" + string(flat) + string(flat) + "\n\n" +
 		strings.ReplaceAll(string(indented), "\n", "\n\n") + "\r\n"
 	for _, size := range []int{1, 7, 100, len(text)} {
-		bubble(t, func(t *testing.T) {
+		inVirtualTime(t, func(t *testing.T) {
 			var pieces []string
 			for c := range slices.Chunk([]byte(text), size) {
 				pieces = append(pieces, string(c))
 			}
-			client := agent(func(nc net.Conn) {
-				says(0, append([]string{listHead}, pieces...)...)(nc)
+			client := fakeAgent(func(nc net.Conn) {
+				writePieces(0, append([]string{responseHead}, pieces...)...)(nc)
 				nc.Close()
 			})
 			var got []int64
 			heard := 0
-			err := Follow(t.Context(), client, "http://agent/", Watch{Patience: time.Second, Heard: func() { heard++ }}, func(m []byte) error {
+			err := Follow(t.Context(), client, "http://agent/", FollowOptions{ResponseTimeout: time.Second, OnActivity: func() { heard++ }}, func(m []byte) error {
 				var l List
 				err := json.Unmarshal(m, &l)
 				got = append(got, l.Revision)
@@ -116,7 +116,7 @@
 
 // A watch is silent from its last whole message or empty line on, whatever half of one still comes; and from the ask on,
 // whatever it waits for.
-func TestOneClockForSilence(t *testing.T) {
+func TestFollowTimesOutWithoutCompleteMessage(t *testing.T) {
 	const patience = 750 * time.Millisecond
 	whole := `{"revision":1,"complete":true,"members":[]}` + "\n"
 	half := `{"revision":2,"complete":false,` + "\n"
@@ -126,20 +126,20 @@
 		want  time.Duration
 	}{
 		"the dial does not come up":       {nil, patience},
-		"no head of an answer":            {says(0), patience},
-		"half a head":                     {says(100*time.Millisecond, strings.Split(listHead, "")...), patience},
-		"a head, and no line":             {says(0, listHead), patience},
-		"a head, and half a line":         {says(0, listHead, `{"revision":`), patience},
-		"a line, and nothing":             {says(0, listHead, whole), Silence},
-		"a line, and half of the next":    {says(time.Second, listHead[:20], listHead[20:]+whole), patience},
-		"empty lines, and nothing":        {says(2*time.Second, append([]string{}, beats(3)...)...), patience},
-		"a message that goes on and on":   {says(0, append([]string{listHead, whole, `{"revision":2,"x":"`}, drip...)...), Silence},
-		"empty lines inside of a message": {says(time.Second, append([]string{listHead}, beats(50)...)...), patience},
+		"no head of an answer":            {writePieces(0), patience},
+		"half a head":                     {writePieces(100*time.Millisecond, strings.Split(responseHead, "")...), patience},
+		"a head, and no line":             {writePieces(0, responseHead), patience},
+		"a head, and half a line":         {writePieces(0, responseHead, `{"revision":`), patience},
+		"a line, and nothing":             {writePieces(0, responseHead, whole), IdleTimeout},
+		"a line, and half of the next":    {writePieces(time.Second, responseHead[:20], responseHead[20:]+whole), patience},
+		"empty lines, and nothing":        {writePieces(2*time.Second, append([]string{}, emptyLines(3)...)...), patience},
+		"a message that goes on and on":   {writePieces(0, append([]string{responseHead, whole, `{"revision":2,"x":"`}, drip...)...), IdleTimeout},
+		"empty lines inside of a message": {writePieces(time.Second, append([]string{responseHead}, emptyLines(50)...)...), patience},
 	} {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
+			inVirtualTime(t, func(t *testing.T) {
 				began := time.Now()
-				err := Follow(t.Context(), agent(c.serve), "http://agent/", Watch{Patience: patience}, func([]byte) error { return nil })
+				err := Follow(t.Context(), fakeAgent(c.serve), "http://agent/", FollowOptions{ResponseTimeout: patience}, func([]byte) error { return nil })
 				if took := time.Since(began); err == nil || took != c.want {
 					t.Errorf("given up after %v, want %v: %v", took, c.want, err)
 				}
@@ -150,14 +150,20 @@
 		serve func(net.Conn)
 		want  time.Duration
 	}{
-		"beats":                  {func(nc net.Conn) { io.WriteString(nc, listHead+whole); says(2*time.Second, beats(10)...)(nc) }, 20*time.Second + Silence},
-		"beats inside a message": {func(nc net.Conn) { io.WriteString(nc, listHead+whole+half); says(2*time.Second, beats(10)...)(nc) }, Silence},
-		"half a line a second":   {func(nc net.Conn) { io.WriteString(nc, listHead+whole); says(time.Second, drip...)(nc) }, Silence},
+		"beats": {func(nc net.Conn) {
+			io.WriteString(nc, responseHead+whole)
+			writePieces(2*time.Second, emptyLines(10)...)(nc)
+		}, 20*time.Second + IdleTimeout},
+		"beats inside a message": {func(nc net.Conn) {
+			io.WriteString(nc, responseHead+whole+half)
+			writePieces(2*time.Second, emptyLines(10)...)(nc)
+		}, IdleTimeout},
+		"half a line a second": {func(nc net.Conn) { io.WriteString(nc, responseHead+whole); writePieces(time.Second, drip...)(nc) }, IdleTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
+			inVirtualTime(t, func(t *testing.T) {
 				began := time.Now()
-				err := Follow(t.Context(), agent(c.serve), "http://agent/", Watch{Patience: patience}, func([]byte) error { return nil })
+				err := Follow(t.Context(), fakeAgent(c.serve), "http://agent/", FollowOptions{ResponseTimeout: patience}, func([]byte) error { return nil })
 				if took := time.Since(began); err == nil || took != c.want {
 					t.Errorf("given up after %v, want %v: %v", took, c.want, err)
 				}
@@ -167,18 +173,18 @@
 }
 
 // A torn or absurd message ends the watch at once: what it said has to be asked for anew.
-func TestTornMessagesEndAWatch(t *testing.T) {
+func TestFollowEndsOnMalformedMessage(t *testing.T) {
 	whole := `{"revision":1,"complete":true,"members":[]}` + "\n"
 	for _, bad := range []string{
 		"{\"revision\":2,\"comp\n" + whole, "{\"revision\":2,\n" + whole, "}\n", "xyz\n", "{\"revision\":2]\n", "{\"revision\":2}}\n",
 		"[" + strings.Repeat(" ", maxMessage) + "]\n", strings.Repeat("[", 20000) + "\n", "\x00\n",
 	} {
-		bubble(t, func(t *testing.T) {
-			client := agent(func(nc net.Conn) {
-				io.WriteString(nc, listHead+whole+bad)
+		inVirtualTime(t, func(t *testing.T) {
+			client := fakeAgent(func(nc net.Conn) {
+				io.WriteString(nc, responseHead+whole+bad)
 			})
 			began, got := time.Now(), 0
-			err := Follow(t.Context(), client, "http://agent/", Watch{Patience: time.Second}, func([]byte) error {
+			err := Follow(t.Context(), client, "http://agent/", FollowOptions{ResponseTimeout: time.Second}, func([]byte) error {
 				got++
 				return nil
 			})
@@ -195,8 +201,8 @@
 	f.Add("{\n \"revision\": 1,\n\n \"members\": []\n}\n[]\"x\"1")
 	f.Add("{\"a\":\"\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		in := &feed{r: newFeedReader(strings.NewReader(text)), empty: func() {}}
-		err := in.messages(func(m []byte) error {
+		in := &messageReader{r: newBufferedReader(strings.NewReader(text)), onEmptyLine: func() {}}
+		err := in.readAll(func(m []byte) error {
 			if !json.Valid(m) {
 				t.Errorf("%q is handed on", m)
 			}
@@ -209,15 +215,15 @@
 }
 
 // watch runs a Watcher in virtual time and records what it tells, and when.
-func watch(t *testing.T, client *http.Client, after int64, span time.Duration) (told []string) {
+func runWatcher(t *testing.T, client *http.Client, after int64, span time.Duration) (told []string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), span)
 	defer cancel()
 	began := time.Now()
 	w := Watcher{
-		Log: slog.New(slog.DiscardHandler), Client: client, At: NewAddresses([]string{"agent"}), Patience: AgentPatience,
-		Pause: AgentPauses(), Heard: func() {}, Turned: func() {},
-		Tell: func(l List) { told = append(told, fmt.Sprint(l.Revision, " ", time.Since(began).Round(time.Second/2))) },
+		Log: slog.New(slog.DiscardHandler), Client: client, Servers: NewAddresses([]string{"agent"}), ResponseTimeout: AgentResponseTimeout,
+		Backoff: AgentBackoff(), OnActivity: func() {}, OnServerChange: func() {},
+		OnList: func(l List) { told = append(told, fmt.Sprint(l.Revision, " ", time.Since(began).Round(time.Second/2))) },
 	}
 	w.Run(ctx, after)
 	return told
@@ -225,31 +231,31 @@
 
 // What a watch misses that has fallen silent is known before it counts as told, 6 s after, also where the first ask anew
 // meets silence as well; and what an agent that was silent gets is known within the least grace of half a second.
-func TestWhatASilentWatchMissesIsKnownInTime(t *testing.T) {
+func TestChangeMissedBySilentWatchIsFoundInTime(t *testing.T) {
 	list := func(revision int) string {
 		return fmt.Sprintf("{\"revision\":%d,\"complete\":true,\"members\":[]}\n", revision)
 	}
-	bubble(t, func(t *testing.T) {
-		client := agent(says(0, listHead, list(1)), says(0), says(0, listHead, list(2)))
-		if got := watch(t, client, 0, 20*time.Second); len(got) < 2 || got[0] != "1 0s" || got[1] != "2 5.5s" {
+	inVirtualTime(t, func(t *testing.T) {
+		client := fakeAgent(writePieces(0, responseHead, list(1)), writePieces(0), writePieces(0, responseHead, list(2)))
+		if got := runWatcher(t, client, 0, 20*time.Second); len(got) < 2 || got[0] != "1 0s" || got[1] != "2 5.5s" {
 			t.Errorf("told %v", got)
 		}
 	})
 	for back := 5 * time.Second; back < 10*time.Second; back += 130 * time.Millisecond { // discovery is back then
-		bubble(t, func(t *testing.T) {
+		inVirtualTime(t, func(t *testing.T) {
 			began := time.Now()
 			up := func(nc net.Conn) {
 				if time.Since(began) >= back {
-					says(0, listHead, list(2))(nc)
+					writePieces(0, responseHead, list(2))(nc)
 				}
 			}
 			var at time.Duration
 			ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 			defer cancel()
 			w := Watcher{
-				Log: slog.New(slog.DiscardHandler), Client: agent(says(0, listHead, list(1)), up), At: NewAddresses([]string{"agent"}),
-				Patience: AgentPatience, Pause: AgentPauses(),
-				Heard: func() {}, Turned: func() {}, Tell: func(l List) {
+				Log: slog.New(slog.DiscardHandler), Client: fakeAgent(writePieces(0, responseHead, list(1)), up), Servers: NewAddresses([]string{"agent"}),
+				ResponseTimeout: AgentResponseTimeout, Backoff: AgentBackoff(),
+				OnActivity: func() {}, OnServerChange: func() {}, OnList: func(l List) {
 					if l.Revision == 2 {
 						at = time.Since(began)
 						cancel()
@@ -266,20 +272,20 @@
 
 // A revision that goes back is a change that was overtaken, or a discovery that has begun anew: nothing of it is taken
 // before the whole list has been asked for anew, and then what that says holds.
-func TestARevisionThatGoesBack(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+func TestLowerRevisionRequestsFullList(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T) {
 		var asked []string
 		answers := []string{
 			`{"revision":9,"complete":true,"members":[]}` + "\n" + `{"revision":8,"complete":false,"members":[{"id":"a"}]}` + "\n",
 			`{"revision":4,"complete":true,"members":[]}` + "\n" + `{"revision":5,"complete":false,"members":[]}` + "\n",
 		}
-		client := agent(says(0, listHead+answers[0]), says(0, listHead+answers[1]))
+		client := fakeAgent(writePieces(0, responseHead+answers[0]), writePieces(0, responseHead+answers[1]))
 		transport := client.Transport
 		client.Transport = roundTripper(func(r *http.Request) (*http.Response, error) {
 			asked = append(asked, r.URL.Query().Get("after"))
 			return transport.RoundTrip(r)
 		})
-		if got := watch(t, client, 7, 3*time.Second); !slices.Equal(got, []string{"9 0s", "4 0s", "5 0s"}) {
+		if got := runWatcher(t, client, 7, 3*time.Second); !slices.Equal(got, []string{"9 0s", "4 0s", "5 0s"}) {
 			t.Errorf("told %v", got)
 		}
 		if !slices.Equal(asked, []string{"7", "0"}) {
@@ -290,19 +296,19 @@
 
 // While discovery moves, what the old one still says is not taken: the new one is asked after what was taken last, and
 // only it is heard from then on.
-func TestAMoveCrossesALine(t *testing.T) {
+func TestAddressChangeIgnoresOldServer(t *testing.T) {
 	list := func(revision int) string {
 		return fmt.Sprintf("{\"revision\":%d,\"complete\":false,\"members\":[]}\n", revision)
 	}
-	bubble(t, func(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T) {
 		var asked []string
 		moved := make(chan struct{})
 		old := func(nc net.Conn) {
-			io.WriteString(nc, listHead+list(5))
+			io.WriteString(nc, responseHead+list(5))
 			<-moved
-			says(time.Millisecond, list(6), list(6))(nc) // the connection stays open for a while
+			writePieces(time.Millisecond, list(6), list(6))(nc) // the connection stays open for a while
 		}
-		client := agent(old, says(10*time.Millisecond, listHead, list(7)))
+		client := fakeAgent(old, writePieces(10*time.Millisecond, responseHead, list(7)))
 		transport := client.Transport
 		client.Transport = roundTripper(func(r *http.Request) (*http.Response, error) {
 			asked = append(asked, r.URL.Host+" "+r.URL.Query().Get("after"))
@@ -313,11 +319,11 @@
 		at := NewAddresses([]string{"old"})
 		var told []int64
 		w := Watcher{
-			Log: slog.New(slog.DiscardHandler), Client: client, At: at, Patience: AgentPatience,
-			Pause: AgentPauses(), Heard: func() {}, Turned: func() {},
-			Tell: func(l List) {
+			Log: slog.New(slog.DiscardHandler), Client: client, Servers: at, ResponseTimeout: AgentResponseTimeout,
+			Backoff: AgentBackoff(), OnActivity: func() {}, OnServerChange: func() {},
+			OnList: func(l List) {
 				if told = append(told, l.Revision); l.Revision == 5 {
-					at.Move([]string{"new"})
+					at.Set([]string{"new"})
 					close(moved)
 				}
 			},
@@ -331,12 +337,12 @@
 
 // A dial outlives the ask that it was made for, so that it needs a bound of its own: where connections never come up, asks
 // anew must not take one descriptor after another.
-func TestDialsThatNeverComeUpEnd(t *testing.T) {
+func TestHangingDialsTimeOut(t *testing.T) {
 	t.Parallel()
 	addr := testkit.UnresponsiveAddr(t)
 	client := NewClient(nil)
 	for range 5 {
-		if err := Follow(t.Context(), client, "http://"+addr+"/", Watch{Patience: 20 * time.Millisecond}, nil); err == nil {
+		if err := Follow(t.Context(), client, "http://"+addr+"/", FollowOptions{ResponseTimeout: 20 * time.Millisecond}, nil); err == nil {
 			t.Fatal("it answers")
 		}
 	}
--- a/internal/listwatch/listwatch.go
+++ b/internal/listwatch/listwatch.go
@@ -22,11 +22,11 @@
 	// Silence is how long a watch of the platform's discovery may go without a whole message or an empty line, which comes
 	// every 2 s while it is up. What a silent watch misses counts as told 6 s after it fell silent. So two empty lines
 	// may be missing, and what is left of the 6 s is for the watch that is opened in its place.
-	Silence = 4500 * time.Millisecond
+	IdleTimeout = 4500 * time.Millisecond
 	// ServiceSilence is the same of the project's own list service, which is asked beside when it is silent: see Links.
-	ServiceSilence = 10 * time.Second
+	ServiceIdleTimeout = 10 * time.Second
 	// dialTimeout bounds a dial, which goes on for others when the ask has ended that it was made for.
-	dialTimeout = answerPatience
+	dialTimeout = serviceResponseTimeout
 )
 
 // NewClient makes the client for watches, whose connections come from source, or from where the system chooses if that is
@@ -38,7 +38,7 @@
 	}}
 }
 
-const maxSaid = 64 << 10 // of an answer to a Post
+const maxPostResponse = 64 << 10 // of an answer to a Post
 
 // ClockHeader says what a list server's clock showed when it took a post, in milliseconds since 1970.
 const ClockHeader = "Registry-Clock-Ms"
@@ -56,9 +56,9 @@
 		return nil, err
 	}
 	defer resp.Body.Close()
-	said, err := io.ReadAll(io.LimitReader(resp.Body, maxSaid)) // so that the connection serves again
+	reply, err := io.ReadAll(io.LimitReader(resp.Body, maxPostResponse)) // so that the connection serves again
 	if err == nil && resp.StatusCode != http.StatusNoContent {
-		err = fmt.Errorf("post: %s: %.100s", resp.Status, bytes.TrimSpace(said))
+		err = fmt.Errorf("post: %s: %.100s", resp.Status, bytes.TrimSpace(reply))
 	}
 	return resp.Header, err
 }
@@ -66,17 +66,17 @@
 // The headers by which a server says when to come: Retry-After in whole seconds, as everybody reads it, and the same to
 // the millisecond. A turn is said again with the ask that keeps it.
 const (
-	waitHeader = "Retry-After-Ms"
-	turnHeader = "Registry-Turn"
+	retryAfterMSHeader = "Retry-After-Ms"
+	reservationHeader  = "Registry-Turn"
 )
 
 // TellWait writes that an ask is to be made again after a wait, which keeps a turn if that is not 0.
-func TellWait(h http.Header, wait time.Duration, turn uint64) {
+func SetRetryAfter(h http.Header, wait time.Duration, reservation uint64) {
 	ms := max((wait + time.Millisecond - 1).Milliseconds(), 1)
 	h.Set("Retry-After", strconv.FormatInt((ms+999)/1000, 10))
-	h.Set(waitHeader, strconv.FormatInt(ms, 10))
-	if turn != 0 {
-		h.Set(turnHeader, strconv.FormatUint(turn, 10))
+	h.Set(retryAfterMSHeader, strconv.FormatInt(ms, 10))
+	if reservation != 0 {
+		h.Set(reservationHeader, strconv.FormatUint(reservation, 10))
 	}
 }
 
@@ -86,22 +86,22 @@
 	Text string // the beginning of what the server says about it
 	// Said is whether the server has said when to come, Wait what it said, which may be absurd: -1 where it can't be
 	// read. Turn is what to say then, 0 for nothing.
-	Said bool
-	Wait time.Duration
-	Turn uint64
+	HasRetryAfter bool
+	RetryAfter    time.Duration
+	Reservation   uint64
 }
 
 // told reads when to come.
-func (e *StatusError) told(h http.Header) {
-	text := h.Get(waitHeader)
-	if e.Said = text != ""; !e.Said {
+func (e *StatusError) parseRetryAfter(h http.Header) {
+	text := h.Get(retryAfterMSHeader)
+	if e.HasRetryAfter = text != ""; !e.HasRetryAfter {
 		return
 	}
 	ms, err := strconv.ParseInt(text, 10, 64)
-	if e.Wait = time.Duration(ms) * time.Millisecond; err != nil || ms > int64(time.Duration(math.MaxInt64)/time.Millisecond) {
-		e.Wait = -1
+	if e.RetryAfter = time.Duration(ms) * time.Millisecond; err != nil || ms > int64(time.Duration(math.MaxInt64)/time.Millisecond) {
+		e.RetryAfter = -1
 	}
-	e.Turn, _ = strconv.ParseUint(h.Get(turnHeader), 10, 64) // without one it is an ask like any other
+	e.Reservation, _ = strconv.ParseUint(h.Get(reservationHeader), 10, 64) // without one it is an ask like any other
 }
 
 func (e *StatusError) Error() string {
@@ -109,30 +109,30 @@
 }
 
 // BeatHeader says, in milliseconds, how often a server that was asked for it says something.
-const BeatHeader = "Registry-Beat-Ms"
+const HeartbeatHeader = "Registry-Beat-Ms"
 
 // errSilent is the end of a watch that has said nothing for too long.
 var errSilent = errors.New("it is silent")
 
 // Watch is how a watch is followed. The functions may be nil.
-type Watch struct {
-	Patience time.Duration // from the ask, dial and head of the answer included, to the first message or empty line
-	Silence  time.Duration // from one to the next; 0 for Silence
-	Opened   func(beat time.Duration)
-	Heard    func() // for each message, and each empty line between messages
+type FollowOptions struct {
+	ResponseTimeout time.Duration // from the ask, dial and head of the answer included, to the first message or empty line
+	IdleTimeout     time.Duration // from one to the next; 0 for Silence
+	OnOpen          func(beat time.Duration)
+	OnActivity      func() // for each message, and each empty line between messages
 }
 
 // Follow follows one watch to its end, which is always an error, and hands on each message: a JSON value, on one line or
 // indented over many. A watch that has gone silent is given up, for its machine may be gone; one that goes on with half a
 // message, or with empty lines inside one, is silent too.
-func Follow(ctx context.Context, client *http.Client, url string, w Watch, message func([]byte) error) error {
-	if w.Silence == 0 {
-		w.Silence = Silence
+func Follow(ctx context.Context, client *http.Client, url string, opts FollowOptions, message func([]byte) error) error {
+	if opts.IdleTimeout == 0 {
+		opts.IdleTimeout = IdleTimeout
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := time.AfterFunc(w.Patience, func() { cancel(errSilent) })
-	defer silence.Stop()
+	idleTimer := time.AfterFunc(opts.ResponseTimeout, func() { cancel(errSilent) })
+	defer idleTimer.Stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return fmt.Errorf("watch: %w", err)
@@ -144,81 +144,81 @@
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
 		text, err := io.ReadAll(io.LimitReader(resp.Body, 256))
-		no := &StatusError{Code: resp.StatusCode, Text: string(bytes.TrimSpace(text))}
-		no.told(resp.Header)
-		return errors.Join(no, err)
+		statusErr := &StatusError{Code: resp.StatusCode, Text: string(bytes.TrimSpace(text))}
+		statusErr.parseRetryAfter(resp.Header)
+		return errors.Join(statusErr, err)
 	}
-	if w.Opened != nil {
-		ms, err := strconv.ParseInt(resp.Header.Get(BeatHeader), 10, 64)
-		if err != nil || ms < 0 || ms > ServiceSilence.Milliseconds() {
+	if opts.OnOpen != nil {
+		ms, err := strconv.ParseInt(resp.Header.Get(HeartbeatHeader), 10, 64)
+		if err != nil || ms < 0 || ms > ServiceIdleTimeout.Milliseconds() {
 			ms = 0 // it says something when it likes
 		}
-		w.Opened(time.Duration(ms) * time.Millisecond)
+		opts.OnOpen(time.Duration(ms) * time.Millisecond)
 	}
-	heard := func() {
-		silence.Reset(w.Silence)
-		if w.Heard != nil {
-			w.Heard()
+	activity := func() {
+		idleTimer.Reset(opts.IdleTimeout)
+		if opts.OnActivity != nil {
+			opts.OnActivity()
 		}
 	}
-	in := &feed{r: newFeedReader(resp.Body), empty: heard}
-	return fmt.Errorf("watch: %w", in.messages(message, heard))
+	reader := &messageReader{r: newBufferedReader(resp.Body), onEmptyLine: activity}
+	return fmt.Errorf("watch: %w", reader.readAll(message, activity))
 }
 
 // feed is what a decoder of messages reads. It keeps empty lines between messages from it, which say that the server is
 // there, and bounds what a message may hold.
-type feed struct {
-	r      *bufio.Reader
-	empty  func()
-	piece  []byte // of a line, and what is left of it to hand on
-	within bool   // a message has begun
-	size   int    // of it so far
+type messageReader struct {
+	r           *bufio.Reader
+	onEmptyLine func()
+	pending     []byte // of a line, and what is left of it to hand on
+	inMessage   bool   // a message has begun
+	size        int    // of it so far
 }
 
-func newFeedReader(r io.Reader) *bufio.Reader { return bufio.NewReaderSize(r, 16<<10) }
+func newBufferedReader(r io.Reader) *bufio.Reader { return bufio.NewReaderSize(r, 16<<10) }
 
 // messages hands on each message, and tells whole that one has come, to the end, which is always an error.
-func (f *feed) messages(message func([]byte) error, whole func()) error {
+func (f *messageReader) readAll(message func([]byte) error, complete func()) error {
 	for d := json.NewDecoder(f); ; {
 		var raw json.RawMessage
 		if err := d.Decode(&raw); err != nil {
 			return err
 		}
-		f.ended(d.Buffered())
-		whole()
+		f.endMessage(d.Buffered())
+		complete()
 		if err := message(raw); err != nil {
 			return err
 		}
 	}
 }
 
-func (f *feed) Read(p []byte) (int, error) {
-	for len(f.piece) == 0 {
+func (f *messageReader) Read(p []byte) (int, error) {
+	for len(f.pending) == 0 {
 		piece, err := f.r.ReadSlice('\n')
 		if err != nil && !errors.Is(err, bufio.ErrBufferFull) && len(piece) == 0 {
 			return 0, err
 		}
 		if len(bytes.TrimSpace(piece)) > 0 {
-			f.within = true
-		} else if !f.within {
+			f.inMessage = true
+		} else if !f.inMessage {
 			if err == nil {
-				f.empty()
+				f.onEmptyLine()
 			}
 			continue
 		}
 		if f.size += len(piece); f.size > maxMessage {
 			return 0, fmt.Errorf("a message over %d bytes", maxMessage)
 		}
-		f.piece = piece
+		f.pending = piece
 	}
-	n := copy(p, f.piece)
-	f.piece = f.piece[n:]
+	n := copy(p, f.pending)
+	f.pending = f.pending[n:]
 	return n, nil
 }
 
 // ended notes that a message has ended, behind which the decoder has read so much.
-func (f *feed) ended(behind io.Reader) {
-	rest, _ := io.ReadAll(behind) // of a buffer: no error
+func (f *messageReader) endMessage(buffered io.Reader) {
+	rest, _ := io.ReadAll(buffered) // of a buffer: no error
 	f.size = len(rest)
-	f.within = len(bytes.TrimSpace(rest)) > 0
+	f.inMessage = len(bytes.TrimSpace(rest)) > 0
 }
--- a/internal/listwatch/listwatch_test.go
+++ b/internal/listwatch/listwatch_test.go
@@ -26,11 +26,11 @@
 	return srv.URL
 }
 
-func TestAWatchOverHTTP(t *testing.T) {
+func TestFollowOverHTTP(t *testing.T) {
 	url := serve(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "{\"n\":1}\n\n\n{\"n\":2}\n") })
 	var got []string
 	heard := 0
-	err := Follow(t.Context(), http.DefaultClient, url, Watch{Patience: Silence, Heard: func() { heard++ }}, func(l []byte) error {
+	err := Follow(t.Context(), http.DefaultClient, url, FollowOptions{ResponseTimeout: IdleTimeout, OnActivity: func() { heard++ }}, func(l []byte) error {
 		got = append(got, string(l))
 		return nil
 	})
@@ -39,31 +39,31 @@
 	}
 }
 
-func TestAWatchThatIsRefusedTellsWhy(t *testing.T) {
+func TestFollowReturnsStatusError(t *testing.T) {
 	url := serve(t, func(w http.ResponseWriter, _ *http.Request) {
 		http.Error(w, "no list yet"+strings.Repeat("x", 1<<20), http.StatusServiceUnavailable)
 	})
-	err := Follow(t.Context(), http.DefaultClient, url, Watch{Patience: Silence}, nil)
+	err := Follow(t.Context(), http.DefaultClient, url, FollowOptions{ResponseTimeout: IdleTimeout}, nil)
 	var status *StatusError
 	if !errors.As(err, &status) || status.Code != 503 || !strings.HasPrefix(status.Text, "no list yet") || len(status.Text) > 256 {
 		t.Errorf("got %v", err)
 	}
 }
 
-func TestALineThatIsRefusedEndsTheWatch(t *testing.T) {
+func TestFollowEndsWhenMessageHandlerFails(t *testing.T) {
 	bad := errors.New("bad")
 	url := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		io.WriteString(w, "{\"n\":1}\n")
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
 	})
-	if err := Follow(t.Context(), http.DefaultClient, url, Watch{Patience: Silence}, func([]byte) error { return bad }); !errors.Is(err, bad) {
+	if err := Follow(t.Context(), http.DefaultClient, url, FollowOptions{ResponseTimeout: IdleTimeout}, func([]byte) error { return bad }); !errors.Is(err, bad) {
 		t.Errorf("got %v", err)
 	}
 }
 
 // A server whose machine is gone says nothing and closes nothing.
-func TestASilentWatchIsGivenUp(t *testing.T) {
+func TestFollowGivesUpOnSilentServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := &http.Client{Transport: &http.Transport{DialContext: func(context.Context, string, string) (net.Conn, error) {
 			here, there := net.Pipe()
@@ -71,24 +71,24 @@
 			return here, nil
 		}}}
 		defer client.CloseIdleConnections()
-		if err := Follow(t.Context(), client, "http://silent/", Watch{Patience: Silence}, nil); !errors.Is(err, errSilent) {
+		if err := Follow(t.Context(), client, "http://silent/", FollowOptions{ResponseTimeout: IdleTimeout}, nil); !errors.Is(err, errSilent) {
 			t.Errorf("got %v", err)
 		}
 	})
 }
 
 // fixedTurns records what it is told.
-type fixedTurns struct{ told []time.Duration }
+type fixedPacer struct{ hints []time.Duration }
 
-func (f *fixedTurns) First() time.Duration              { return 0 }
-func (f *fixedTurns) Again(time.Duration) time.Duration { return time.Millisecond }
-func (f *fixedTurns) Told(wait time.Duration) (time.Duration, bool) {
-	f.told = append(f.told, wait)
+func (f *fixedPacer) InitialDelay() time.Duration            { return 0 }
+func (f *fixedPacer) RetryDelay(time.Duration) time.Duration { return time.Millisecond }
+func (f *fixedPacer) RetryAfter(wait time.Duration) (time.Duration, bool) {
+	f.hints = append(f.hints, wait)
 	return wait, wait > 0 && wait < time.Minute
 }
 
 // Who is told when to come asks the same server again then, with its turn; a wait without sense turns it to the next.
-func TestAWatcherComesWhenItIsTold(t *testing.T) {
+func TestWatcherHonorsRetryAfter(t *testing.T) {
 	var asks []string
 	var times []time.Time
 	answers := []string{"120", "", "x", "-5", "0", "99999999999999999999", "9223372036854775807"}
@@ -106,14 +106,14 @@
 	}))
 	defer srv.Close()
 	ctx, cancel := context.WithCancel(t.Context())
-	turns, later, turned, counted := &fixedTurns{}, 0, 0, 0
+	turns, later, turned, counted := &fixedPacer{}, 0, 0, 0
 	w := Watcher{
-		Log: slog.New(slog.DiscardHandler), Client: http.DefaultClient, At: NewAddresses([]string{srv.Listener.Addr().String()}), Turns: turns,
-		Begin: true, Asked: func() { counted++ }, Later: func() { later++ }, Turned: func() { turned++ }, Heard: func() {}, Tell: func(List) { cancel() },
+		Log: slog.New(slog.DiscardHandler), Client: http.DefaultClient, Servers: NewAddresses([]string{srv.Listener.Addr().String()}), Pacer: turns,
+		PaceStart: true, OnRequest: func() { counted++ }, OnRetryLater: func() { later++ }, OnServerChange: func() { turned++ }, OnActivity: func() {}, OnList: func(List) { cancel() },
 	}
 	w.Run(ctx, 0)
-	if len(asks) != len(answers)+1 || counted != len(asks) || later != 1 || turned != len(answers)-1 || len(turns.told) != 6 {
-		t.Fatalf("%d asks, %d counted, %d told, %d turned, %v", len(asks), counted, later, turned, turns.told)
+	if len(asks) != len(answers)+1 || counted != len(asks) || later != 1 || turned != len(answers)-1 || len(turns.hints) != 6 {
+		t.Fatalf("%d asks, %d counted, %d told, %d turned, %v", len(asks), counted, later, turned, turns.hints)
 	}
 	if !strings.Contains(asks[1], "turn=77") || strings.Contains(asks[2], "turn") || times[1].Sub(times[0]) < 120*time.Millisecond {
 		t.Errorf("asks %q after %v", asks, times[1].Sub(times[0]))
--- a/internal/listwatch/told_test.go
+++ b/internal/listwatch/propagation_test.go
@@ -14,17 +14,17 @@
 
 // countsAsTold is how long after discovery had a change and could be reached, or after a watch fell silent, a node is held to
 // know it.
-const countsAsTold = 6 * time.Second
+const propagationDeadline = 6 * time.Second
 
 // Whatever up to three asks in a row meet, a change that discovery has from the last of them on is known before it counts
 // as told: discovery can be reached by whoever asks after that one, and a watch that it has told something was silent from
 // there on.
-func TestAChangeIsKnownBeforeItCountsAsTold(t *testing.T) {
+func TestChangeIsKnownBeforePropagationDeadline(t *testing.T) {
 	list := func(revision int) string {
 		return fmt.Sprintf("{\"revision\":%d,\"complete\":true,\"members\":[]}\n", revision)
 	}
 	ends := func(pieces ...string) func(net.Conn) {
-		return func(nc net.Conn) { says(0, pieces...)(nc); nc.Close() }
+		return func(nc net.Conn) { writePieces(0, pieces...)(nc); nc.Close() }
 	}
 	failures := []struct {
 		name  string
@@ -33,20 +33,20 @@
 		{"no dial", nil},
 		{"an end", ends()},
 		{"503", ends("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")},
-		{"silence", says(0)},
-		{"a head", says(0, listHead)},
-		{"half a list", says(0, listHead, list(1)[:10])},
-		{"a list, then silence", says(0, listHead, list(1))},
-		{"a list, then empty lines inside the next", says(time.Second/2, append([]string{listHead, list(1), list(2)[:10]}, beats(20)...)...)},
-		{"a list, then its end", ends(listHead, list(1))},
+		{"silence", writePieces(0)},
+		{"a head", writePieces(0, responseHead)},
+		{"half a list", writePieces(0, responseHead, list(1)[:10])},
+		{"a list, then silence", writePieces(0, responseHead, list(1))},
+		{"a list, then empty lines inside the next", writePieces(time.Second/2, append([]string{responseHead, list(1), list(2)[:10]}, emptyLines(20)...)...)},
+		{"a list, then its end", ends(responseHead, list(1))},
 	}
 	for name, c := range map[string]struct {
 		patience time.Duration
 		pauses   func() backoff.Backoff
 	}{
-		"an agent":     {AgentPatience, AgentPauses},
-		"asked by one": {AskPatience, func() backoff.Backoff { return AskPauses(1) }},
-		"asked by 350": {AskPatience, func() backoff.Backoff { return AskPauses(350) }},
+		"an agent":     {AgentResponseTimeout, AgentBackoff},
+		"asked by one": {DiscoveryResponseTimeout, func() backoff.Backoff { return DiscoveryBackoff(1) }},
+		"asked by 350": {DiscoveryResponseTimeout, func() backoff.Backoff { return DiscoveryBackoff(350) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var worst time.Duration
@@ -57,16 +57,16 @@
 				for _, i := range which {
 					names, serve = append(names, failures[i].name), append(serve, failures[i].serve)
 				}
-				bubble(t, func(t *testing.T) {
+				inVirtualTime(t, func(t *testing.T) {
 					ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 					defer cancel()
 					var asks []time.Time
 					var known time.Time
 					w := Watcher{
-						Log: slog.New(slog.DiscardHandler), Client: agent(append(serve, says(0, listHead, list(9)))...),
-						At: NewAddresses([]string{"agent"}), Patience: c.patience, Pause: c.pauses(), Heard: func() {}, Turned: func() {},
-						Asked: func() { asks = append(asks, time.Now()) },
-						Tell: func(l List) {
+						Log: slog.New(slog.DiscardHandler), Client: fakeAgent(append(serve, writePieces(0, responseHead, list(9)))...),
+						Servers: NewAddresses([]string{"agent"}), ResponseTimeout: c.patience, Backoff: c.pauses(), OnActivity: func() {}, OnServerChange: func() {},
+						OnRequest: func() { asks = append(asks, time.Now()) },
+						OnList: func(l List) {
 							if l.Revision == 9 {
 								known = time.Now()
 								cancel()
@@ -81,7 +81,7 @@
 					if took > worst {
 						worst, by = took, strings.Join(names, "; ")
 					}
-					if took >= countsAsTold {
+					if took >= propagationDeadline {
 						t.Errorf("%s: known after %v", strings.Join(names, "; "), took)
 					}
 				})
@@ -102,13 +102,13 @@
 }
 
 // The sums of the parts that make up those times, each under the 6 s by what an answer takes.
-func TestThePartsOfWhatCountsAsToldAddUp(t *testing.T) {
+func TestTimeoutsFitPropagationDeadline(t *testing.T) {
 	for name, sum := range map[string]time.Duration{
-		"a silent watch, then an ask anew":                         Silence + silentPause,
-		"an agent's silent watch, and a first ask that meets none": Silence + agentPause + AgentPatience + agentPause,
-		"an ask that began just before discovery could be reached": AskPatience + askPause,
+		"a silent watch, then an ask anew":                         IdleTimeout + maxSilenceBackoff,
+		"an agent's silent watch, and a first ask that meets none": IdleTimeout + maxAgentBackoff + AgentResponseTimeout + maxAgentBackoff,
+		"an ask that began just before discovery could be reached": DiscoveryResponseTimeout + maxDiscoveryBackoff,
 	} {
-		if sum > countsAsTold-250*time.Millisecond {
+		if sum > propagationDeadline-250*time.Millisecond {
 			t.Errorf("%s: %v", name, sum)
 		}
 	}
--- a/internal/listwatch/doubt.go
+++ b/internal/listwatch/validator.go
@@ -18,11 +18,11 @@
 
 const (
 	// What is lost is doubted if it is at least so many and more than half of what was known.
-	doubtLeast = 3
-	doubtPause = 75 * time.Millisecond // between asks while it is, and up to as much again
-	MostDoubt  = time.Second           // the most that a list may be held
+	minSuspiciousLoss = 3
+	recheckInterval   = 75 * time.Millisecond // between asks while it is, and up to as much again
+	MaxHold           = time.Second           // the most that a list may be held
 	// What a file says is held against servers that tell less for so long, while others have yet to be heard.
-	unconfirmedLast = 30 * time.Second
+	unconfirmedTimeout = 30 * time.Second
 )
 
 // errOlderList refuses a server that is behind what the node knows.
@@ -37,102 +37,102 @@
 // far behind, and whose instances have yet to register again. But it may as well be true, and then sends to what it
 // leaves out have to end within the protocol's grace. So it is held for most of that grace, in which all servers
 // are asked for a later list; then it is obeyed. What changes say by name is never doubted.
-type Doubt struct {
-	Log     *slog.Logger
-	Client  *http.Client
-	At      *Addresses
-	Hold    time.Duration
-	Head    int64
-	members map[string]bool // by id
+type Validator struct {
+	Log      *slog.Logger
+	Client   *http.Client
+	Servers  *Addresses
+	HoldFor  time.Duration
+	Revision int64
+	known    map[string]bool // by id
 	// Unconfirmed says that what is known comes from a file, and no server has said so yet. It may be another fleet's, or
 	// of a service that has lost its folder since. So once every server has told an earlier list, or one has and
 	// unconfirmedLast has passed, the servers are believed.
-	Unconfirmed bool
-	behind      map[string]bool // addresses that have told an earlier list meanwhile
-	since       time.Time       // the first of them
-	Older       *atomic.Int64   // lists refused
-	Doubted     *atomic.Int64   // lists held
+	Unconfirmed   bool
+	olderServers  map[string]bool // addresses that have told an earlier list meanwhile
+	olderSince    time.Time       // the first of them
+	RejectedLists *atomic.Int64   // lists refused
+	HeldLists     *atomic.Int64   // lists held
 }
 
 // NewDoubt begins with what is known.
-func NewDoubt(d Doubt, known iter.Seq[Member]) *Doubt {
-	d.members = map[string]bool{}
+func NewValidator(d Validator, known iter.Seq[Member]) *Validator {
+	d.known = map[string]bool{}
 	for m := range known {
-		d.members[m.ID] = true
+		d.known[m.ID] = true
 	}
 	return &d
 }
 
 // Check is what watch does with each list of the server at addr.
-func (d *Doubt) Check(ctx context.Context, addr string, l List) (List, error) {
-	if l.Revision < d.Head && !d.ahead(addr, l) {
-		d.Older.Add(1)
-		return l, fmt.Errorf("%w: revision %d after %d", errOlderList, l.Revision, d.Head)
+func (d *Validator) Check(ctx context.Context, addr string, l List) (List, error) {
+	if l.Revision < d.Revision && !d.acceptOlder(addr, l) {
+		d.RejectedLists.Add(1)
+		return l, fmt.Errorf("%w: revision %d after %d", errOlderList, l.Revision, d.Revision)
 	}
 	d.Unconfirmed = false
-	if lost := d.lost(l); doubtful(lost, len(d.members)) {
-		d.Doubted.Add(1)
-		d.Log.Warn("list_doubted", "revision", l.Revision, "lost", lost, "known", len(d.members))
-		l = d.reconsider(ctx, l)
-		d.Log.Warn("list_taken", "revision", l.Revision, "lost", d.lost(l))
+	if lost := d.missing(l); losesTooMany(lost, len(d.known)) {
+		d.HeldLists.Add(1)
+		d.Log.Warn("list_doubted", "revision", l.Revision, "lost", lost, "known", len(d.known))
+		l = d.recheck(ctx, l)
+		d.Log.Warn("list_taken", "revision", l.Revision, "lost", d.missing(l))
 	}
-	d.take(l)
+	d.record(l)
 	return l, nil
 }
 
 // ahead tells whether what is known is not to be held against a server that tells less.
-func (d *Doubt) ahead(addr string, l List) bool {
+func (d *Validator) acceptOlder(addr string, l List) bool {
 	if !d.Unconfirmed || !l.Complete {
 		return false
 	}
-	if d.behind == nil {
-		d.behind, d.since = map[string]bool{}, time.Now()
+	if d.olderServers == nil {
+		d.olderServers, d.olderSince = map[string]bool{}, time.Now()
 	}
-	d.behind[addr] = true
-	for _, a := range d.At.all() {
-		if !d.behind[a] && time.Since(d.since) < unconfirmedLast {
+	d.olderServers[addr] = true
+	for _, a := range d.Servers.all() {
+		if !d.olderServers[a] && time.Since(d.olderSince) < unconfirmedTimeout {
 			return false
 		}
 	}
-	d.Log.Warn("kept_list_ahead", "kept", d.Head, "told", l.Revision)
+	d.Log.Warn("kept_list_ahead", "kept", d.Revision, "told", l.Revision)
 	return true
 }
 
 // doubtful tells whether losing so many of those known is worth a second look.
-func doubtful(lost, known int) bool { return lost >= doubtLeast && 2*lost > known }
+func losesTooMany(lost, known int) bool { return lost >= minSuspiciousLoss && 2*lost > known }
 
 // lost is how many of those known a whole list leaves out.
-func (d *Doubt) lost(l List) int {
+func (d *Validator) missing(l List) int {
 	if !l.Complete {
 		return 0
 	}
-	lost := len(d.members)
+	lost := len(d.known)
 	for _, m := range l.Members {
-		if d.members[m.ID] {
+		if d.known[m.ID] {
 			lost--
 		}
 	}
 	return lost
 }
 
-func (d *Doubt) take(l List) {
-	if d.Head = l.Revision; l.Complete {
-		clear(d.members)
+func (d *Validator) record(l List) {
+	if d.Revision = l.Revision; l.Complete {
+		clear(d.known)
 	}
 	for _, m := range l.Members {
-		if d.members[m.ID] = true; m.Phase == "DELETED" {
-			delete(d.members, m.ID)
+		if d.known[m.ID] = true; m.Phase == "DELETED" {
+			delete(d.known, m.ID)
 		}
 	}
 }
 
 // reconsider asks all servers for a later list that is not doubtful, for as long as the list may be held.
-func (d *Doubt) reconsider(ctx context.Context, l List) List {
-	ctx, cancel := context.WithTimeout(ctx, d.Hold)
+func (d *Validator) recheck(ctx context.Context, l List) List {
+	ctx, cancel := context.WithTimeout(ctx, d.HoldFor)
 	defer cancel()
 	for {
-		for _, addr := range d.At.all() {
-			later, err := askList(ctx, d.Client, addr, d.Head)
+		for _, addr := range d.Servers.all() {
+			later, err := fetchList(ctx, d.Client, addr, d.Revision)
 			if err != nil {
 				d.Log.Debug("list_no_second_opinion", "addr", addr, "err", err)
 				continue
@@ -140,11 +140,11 @@
 			if later.Revision > l.Revision {
 				l = later
 			}
-			if !doubtful(d.lost(l), len(d.members)) {
+			if !losesTooMany(d.missing(l), len(d.known)) {
 				return l
 			}
 		}
-		if !backoff.Sleep(ctx, doubtPause+rand.N(doubtPause)) {
+		if !backoff.Sleep(ctx, recheckInterval+rand.N(recheckInterval)) {
 			return l
 		}
 	}
@@ -152,9 +152,9 @@
 
 // askList gets the whole list once. It says which revision is known: who only wants a second opinion goes before those
 // that begin.
-func askList(ctx context.Context, client *http.Client, addr string, known int64) (List, error) {
+func fetchList(ctx context.Context, client *http.Client, addr string, revision int64) (List, error) {
 	var l List
-	url := fmt.Sprintf("http://%s/registry/instances?after=%d", addr, known)
+	url := fmt.Sprintf("http://%s/registry/instances?after=%d", addr, revision)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return l, err
@@ -167,7 +167,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return l, fmt.Errorf("list: %s", resp.Status)
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, MaxKeptList)).Decode(&l); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, MaxCachedList)).Decode(&l); err != nil {
 		return l, fmt.Errorf("list: %w", err)
 	}
 	return l, nil
--- a/internal/listwatch/doubt_test.go
+++ b/internal/listwatch/validator_test.go
@@ -23,29 +23,29 @@
 const testGrace = 1200 * time.Millisecond
 
 // doubtOf is a doubt that knows six endpoints at revision 10 and may ask servers at these addresses.
-func doubtOf(t *testing.T, addrs ...string) *Doubt {
+func newTestValidator(t *testing.T, addrs ...string) *Validator {
 	t.Helper()
 	var older, doubted atomic.Int64
-	return NewDoubt(Doubt{
-		Log: slog.New(slog.NewTextHandler(t.Output(), nil)), Client: http.DefaultClient, At: NewAddresses(addrs),
-		Hold: testGrace * 3 / 4, Head: 10, Older: &older, Doubted: &doubted,
+	return NewValidator(Validator{
+		Log: slog.New(slog.NewTextHandler(t.Output(), nil)), Client: http.DefaultClient, Servers: NewAddresses(addrs),
+		HoldFor: testGrace * 3 / 4, Revision: 10, RejectedLists: &older, HeldLists: &doubted,
 	}, slices.Values(membersOf("a", "b", "c", "d", "e", "f")))
 }
 
-func TestAListNeverGoesBack(t *testing.T) {
-	d := doubtOf(t, "127.0.0.1:1")
+func TestValidatorRejectsOlderList(t *testing.T) {
+	d := newTestValidator(t, "127.0.0.1:1")
 	if _, err := d.Check(t.Context(), "127.0.0.1:1", List{Revision: 9, Complete: true}); !errors.Is(err, errOlderList) {
 		t.Errorf("an older list: %v", err)
 	}
 	if _, err := d.Check(t.Context(), "127.0.0.1:1", List{Revision: 10}); err != nil {
 		t.Errorf("the list that is known: %v", err)
 	}
-	if got := d.Older.Load(); got != 1 {
+	if got := d.RejectedLists.Load(); got != 1 {
 		t.Errorf("%d refused", got)
 	}
 }
 
-func TestAListWithoutMostEndpointsIsDoubted(t *testing.T) {
+func TestValidatorHoldsListThatLacksMostEndpoints(t *testing.T) {
 	var answer atomic.Value
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprint(w, answer.Load())
@@ -67,18 +67,18 @@
 		"replaced by as many more": {List{Revision: 11, Complete: true, Members: membersOf("u", "v", "w", "x", "y", "z")}, later, 12, false},
 	} {
 		answer.Store(c.answer)
-		d := doubtOf(t, srv.Listener.Addr().String())
+		d := newTestValidator(t, srv.Listener.Addr().String())
 		began := time.Now()
 		got, err := d.Check(t.Context(), "127.0.0.1:1", c.told)
 		took := time.Since(began)
 		if err != nil || got.Revision != c.want {
 			t.Errorf("%s: revision %d is taken, %v", name, got.Revision, err)
 		}
-		if c.held != (took >= d.Hold) || d.Hold >= testGrace {
-			t.Errorf("%s: held for %v, may be for %v of a grace of %v", name, took, d.Hold, testGrace)
+		if c.held != (took >= d.HoldFor) || d.HoldFor >= testGrace {
+			t.Errorf("%s: held for %v, may be for %v of a grace of %v", name, took, d.HoldFor, testGrace)
 		}
-		if d.Head != got.Revision {
-			t.Errorf("%s: known is revision %d", name, d.Head)
+		if d.Revision != got.Revision {
+			t.Errorf("%s: known is revision %d", name, d.Revision)
 		}
 	}
 }
--- a/internal/membership/claim.go
+++ b/internal/membership/claim.go
@@ -42,7 +42,7 @@
 	id          ID
 	state       State
 	incarnation uint32
-	by          ID // who suspects it
+	suspectedBy ID // who suspects it
 }
 
 // overrides tells whether news of a member are newer than what is held of it. Only the member itself makes a later
@@ -70,14 +70,14 @@
 	kindPingReq // ping the target for the sender
 	kindNack    // the target has not answered yet
 	kindDigest  // what the sender's view comes to, by buckets
-	kindSame    // the view of the receiver's digest is the sender's as well
+	kindInSync  // the view of the receiver's digest is the sender's as well
 	kindEntries // the sender's view of one bucket; want asks for the receiver's
-	kinds
+	kindCount
 )
 
 const (
 	buckets     = 32
-	headSize    = 5
+	headerSize  = 5
 	digestWidth = 4
 )
 
@@ -87,13 +87,13 @@
 	incarnation uint32 // of the sender
 	target      ID     // of a ping request
 	bucket      uint8
-	want        bool
+	wantReply   bool
 	digest      [buckets]uint32
 	claims      []claim
 }
 
 // head writes all but the claims.
-func (m message) head() []byte {
+func (m message) header() []byte {
 	b := append(make([]byte, 0, maxSize), Magic, version, byte(m.kind))
 	b = binary.BigEndian.AppendUint16(b, m.seq)
 	b = binary.AppendUvarint(b, uint64(m.incarnation))
@@ -106,7 +106,7 @@
 		}
 	case kindEntries:
 		b = append(b, m.bucket<<1)
-		if m.want {
+		if m.wantReply {
 			b[len(b)-1] |= 1
 		}
 	}
@@ -120,7 +120,7 @@
 	b = append(b, byte(c.state))
 	b = binary.AppendUvarint(b, uint64(c.incarnation))
 	if c.state == Suspect {
-		b = binary.BigEndian.AppendUint32(b, uint32(c.by))
+		b = binary.BigEndian.AppendUint32(b, uint32(c.suspectedBy))
 	}
 	if len(b) > maxSize {
 		return b[:full], false
@@ -130,13 +130,13 @@
 
 // reader reads the fields of a datagram; bad is set when one is missing or impossible.
 type reader struct {
-	b   []byte
-	bad bool
+	b         []byte
+	malformed bool
 }
 
 func (r *reader) take(n int) []byte {
 	if n > len(r.b) {
-		r.b, r.bad = nil, true
+		r.b, r.malformed = nil, true
 		return make([]byte, n)
 	}
 	v := r.b[:n]
@@ -151,7 +151,7 @@
 func (r *reader) incarnation() uint32 {
 	v, n := binary.Uvarint(r.b)
 	if n <= 0 || v > maxIncarnation {
-		r.b, r.bad = nil, true
+		r.b, r.malformed = nil, true
 		return 0
 	}
 	r.b = r.b[n:]
@@ -160,7 +160,7 @@
 
 // decode reads a datagram; ok is false for one that is cut, too long, of another version or with impossible numbers.
 func decode(b []byte) (m message, ok bool) {
-	if len(b) < headSize || len(b) > maxSize || b[0] != Magic || b[1] != version {
+	if len(b) < headerSize || len(b) > maxSize || b[0] != Magic || b[1] != version {
 		return m, false
 	}
 	r := &reader{b: b[2:]}
@@ -176,16 +176,16 @@
 		}
 	case kindEntries:
 		b := r.byte()
-		m.bucket, m.want = b>>1, b&1 == 1
-		r.bad = r.bad || m.bucket >= buckets
+		m.bucket, m.wantReply = b>>1, b&1 == 1
+		r.malformed = r.malformed || m.bucket >= buckets
 	}
 	for len(r.b) > 0 {
 		c := claim{id: r.id(), state: State(r.byte()), incarnation: r.incarnation()}
 		if c.state == Suspect {
-			c.by = r.id()
+			c.suspectedBy = r.id()
 		}
-		r.bad = r.bad || c.state > Left
+		r.malformed = r.malformed || c.state > Left
 		m.claims = append(m.claims, c)
 	}
-	return m, !r.bad && m.kind > 0 && m.kind < kinds
+	return m, !r.malformed && m.kind > 0 && m.kind < kindCount
 }
--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -5,10 +5,10 @@
 // A view is compared by the digests of its buckets, and only buckets that differ are sent. A digest tells who is
 // present, and under which incarnation; whether somebody is suspected just now is no difference.
 
-func (c *Core) bucketOf(id ID) int { return int(spreadBits(uint64(id)) % buckets) }
+func (c *Core) bucketOf(id ID) int { return int(mixBits(uint64(id)) % buckets) }
 
 // spreadBits mixes a number's bits.
-func spreadBits(x uint64) uint64 {
+func mixBits(x uint64) uint64 {
 	for range 2 {
 		x = (x ^ x>>31 ^ 0x9e3779b97f4a7c15) * 0xbf58476d1ce4e5b9
 	}
@@ -27,7 +27,7 @@
 		if m.state.Gone() {
 			gone = 1
 		}
-		out[c.bucketOf(m.id)] += uint32(spreadBits(uint64(m.id)<<31 ^ uint64(m.incarnation)<<1 ^ gone))
+		out[c.bucketOf(m.id)] += uint32(mixBits(uint64(m.id)<<31 ^ uint64(m.incarnation)<<1 ^ gone))
 	}
 	return out
 }
@@ -38,7 +38,7 @@
 }
 
 // compare answers a digest: with some of the buckets that differ, or with a word that none does.
-func (c *Core) compare(from int, m message) {
+func (c *Core) handleDigest(from int, m message) {
 	own := c.digests()
 	var differ []int
 	for i := range own {
@@ -47,19 +47,19 @@
 		}
 	}
 	if len(differ) == 0 {
-		c.agreed = c.now
-		c.send(from, message{kind: kindSame, seq: m.seq})
+		c.agreedAt = c.now
+		c.send(from, message{kind: kindInSync, seq: m.seq})
 		return
 	}
 	c.rng.Shuffle(len(differ), func(a, b int) { differ[a], differ[b] = differ[b], differ[a] })
-	for _, bucket := range differ[:min(len(differ), maxBuckets)] {
+	for _, bucket := range differ[:min(len(differ), maxSyncBuckets)] {
 		c.sendEntries(from, bucket, true)
 	}
 }
 
 // sendEntries sends what this node holds of a bucket's members; what does not fit goes another time.
 func (c *Core) sendEntries(to, bucket int, want bool) {
-	b := message{kind: kindEntries, seq: c.seq, incarnation: c.Incarnation(), bucket: uint8(bucket), want: want}.head()
+	b := message{kind: kindEntries, seq: c.seq, incarnation: c.Incarnation(), bucket: uint8(bucket), wantReply: want}.header()
 	first := c.rng.IntN(len(c.members))
 	for k := range c.members {
 		i := (first + k) % len(c.members)
@@ -76,34 +76,34 @@
 			break
 		}
 	}
-	c.out = append(c.out, Datagram{to, b})
+	c.outgoing = append(c.outgoing, Datagram{to, b})
 }
 
 // Seen is a member as this node sees it.
-type Seen struct {
+type MemberStatus struct {
 	Member      int
 	State       State
 	Reason      Reason
 	Incarnation uint32
 	Since       time.Duration // when it came to be so
-	Heard       time.Duration // when it last spoke here; 0 for never
+	LastHeard   time.Duration // when it last spoke here; 0 for never
 }
 
 // View is what this node sees, by the members' order.
-func (c *Core) View() []Seen {
-	out := make([]Seen, len(c.members))
+func (c *Core) View() []MemberStatus {
+	out := make([]MemberStatus, len(c.members))
 	for i := range c.members {
 		m := &c.members[i]
-		out[i] = Seen{i, m.state, m.reason, m.incarnation, m.since, m.heard}
+		out[i] = MemberStatus{i, m.state, m.reason, m.incarnation, m.stateSince, m.lastHeard}
 	}
 	return out
 }
 
 // Agreed is when another member had the same view; never is 0. Health is 0 unless this node is slow itself.
-func (c *Core) Agreed() (at time.Duration, health int) { return c.agreed, c.health }
+func (c *Core) LastAgreement() (at time.Duration, health int) { return c.agreedAt, c.healthScore }
 
 // Present counts those who are not gone, this node too.
-func (c *Core) Present() (present, suspect int) {
+func (c *Core) PresentCount() (present, suspect int) {
 	for i := range c.members {
 		if !c.members[i].state.Gone() {
 			present++
--- a/internal/membership/sim_test.go
+++ b/internal/membership/sim_test.go
@@ -17,39 +17,39 @@
 
 // fleet steps many cores in module time over a network that loses, repeats, delays and overtakes.
 type fleet struct {
-	t      testing.TB
-	rng    *rand.Rand
-	now    time.Duration
-	ids    []ID
-	cores  []*Core // nil while down
-	kept   []uint32
-	events events
-	lost   float64
-	twice  float64
-	old    float64                 // share of the datagrams that come up to ten periods late
-	cut    func(from, to int) bool // nil for none
-	paused []time.Duration         // a core does nothing before this
-	sent   []int
-	bytes  []int
-	wrong  map[int]bool          // members that were held for dead while they ran
-	gone   map[int]time.Duration // when a member was first held for gone
-	news   int
+	t                 testing.TB
+	rng               *rand.Rand
+	now               time.Duration
+	ids               []ID
+	cores             []*Core // nil while down
+	savedIncarnations []uint32
+	events            events
+	lossRate          float64
+	duplicateRate     float64
+	delayRate         float64                 // share of the datagrams that come up to ten periods late
+	blocked           func(from, to int) bool // nil for none
+	pausedUntil       []time.Duration         // a core does nothing before this
+	sent              []int
+	bytes             []int
+	falselyDead       map[int]bool          // members that were held for dead while they ran
+	goneAt            map[int]time.Duration // when a member was first held for gone
+	eventSeq          int
 }
 
 type event struct {
-	at   time.Duration
-	n    int // order among those of the same time
-	node int
-	from int // -1 for a tick
-	text []byte
-	core *Core // that a tick is for
+	at      time.Duration
+	seq     int // order among those of the same time
+	node    int
+	from    int // -1 for a tick
+	payload []byte
+	core    *Core // that a tick is for
 }
 
 type events []event
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(e[i].at, e[j].at), cmp.Compare(e[i].n, e[j].n)) < 0
+	return cmp.Or(cmp.Compare(e[i].at, e[j].at), cmp.Compare(e[i].seq, e[j].seq)) < 0
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
@@ -62,9 +62,9 @@
 func newFleet(t testing.TB, size int, seed uint64) *fleet {
 	t.Helper()
 	f := &fleet{
-		t: t, rng: rand.New(rand.NewPCG(seed, 7)), cores: make([]*Core, size), kept: make([]uint32, size),
-		paused: make([]time.Duration, size), sent: make([]int, size), bytes: make([]int, size), wrong: map[int]bool{},
-		gone: map[int]time.Duration{},
+		t: t, rng: rand.New(rand.NewPCG(seed, 7)), cores: make([]*Core, size), savedIncarnations: make([]uint32, size),
+		pausedUntil: make([]time.Duration, size), sent: make([]int, size), bytes: make([]int, size), falselyDead: map[int]bool{},
+		goneAt: map[int]time.Duration{},
 	}
 	for i := range size {
 		f.ids = append(f.ids, IDOf(fmt.Sprintf("10.0.%d.%d:7946", i/250, i%250)))
@@ -74,19 +74,19 @@
 
 func (f *fleet) config(i int, incarnation uint32) Config {
 	return Config{
-		Self: i, Members: f.ids, Incarnation: incarnation, Period: testPeriod, Timeout: testTimeout, Seed: f.rng.Uint64(),
+		Self: i, Members: f.ids, Incarnation: incarnation, PingInterval: testPeriod, AckTimeout: testTimeout, Seed: f.rng.Uint64(),
 	}
 }
 
 // start brings a node up, with what its folder has.
 func (f *fleet) start(i int) {
-	f.kept[i]++
-	f.startAs(f.config(i, f.kept[i]))
+	f.savedIncarnations[i]++
+	f.startAs(f.config(i, f.savedIncarnations[i]))
 }
 
 func (f *fleet) startAs(cfg Config) {
 	f.cores[cfg.Self] = New(cfg, f.now)
-	f.after(cfg.Self)
+	f.flush(cfg.Self)
 }
 
 func (f *fleet) startAll() *fleet {
@@ -99,37 +99,37 @@
 func (f *fleet) kill(nodes ...int) {
 	for _, i := range nodes {
 		f.cores[i] = nil
-		delete(f.gone, i)
+		delete(f.goneAt, i)
 	}
 }
 
 func (f *fleet) push(e event) {
-	f.news++
-	e.n = f.news
+	f.eventSeq++
+	e.seq = f.eventSeq
 	heap.Push(&f.events, e)
 }
 
 // after sends what a core has said and asks for its next tick.
-func (f *fleet) after(i int) {
+func (f *fleet) flush(i int) {
 	c := f.cores[i]
 	out, changes := c.Take()
-	f.kept[i] = max(f.kept[i], c.Incarnation())
+	f.savedIncarnations[i] = max(f.savedIncarnations[i], c.Incarnation())
 	for _, d := range out {
-		if len(d.Text) > 256 {
-			f.t.Fatalf("a datagram of %d bytes", len(d.Text))
+		if len(d.Payload) > 256 {
+			f.t.Fatalf("a datagram of %d bytes", len(d.Payload))
 		}
 		f.sent[i]++
-		f.bytes[i] += len(d.Text)
-		if f.cut != nil && f.cut(i, d.To) {
+		f.bytes[i] += len(d.Payload)
+		if f.blocked != nil && f.blocked(i, d.To) {
 			continue
 		}
-		for copies := 1 + b2i(f.rng.Float64() < f.twice); copies > 0; copies-- {
-			if f.rng.Float64() >= f.lost {
-				delay := time.Millisecond + rand1(f.rng, 20*time.Millisecond)
-				if f.rng.Float64() < f.old {
-					delay += rand1(f.rng, 10*testPeriod)
+		for copies := 1 + boolToInt(f.rng.Float64() < f.duplicateRate); copies > 0; copies-- {
+			if f.rng.Float64() >= f.lossRate {
+				delay := time.Millisecond + randDuration(f.rng, 20*time.Millisecond)
+				if f.rng.Float64() < f.delayRate {
+					delay += randDuration(f.rng, 10*testPeriod)
 				}
-				f.push(event{at: f.now + delay, node: d.To, from: i, text: d.Text})
+				f.push(event{at: f.now + delay, node: d.To, from: i, payload: d.Payload})
 			}
 		}
 	}
@@ -138,16 +138,18 @@
 			continue
 		}
 		if f.cores[ch.Member] != nil && !f.cores[ch.Member].leaving {
-			f.wrong[ch.Member] = true
+			f.falselyDead[ch.Member] = true
 		}
-		if _, ok := f.gone[ch.Member]; !ok {
-			f.gone[ch.Member] = f.now
+		if _, ok := f.goneAt[ch.Member]; !ok {
+			f.goneAt[ch.Member] = f.now
 		}
 	}
-	f.push(event{at: max(c.Wake(), f.now+time.Millisecond), node: i, from: -1, core: c})
+	f.push(event{at: max(c.WakeAt(), f.now+time.Millisecond), node: i, from: -1, core: c})
 }
 
-func rand1(rng *rand.Rand, d time.Duration) time.Duration { return time.Duration(rng.Int64N(int64(d))) }
+func randDuration(rng *rand.Rand, d time.Duration) time.Duration {
+	return time.Duration(rng.Int64N(int64(d)))
+}
 
 // run lets so much time pass.
 func (f *fleet) run(d time.Duration) {
@@ -159,7 +161,7 @@
 		if c == nil {
 			continue
 		}
-		if p := f.paused[e.node]; f.now < p {
+		if p := f.pausedUntil[e.node]; f.now < p {
 			// The socket keeps what comes; ticks come after it.
 			e.at = p
 			if e.from < 0 {
@@ -169,20 +171,20 @@
 			continue
 		}
 		if e.from < 0 {
-			if e.core != c || f.now < c.due {
+			if e.core != c || f.now < c.wakeAt {
 				continue // of a core before this one, or overtaken by an earlier wake
 			}
 			c.Tick(f.now)
 		} else {
-			c.Receive(f.now, e.from, e.text)
+			c.Receive(f.now, e.from, e.payload)
 		}
-		f.after(e.node)
+		f.flush(e.node)
 	}
 	f.now = end
 }
 
 // agree tells whether all that run see the same nodes present: those that run and have not left.
-func (f *fleet) agree() bool {
+func (f *fleet) viewsAgree() bool {
 	for i, c := range f.cores {
 		if c == nil || c.leaving {
 			continue
@@ -197,10 +199,10 @@
 }
 
 // until runs until all agree, and tells how long that took.
-func (f *fleet) until(most time.Duration) time.Duration {
+func (f *fleet) untilAgreement(most time.Duration) time.Duration {
 	f.t.Helper()
 	began := f.now
-	for !f.agree() {
+	for !f.viewsAgree() {
 		if f.now-began > most {
 			f.t.Fatalf("no agreement after %v", most)
 		}
@@ -210,17 +212,17 @@
 }
 
 // finding plays deaths in fleets of a size, and tells when the first held the dead for gone, and when all did.
-func finding(t testing.TB, size int, seeds uint64) (first, all []time.Duration) {
+func measureDetection(t testing.TB, size int, seeds uint64) (first, all []time.Duration) {
 	for seed := range seeds {
 		f := newFleet(t, size, seed).startAll()
 		f.run(10 * time.Second)
 		victim := f.rng.IntN(size)
 		f.kill(victim)
 		at := f.now
-		f.until(2 * time.Minute)
-		first, all = append(first, f.gone[victim]-at), append(all, f.now-at)
-		if len(f.wrong) > 0 {
-			t.Errorf("%d nodes, seed %d: %v are held for dead and run", size, seed, f.wrong)
+		f.untilAgreement(2 * time.Minute)
+		first, all = append(first, f.goneAt[victim]-at), append(all, f.now-at)
+		if len(f.falselyDead) > 0 {
+			t.Errorf("%d nodes, seed %d: %v are held for dead and run", size, seed, f.falselyDead)
 		}
 	}
 	slices.Sort(first)
@@ -228,9 +230,9 @@
 	return first, all
 }
 
-func TestTheDeadAreFound(t *testing.T) {
+func TestDeadMembersAreDetected(t *testing.T) {
 	for _, size := range []int{2, 10, 100} {
-		first, all := finding(t, size, 3)
+		first, all := measureDetection(t, size, 3)
 		t.Logf("%4d nodes: found after %v to %v, known to all after %v to %v, periods of %v",
 			size, first[0], first[2], all[0], all[2], testPeriod)
 		if all[2] > 20*testPeriod {
@@ -253,7 +255,7 @@
 }
 
 // What a node sends does not grow with the fleet.
-func TestTrafficIsConstant(t *testing.T) {
+func TestTrafficIsIndependentOfFleetSize(t *testing.T) {
 	small, _ := traffic(t, 10)
 	large, bytes := traffic(t, 300)
 	t.Logf("a second and node: 10 nodes %.2f datagrams, 300 nodes %.2f of %.0f bytes together", small, large, bytes)
@@ -268,7 +270,7 @@
 	for _, size := range []int{10, 30, 100, 300, 1000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			for b.Loop() {
-				first, all := finding(b, size, 5)
+				first, all := measureDetection(b, size, 5)
 				datagrams, bytes := traffic(b, size)
 				for name, v := range map[string]float64{
 					"found-median": first[2].Seconds(), "found-most": first[4].Seconds(), "all-median": all[2].Seconds(),
@@ -281,17 +283,17 @@
 	}
 }
 
-func TestLossIsNotDeath(t *testing.T) {
+func TestPacketLossCausesNoFalseDeath(t *testing.T) {
 	for _, lost := range []float64{0, 0.05, 0.2} {
 		wrong, suspects, size := 0, int64(0), 60
 		for seed := range uint64(3) {
 			f := newFleet(t, size, seed)
-			f.lost, f.twice = lost, 0.05
+			f.lossRate, f.duplicateRate = lost, 0.05
 			f.startAll()
 			f.run(2 * time.Minute)
-			wrong += len(f.wrong)
+			wrong += len(f.falselyDead)
 			for _, c := range f.cores {
-				suspects += c.Counts.Suspects
+				suspects += c.Counts.Suspicions
 			}
 		}
 		t.Logf("%.0f%% lost, 3 times %d nodes for two minutes: %d held for dead, %d suspicions", 100*lost, size, wrong, suspects)
@@ -302,12 +304,12 @@
 }
 
 // A part that is cut off knows only itself, and all know all soon after it is back.
-func TestPartsThatAreCutOffComeTogether(t *testing.T) {
+func TestPartitionsMerge(t *testing.T) {
 	for seed := range uint64(3) {
 		f := newFleet(t, 60, seed).startAll()
 		f.run(10 * time.Second)
 		zone := func(i int) bool { return i%3 == 0 }
-		f.cut = func(from, to int) bool { return zone(from) != zone(to) }
+		f.blocked = func(from, to int) bool { return zone(from) != zone(to) }
 		f.run(90 * time.Second)
 		for i, c := range f.cores {
 			for k, m := range c.members {
@@ -316,28 +318,28 @@
 				}
 			}
 		}
-		f.cut = nil
-		took := f.until(time.Minute)
+		f.blocked = nil
+		took := f.untilAgreement(time.Minute)
 		t.Logf("seed %d: together after %v", seed, took)
 		f.run(30 * time.Second)
-		if !f.agree() {
+		if !f.viewsAgree() {
 			t.Errorf("seed %d: they part again", seed)
 		}
 	}
 }
 
 // A node that hears but is not heard by some is reached by way of others, and stays.
-func TestOneWayIsShut(t *testing.T) {
+func TestOneWayLossCausesNoFalseDeath(t *testing.T) {
 	f := newFleet(t, 30, 1).startAll()
 	f.run(5 * time.Second)
-	f.cut = func(from, to int) bool { return from == 3 && to%4 == 0 }
+	f.blocked = func(from, to int) bool { return from == 3 && to%4 == 0 }
 	f.run(2 * time.Minute)
-	if len(f.wrong) > 0 {
-		t.Errorf("%v are held for dead", f.wrong)
+	if len(f.falselyDead) > 0 {
+		t.Errorf("%v are held for dead", f.falselyDead)
 	}
 }
 
-func TestSevenInTenAreKilledAtOnce(t *testing.T) {
+func TestMassFailureIsDetected(t *testing.T) {
 	for seed := range uint64(2) {
 		f := newFleet(t, 150, seed).startAll()
 		f.run(10 * time.Second)
@@ -348,18 +350,18 @@
 			}
 		}
 		f.kill(dead...)
-		t.Logf("seed %d: known to all after %v", seed, f.until(3*time.Minute))
-		if len(f.wrong) > 0 {
-			t.Errorf("seed %d: %v are held for dead and run", seed, f.wrong)
+		t.Logf("seed %d: known to all after %v", seed, f.untilAgreement(3*time.Minute))
+		if len(f.falselyDead) > 0 {
+			t.Errorf("seed %d: %v are held for dead and run", seed, f.falselyDead)
 		}
 		for _, i := range dead {
 			f.start(i)
 		}
-		t.Logf("seed %d: back for all after %v", seed, f.until(time.Minute))
+		t.Logf("seed %d: back for all after %v", seed, f.untilAgreement(time.Minute))
 	}
 }
 
-func TestARollingRestartIsNoDeath(t *testing.T) {
+func TestRollingRestartCausesNoFalseDeath(t *testing.T) {
 	f := newFleet(t, 100, 1).startAll()
 	f.run(10 * time.Second)
 	for i := range f.cores {
@@ -368,95 +370,95 @@
 		f.start(i)
 	}
 	f.run(10 * time.Second)
-	if len(f.wrong) > 0 || !f.agree() {
-		t.Errorf("%v are held for dead and run; agreed %v", f.wrong, f.agree())
+	if len(f.falselyDead) > 0 || !f.viewsAgree() {
+		t.Errorf("%v are held for dead and run; agreed %v", f.falselyDead, f.viewsAgree())
 	}
 }
 
 // Without its folder a node begins with an incarnation that the others have long seen; they tell it.
-func TestAFolderIsLost(t *testing.T) {
+func TestLostIncarnationIsRecovered(t *testing.T) {
 	for _, dead := range []bool{false, true} {
 		f := newFleet(t, 20, 1).startAll()
-		f.kept[4] = 9
+		f.savedIncarnations[4] = 9
 		f.kill(4)
 		f.start(4)
 		f.run(20 * time.Second)
 		f.kill(4)
 		if dead {
-			f.until(2 * time.Minute)
+			f.untilAgreement(2 * time.Minute)
 		}
-		f.kept[4] = 0
+		f.savedIncarnations[4] = 0
 		f.startAs(f.config(4, 0))
-		f.until(time.Minute)
+		f.untilAgreement(time.Minute)
 		f.run(40 * time.Second)
-		if got := f.cores[4].Incarnation(); got <= 10 || !f.agree() {
-			t.Errorf("dead %v: incarnation %d, agreed %v", dead, got, f.agree())
+		if got := f.cores[4].Incarnation(); got <= 10 || !f.viewsAgree() {
+			t.Errorf("dead %v: incarnation %d, agreed %v", dead, got, f.viewsAgree())
 		}
 	}
 }
 
-func TestALeaveIsKnownAtOnce(t *testing.T) {
+func TestLeaveSpreads(t *testing.T) {
 	f := newFleet(t, 100, 1).startAll()
 	f.run(10 * time.Second)
 	f.cores[5].Leave(f.now)
-	f.after(5)
-	took := f.until(time.Minute)
+	f.flush(5)
+	took := f.untilAgreement(time.Minute)
 	t.Logf("known to all after %v", took)
 	if took > 10*time.Second {
 		t.Errorf("known after %v", took)
 	}
 	for i, c := range f.cores {
-		if m := c.members[5]; i != 5 && (m.state != Left || m.reason != SaidLeft) {
+		if m := c.members[5]; i != 5 && (m.state != Left || m.reason != ReasonLeft) {
 			t.Fatalf("%d holds it for %v: %s", i, m.state, m.reason)
 		}
 	}
 	f.run(20 * time.Second)
-	f.cores[5].Return(f.now)
-	f.after(5)
-	f.until(time.Minute)
+	f.cores[5].Rejoin(f.now)
+	f.flush(5)
+	f.untilAgreement(time.Minute)
 }
 
 // The node that sleeps is suspected; it does not suspect the others, and is not dead.
-func TestASlowNodeAccusesNobody(t *testing.T) {
+func TestSlowNodeRaisesFewSuspicions(t *testing.T) {
 	for seed := range uint64(20) {
 		f := newFleet(t, 50, seed).startAll()
 		f.run(10 * time.Second)
 		for range 12 {
-			f.paused[7] = f.now + 1500*time.Millisecond + rand1(f.rng, 2*time.Second)
+			f.pausedUntil[7] = f.now + 1500*time.Millisecond + randDuration(f.rng, 2*time.Second)
 			f.run(5 * time.Second)
 		}
-		if len(f.wrong) > 0 {
-			t.Errorf("seed %d: %v are held for dead and run", seed, f.wrong)
+		if len(f.falselyDead) > 0 {
+			t.Errorf("seed %d: %v are held for dead and run", seed, f.falselyDead)
 		}
 		var others int64
 		for i, c := range f.cores {
 			if i != 7 {
-				others += c.Counts.Suspects
+				others += c.Counts.Suspicions
 			}
 		}
-		if own := f.cores[7].Counts.Suspects; own > 3 || others == 0 {
+		if own := f.cores[7].Counts.Suspicions; own > 3 || others == 0 {
 			t.Errorf("seed %d: the slow node suspects %d times, the others %d times", seed, own, others)
 		}
 	}
 }
 
-func TestAFlappingNode(t *testing.T) {
+func TestFlappingNodeDoesNotAffectOthers(t *testing.T) {
 	f := newFleet(t, 30, 1).startAll()
 	for range 20 {
 		f.kill(2)
-		f.run(rand1(f.rng, 20*time.Second))
+		f.run(randDuration(f.rng, 20*time.Second))
 		f.start(2)
-		f.run(rand1(f.rng, 5*time.Second))
+		f.run(randDuration(f.rng, 5*time.Second))
 	}
-	f.until(time.Minute)
-	delete(f.wrong, 2) // news of its death may come after its return
-	if len(f.wrong) > 0 {
-		t.Errorf("%v are held for dead", f.wrong)
+	f.untilAgreement(time.Minute)
+	delete(f.falselyDead, 2) // news of its death may come after its return
+	if len(f.falselyDead) > 0 {
+		t.Errorf("%v are held for dead", f.falselyDead)
 	}
 }
 
 // Nodes whose lists have another order, or lack some, still mean the same by what they say.
-func TestListsThatDiffer(t *testing.T) {
+func TestDifferentMemberLists(t *testing.T) {
 	f := newFleet(t, 20, 1)
 	f.startAll()
 	short := f.config(0, 5)
@@ -475,28 +477,28 @@
 			}
 		}
 	}
-	if f.cores[0].Counts.Strange == 0 {
+	if f.cores[0].Counts.Rejected == 0 {
 		t.Error("claims about members that are not listed were not counted")
 	}
 }
 
-func TestViewsAreCompared(t *testing.T) {
+func TestMembersAgreeOnViews(t *testing.T) {
 	f := newFleet(t, 100, 1).startAll()
 	f.run(time.Minute)
 	for i, c := range f.cores {
-		if at, _ := c.Agreed(); f.now-at > 40*time.Second {
+		if at, _ := c.LastAgreement(); f.now-at > 40*time.Second {
 			t.Errorf("%d agreed with another %v ago", i, f.now-at)
 		}
 	}
-	if present, suspect := f.cores[0].Present(); present != 100 || suspect != 0 {
+	if present, suspect := f.cores[0].PresentCount(); present != 100 || suspect != 0 {
 		t.Errorf("%d present, %d suspect", present, suspect)
 	}
 }
 
-func TestTheSameEventsMakeTheSameView(t *testing.T) {
+func TestSimulationIsDeterministic(t *testing.T) {
 	play := func() string {
 		f := newFleet(t, 30, 4)
-		f.lost = 0.1
+		f.lossRate = 0.1
 		f.startAll()
 		f.run(20 * time.Second)
 		f.kill(3, 4)
@@ -514,26 +516,26 @@
 	}
 }
 
-func TestBadDatagrams(t *testing.T) {
+func TestInvalidDatagramsAreRejected(t *testing.T) {
 	f := newFleet(t, 3, 1).startAll()
 	c := f.cores[0]
-	good := message{kind: kindPing, seq: 1}.head()
+	good := message{kind: kindPing, seq: 1}.header()
 	dead, _ := appendClaim(slices.Clone(good), claim{id: f.ids[2], state: Dead, incarnation: 1})
 	for name, text := range map[string][]byte{
 		"empty":             {},
 		"a note of another": []byte("a..........."),
 		"another version":   append([]byte{Magic, 2}, good[2:]...),
 		"no kind":           append([]byte{Magic, version, 0}, good[3:]...),
-		"unknown kind":      append([]byte{Magic, version, byte(kinds)}, good[3:]...),
+		"unknown kind":      append([]byte{Magic, version, byte(kindCount)}, good[3:]...),
 		"cut":               dead[:len(dead)-2],
 		"too long":          append(slices.Clone(dead), make([]byte, 300)...),
 		"unknown state":     append(slices.Clone(good), 0, 0, 0, 1, 9, 1),
 		"huge incarnation":  append(slices.Clone(good), 0, 0, 0, 1, 2, 0xff, 0xff, 0xff, 0xff, 0x7f),
-		"no such bucket":    append(message{kind: kindEntries}.head()[:6], 0xff),
+		"no such bucket":    append(message{kind: kindEntries}.header()[:6], 0xff),
 	} {
-		before := c.Counts.Strange
+		before := c.Counts.Rejected
 		c.Receive(f.now, 1, text)
-		if c.Counts.Strange != before+1 {
+		if c.Counts.Rejected != before+1 {
 			t.Errorf("%s: not counted", name)
 		}
 	}
@@ -553,19 +555,19 @@
 }
 
 func FuzzReceive(f *testing.F) {
-	f.Add(message{kind: kindPing, seq: 3}.head())
-	f.Add(message{kind: kindDigest}.head())
-	b, _ := appendClaim(message{kind: kindEntries, bucket: 3, want: true}.head(), claim{1, Suspect, 3, 2})
+	f.Add(message{kind: kindPing, seq: 3}.header())
+	f.Add(message{kind: kindDigest}.header())
+	b, _ := appendClaim(message{kind: kindEntries, bucket: 3, wantReply: true}.header(), claim{1, Suspect, 3, 2})
 	f.Add(b)
 	f.Fuzz(func(t *testing.T, text []byte) {
-		c := New(Config{Self: 0, Members: []ID{1, 2, 3}, Period: testPeriod, Timeout: testTimeout}, 0)
+		c := New(Config{Self: 0, Members: []ID{1, 2, 3}, PingInterval: testPeriod, AckTimeout: testTimeout}, 0)
 		for now := time.Second; now < 10*time.Second; now += time.Second {
 			c.Receive(now, 1, text)
 			c.Tick(now)
-			c.Wake()
+			c.WakeAt()
 			out, _ := c.Take()
 			for _, d := range out {
-				if m, ok := decode(d.Text); !ok || d.To < 0 || d.To > 2 {
+				if m, ok := decode(d.Payload); !ok || d.To < 0 || d.To > 2 {
 					t.Fatalf("sends %+v to %d", m, d.To)
 				}
 			}
@@ -577,10 +579,10 @@
 }
 
 // Datagrams that come many periods late, twice and out of order, say nothing that holds any more.
-func TestOldDatagrams(t *testing.T) {
+func TestDelayedDatagramsAreOutdated(t *testing.T) {
 	for seed := range uint64(2) {
 		f := newFleet(t, 40, seed)
-		f.twice, f.old = 0.2, 0.1
+		f.duplicateRate, f.delayRate = 0.2, 0.1
 		f.startAll()
 		f.run(20 * time.Second)
 		for range 6 {
@@ -590,9 +592,9 @@
 			f.start(victim)
 			f.run(10 * time.Second)
 		}
-		f.old = 0
+		f.delayRate = 0
 		f.run(40 * time.Second) // what is on the way comes
-		if !f.agree() {
+		if !f.viewsAgree() {
 			t.Errorf("seed %d: they do not agree", seed)
 		}
 		for i, c := range f.cores {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -96,8 +96,8 @@
 
 // PublishFellows brings the figures of membership up to date.
 func (s *Set) PublishMembership(core *membership.Core, now time.Duration) {
-	present, suspects := core.Present()
-	agreed, health := core.Agreed()
+	present, suspects := core.PresentCount()
+	agreed, health := core.LastAgreement()
 	s.present.Store(int64(present))
 	s.suspect.Store(int64(suspects))
 	s.lastAgreementAgoMS.Store(-1)
@@ -105,8 +105,8 @@
 		s.lastAgreementAgoMS.Store((now - agreed).Milliseconds())
 	}
 	s.localHealth.Store(int64(health))
-	s.refutations.Store(core.Counts.Refuted)
+	s.refutations.Store(core.Counts.Refutations)
 	s.probes.Store(core.Counts.Probes)
-	s.missedProbes.Store(core.Counts.Missed)
-	s.invalidDatagrams.Store(core.Counts.Strange)
+	s.missedProbes.Store(core.Counts.FailedProbes)
+	s.invalidDatagrams.Store(core.Counts.Rejected)
 }
--- a/internal/node/acts.go
+++ b/internal/node/acts.go
@@ -6,7 +6,7 @@
 	"log/slog"
 	"time"
 
-	"harrierramp/internal/acts"
+	"harrierramp/internal/auditlog"
 	"harrierramp/internal/egress"
 	"harrierramp/internal/metrics"
 )
@@ -14,13 +14,13 @@
 // actsRecord writes down what the node does by which list: calls before they are made, and how they have ended. The loop
 // owns it; nil where none is kept.
 type actsRecord struct {
-	r       *acts.Record
+	r       *auditlog.Log
 	log     *slog.Logger
 	figures *metrics.Set
 	now     func() time.Time
 	seq     int64
-	line    acts.Line // of the step
-	why     *string   // that was last written
+	line    auditlog.Entry // of the step
+	why     *string        // that was last written
 }
 
 // newActs goes on with the record in the folder. Without one that can be written the node goes on all the same.
@@ -30,7 +30,7 @@
 		return nil
 	}
 	now := func() time.Time { return n.began.Add(time.Since(n.began)) } // the wall clock may be set, this can't
-	r, err := acts.Open(n.cfg.StateDir, room, acts.Head{Node: n.cfg.Name, Life: life, Build: build()}, now)
+	r, err := auditlog.Open(n.cfg.StateDir, room, auditlog.Header{Node: n.cfg.Name, Incarnation: life, Build: build()}, now)
 	if err != nil {
 		n.log.Warn("acts_not_kept", "err", err)
 		return nil
@@ -44,7 +44,7 @@
 		return 0
 	}
 	a.seq++
-	a.line.Begun = append(a.line.Begun, acts.Begun{Seq: a.seq, Endpoint: endpoint})
+	a.line.Starts = append(a.line.Starts, auditlog.CallStart{Seq: a.seq, Endpoint: endpoint})
 	return a.seq
 }
 
@@ -53,20 +53,20 @@
 	if a == nil || seq == 0 {
 		return
 	}
-	e := acts.Ended{Seq: seq, How: acts.Unsent}
+	e := auditlog.CallEnd{Seq: seq, Outcome: auditlog.OutcomeUnsent}
 	if !r.Wrote.IsZero() {
-		if e.How = acts.Unsure; r.Heard {
-			e.How = acts.Answered
+		if e.Outcome = auditlog.OutcomeUnknown; r.Heard {
+			e.Outcome = auditlog.OutcomeAnswered
 		}
-		e.FromMS, e.TookMS = a.wall(r.Writing), r.Wrote.Sub(r.Writing).Milliseconds()
+		e.WriteStartMS, e.WriteTookMS = a.wall(r.Writing), r.Wrote.Sub(r.Writing).Milliseconds()
 	}
-	a.line.Ended = append(a.line.Ended, e)
+	a.line.Ends = append(a.line.Ends, e)
 }
 
 // clock notes what a list server's clock showed in an exchange.
 func (a *actsRecord) clock(e claimed) {
 	if a != nil {
-		a.line.Sync = &acts.Sync{ServerMS: e.clock, EndedMS: a.wall(e.ended), TookMS: e.took.Milliseconds()}
+		a.line.ClockSync = &auditlog.ClockSync{ServerMS: e.clock, EndedMS: a.wall(e.ended), TookMS: e.took.Milliseconds()}
 	}
 }
 
@@ -80,16 +80,16 @@
 		return
 	}
 	if why != a.why && why != nil {
-		a.line.Why = *why
+		a.line.StaleReason = *why
 	}
 	l := a.line
-	if len(l.Begun) == 0 && len(l.Ended) == 0 && l.Sync == nil && l.Why == "" {
+	if len(l.Starts) == 0 && len(l.Ends) == 0 && l.ClockSync == nil && l.StaleReason == "" {
 		return
 	}
-	if len(l.Begun) > 0 {
-		l.List = revision
+	if len(l.Starts) > 0 {
+		l.Revision = revision
 	}
-	if a.why, a.line = why, (acts.Line{}); a.r.Write(l) != nil {
+	if a.why, a.line = why, (auditlog.Entry{}); a.r.Write(l) != nil {
 		a.figures.AuditRecordsLost.Add(1)
 	}
 }
@@ -103,7 +103,7 @@
 
 // Acts writes the record of acts as it stands. It may be called from any goroutine.
 func (n *Node) WriteAuditRecord(w io.Writer) error {
-	raw, err := acts.ReadDir(n.cfg.StateDir)
+	raw, err := auditlog.ReadDir(n.cfg.StateDir)
 	if err != nil {
 		return err
 	}
--- a/internal/node/audit.go
+++ b/internal/node/audit.go
@@ -19,7 +19,7 @@
 	"harrierramp/internal/config"
 	"harrierramp/internal/gap"
 	"harrierramp/internal/listwatch"
-	"harrierramp/internal/roster"
+	"harrierramp/internal/rollout"
 )
 
 const (
@@ -29,7 +29,7 @@
 
 // audit is how the node tells the list service what it acts on. The loop owns it.
 type audit struct {
-	core *roster.Teller
+	core *rollout.Reporter
 	life uint32 // of this process: one more than of the process before
 	turn int    // of the list servers
 	gap  gap.Gap
@@ -91,9 +91,9 @@
 	if err := atomicfile.Replace(path, fmt.Appendln(nil, a.life)); err != nil {
 		n.log.Warn("lives_not_kept", "err", err)
 	}
-	a.core = roster.NewTeller(n.now(), roster.Claim{
+	a.core = rollout.NewReporter(n.now(), rollout.Report{
 		Name: n.cfg.Name, Incarnation: int64(a.life), Revision: n.revision, Build: build(), Config: configDigest(n.cfg), Ready: n.ready(),
-		Door: n.cfg.AdminListen,
+		AdminAddr: n.cfg.AdminListen,
 	}, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	a.acts = n.newActs(a.life)
 	return a
@@ -141,7 +141,7 @@
 		return time.Hour
 	}
 	wait := a.gap.Wait(now)
-	if wake := a.core.Wake(); wake > 0 {
+	if wake := a.core.WakeAt(); wake > 0 {
 		wait = min(wait, max(wake-now, 0))
 	}
 	return wait
@@ -163,7 +163,7 @@
 	if !due {
 		return
 	}
-	addr, here, cancel := n.discovery.Here(a.term, a.turn)
+	addr, here, cancel := n.discovery.Pick(a.term, a.turn)
 	a.posts.Go(func() {
 		defer cancel()
 		began := time.Now()
@@ -201,7 +201,7 @@
 }
 
 // postClaim makes a claim, and returns what the server's clock showed when it took it.
-func postClaim(ctx context.Context, client *http.Client, addr string, c roster.Claim) (int64, error) {
+func postClaim(ctx context.Context, client *http.Client, addr string, c rollout.Report) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	raw, err := json.Marshal(c)
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -20,7 +20,7 @@
 // listed brings the endpoints up to date. Calls that have not written their first byte hear of it by shut.
 func (n *Node) listed(l listwatch.List) choice.Listed {
 	if n.kept != nil {
-		n.kept.Changed(l.Revision)
+		n.kept.MarkDirty(l.Revision)
 	}
 	if n.revision = l.Revision; l.Complete || n.members == nil {
 		n.members = map[string]listwatch.Member{}
--- a/internal/node/fellows.go
+++ b/internal/node/fellows.go
@@ -50,7 +50,7 @@
 		ids[i] = membership.IDOf(addr.String())
 	}
 	f.core = membership.New(membership.Config{
-		Self: n.cfg.Settings.Number, Members: ids, Incarnation: last + 1, Period: m.PingPeriod(), Timeout: m.PingTimeout(),
+		Self: n.cfg.Settings.Number, Members: ids, Incarnation: last + 1, PingInterval: m.PingPeriod(), AckTimeout: m.PingTimeout(),
 		Seed: seed(n.cfg.Seed),
 	}, n.now())
 	f.keep(n)
@@ -90,7 +90,7 @@
 	if f == nil {
 		return time.Hour
 	}
-	return max(f.core.Wake()-now, 0)
+	return max(f.core.WakeAt()-now, 0)
 }
 
 // meet does what is due, after the datagrams that have come were handed in, and returns the news for the module.
@@ -99,13 +99,13 @@
 	if f == nil {
 		return nil
 	}
-	if now := n.now(); now >= f.core.Wake() {
+	if now := n.now(); now >= f.core.WakeAt() {
 		f.core.Tick(now)
 	}
 	out, changes := f.core.Take()
 	f.keep(n)
 	for _, d := range out {
-		n.peers.send(choice.Tell{To: d.To, Text: d.Text}, n.log)
+		n.peers.send(choice.Tell{To: d.To, Text: d.Payload}, n.log)
 	}
 	if len(changes) == 0 {
 		return nil
@@ -134,15 +134,15 @@
 		return nil
 	}
 	core, now := n.fellows.core, n.now()
-	agreed, health := core.Agreed()
+	agreed, health := core.LastAgreement()
 	v := &admin.MembershipView{
 		Number: n.cfg.Settings.Number, Incarnation: core.Incarnation(), AgreedMS: ago(now, agreed), Health: health,
 	}
-	v.Present, v.Suspect = core.Present()
+	v.Present, v.Suspect = core.PresentCount()
 	for _, m := range core.View() {
 		v.Members = append(v.Members, admin.Member{
 			Number: m.Member, Addr: n.peers.addrs[m.Member].String(), State: m.State.String(), Reason: string(m.Reason),
-			Incarnation: m.Incarnation, SinceMS: (now - m.Since).Milliseconds(), HeardMS: ago(now, m.Heard),
+			Incarnation: m.Incarnation, SinceMS: (now - m.Since).Milliseconds(), HeardMS: ago(now, m.LastHeard),
 		})
 	}
 	return v
--- a/internal/node/fleetward.go
+++ b/internal/node/fleetward.go
@@ -6,12 +6,12 @@
 
 	"harrierramp/choice"
 	"harrierramp/internal/listwatch"
-	"harrierramp/internal/straggler"
+	"harrierramp/internal/staleness"
 )
 
 // ward is the node's side of straggler: the loop owns it, and hands it datagrams and the time.
 type ward struct {
-	core *straggler.Core
+	core *staleness.Detector
 	beat time.Duration // of list servers; 0 where they have none
 }
 
@@ -29,19 +29,19 @@
 	if n.audit == nil || !n.cfg.Audit.Fencing || n.peers == nil {
 		return nil
 	}
-	return &ward{core: straggler.New(straggler.Config{
-		Self: n.cfg.Settings.Number, Fleet: len(n.peers.addrs), Seed: rand.Uint64(),
+	return &ward{core: staleness.New(staleness.Config{
+		Self: n.cfg.Settings.Number, FleetSize: len(n.peers.addrs), Seed: rand.Uint64(),
 	}, n.now(), n.revision), beat: n.cfg.Registry.HeartbeatInterval.Duration()}
 }
 
-func (w *ward) out() bool { return w != nil && w.core.Out() }
+func (w *ward) out() bool { return w != nil && w.core.Fenced() }
 
 // wait is how long it is until there is something to do.
 func (w *ward) wait(now time.Duration) time.Duration {
 	if w == nil {
 		return time.Hour
 	}
-	return max(w.core.Wake()-now, 0)
+	return max(w.core.WakeAt()-now, 0)
 }
 
 // shutWait is what clients are told to wait while the node is shut out, and up to as much more.
@@ -54,25 +54,25 @@
 		return
 	}
 	now := n.now()
-	w.core.Listed(now, n.revision)
-	w.core.Floor(n.floor.Revision)
+	w.core.SetRevision(now, n.revision)
+	w.core.SetFloor(n.floor.Revision)
 	if w.beat > 0 {
-		w.core.Doubt(now, now-n.at(n.figures.LastListActivity()) > 3*w.beat)
+		w.core.SetServerSilent(now, now-n.at(n.figures.LastListActivity()) > 3*w.beat)
 	}
 	news := w.core.Step(now)
 	for _, d := range w.core.Take() {
-		n.peers.send(choice.Tell{To: d.To, Text: d.Text}, n.log)
+		n.peers.send(choice.Tell{To: d.To, Text: d.Payload}, n.log)
 	}
-	n.figures.PeersAheadBy.Store(max(news.Ahead-n.revision, 0))
-	if news.AskServer {
+	n.figures.PeersAheadBy.Store(max(news.NewerRevision-n.revision, 0))
+	if news.QueryServer {
 		n.late("others act on a later list")
-		n.log.Warn("fleet_ahead", "revision", news.Ahead, "own", n.revision)
-		listwatch.Nudge(n.nudge)
+		n.log.Warn("fleet_ahead", "revision", news.NewerRevision, "own", n.revision)
+		listwatch.RequestCandidate(n.nudge)
 	}
-	if !news.Changed {
+	if !news.FenceChanged {
 		return
 	}
-	if !w.core.Out() {
+	if !w.core.Fenced() {
 		if !n.unfit {
 			n.outcast.Store(nil)
 		}
@@ -81,7 +81,7 @@
 	}
 	n.figures.TimesFenced.Add(1)
 	n.outcast.Store(&awaited{time.Now(), "others act on a later list, and no list server tells it"})
-	n.log.Warn("shut_out", "revision", news.Ahead, "own", n.revision)
+	n.log.Warn("shut_out", "revision", news.NewerRevision, "own", n.revision)
 }
 
 // blinded tells the module when it is not to begin anything new, and when it is again: on what the node knows, or while no
--- a/internal/node/keptlist.go
+++ b/internal/node/keptlist.go
@@ -20,7 +20,7 @@
 	if c.Registry == nil || !c.Registry.KeepList {
 		return 0
 	}
-	return min(int64(diskMB(c)*(1<<20))/keepShare, listwatch.MaxKeptList)
+	return min(int64(diskMB(c)*(1<<20))/keepShare, listwatch.MaxCachedList)
 }
 
 // diskMB is the limit of the lasting folder.
@@ -40,11 +40,11 @@
 	return mb
 }
 
-func keptList(c config.Config) *listwatch.Kept {
+func keptList(c config.Config) *listwatch.Cache {
 	if keptRoom(c) == 0 {
 		return nil
 	}
-	return listwatch.NewKept(c.StateDir, keptRoom(c))
+	return listwatch.NewCache(c.StateDir, keptRoom(c))
 }
 
 // startWith begins to wait for a list, and returns what may be served on at once: what the configuration names, or the
@@ -69,7 +69,7 @@
 	// kept ones come into force.
 	turn := n.turn()
 	n.cold = coldstart.New(coldstart.Config{
-		KeptAfter: n.cfg.Registry.KeptListWait.Duration() + turn.First(), KeptMost: n.cfg.Registry.KeptListMaxAge.Duration(), Cycle: turn.Cycle(),
+		KeptAfter: n.cfg.Registry.KeptListWait.Duration() + turn.InitialDelay(), KeptMost: n.cfg.Registry.KeptListMaxAge.Duration(), Cycle: turn.Cycle(),
 	}, n.now(), was)
 	if n.cold.KeptDue(n.now()) {
 		n.unconfirmed = true
@@ -141,7 +141,7 @@
 
 // keepList writes the list down if it is due. An empty one is never worth more than what was kept.
 func (n *Node) keepList() {
-	if n.kept == nil || n.kept.Wait(time.Now()) > 0 {
+	if n.kept == nil || n.kept.UntilDue(time.Now()) > 0 {
 		return
 	}
 	if n.kept.Dirty = false; len(n.members) == 0 {
--- a/internal/node/listservice_test.go
+++ b/internal/node/listservice_test.go
@@ -61,7 +61,7 @@
 	for first := ""; first != gone; { // a node begins with any of them
 		n.discovery = listwatch.NewAddresses(n.cfg.Registry.Addresses)
 		var done context.CancelFunc
-		first, _, done = n.discovery.Here(ctx, 0)
+		first, _, done = n.discovery.Pick(ctx, 0)
 		done()
 	}
 	w := n.newWatcher(func(l listwatch.List) { told <- l })
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -93,7 +93,7 @@
 	members   map[string]listwatch.Member // the list as it is known
 	revision  int64                       // of it
 	learnt    *learnt                     // what the sender has learnt, on disk
-	kept      *listwatch.Kept             // of the last good list; nil if it is not kept
+	kept      *listwatch.Cache            // of the last good list; nil if it is not kept
 	cold      *coldstart.Start            // what the start waits for; nil where the platform names the list
 	stale     listwatch.List              // a kept list that is not in force
 	wallClock wallClock
@@ -321,7 +321,7 @@
 
 // Reload takes from a configuration that has replaced the old one what may change while the node runs: the
 // address of discovery. It may be called at any time, from any goroutine.
-func (n *Node) Reload(cfg config.Config) { n.discovery.Move(cfg.DiscoveryAddrs()) }
+func (n *Node) Reload(cfg config.Config) { n.discovery.Set(cfg.DiscoveryAddrs()) }
 
 // tell hands the loop an event.
 func (n *Node) tell(ctx context.Context, e any) {
@@ -405,7 +405,7 @@
 		wait = min(wait, journal.CompactPause, n.guarded.untilOverdue(time.Now()))
 	}
 	if n.kept != nil {
-		wait = min(wait, n.kept.Wait(time.Now()))
+		wait = min(wait, n.kept.UntilDue(time.Now()))
 	}
 	if n.cold != nil && n.cold.Wake() > 0 {
 		wait = min(wait, max(n.cold.Wake()-n.now(), 0))
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -13,7 +13,7 @@
 	"harrierramp/internal/backoff"
 	"harrierramp/internal/config"
 	"harrierramp/internal/membership"
-	"harrierramp/internal/straggler"
+	"harrierramp/internal/staleness"
 	"harrierramp/internal/transient"
 )
 
@@ -93,7 +93,7 @@
 		switch {
 		case n > 0 && text[0] == membership.Magic:
 			tell(memberNote{number, text})
-		case n > 0 && text[0] == straggler.Magic:
+		case n > 0 && text[0] == staleness.Magic:
 			tell(revisionNote{number, text})
 		default:
 			tell(choice.Told{From: number, Text: text})
--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -54,7 +54,7 @@
 
 func keepListAt(t *testing.T, dir, partner string, revision int64) {
 	t.Helper()
-	k := listwatch.NewKept(dir, 1<<16)
+	k := listwatch.NewCache(dir, 1<<16)
 	l := listwatch.List{Revision: revision, Complete: true, Members: []listwatch.Member{
 		{ID: "p", Addr: partner, Locality: "z", Flavor: "m", Cell: 7, Phase: "SERVING", Size: 1000},
 	}}
--- a/internal/outbox/outbox.go
+++ b/internal/outbox/outbox.go
@@ -75,7 +75,7 @@
 		pause := backoff.Backoff{First: backoff.First, Last: pace.LastPause}
 		for len(batch) > 0 {
 			some := batch[:min(len(batch), maxNotices)]
-			addr, here, cancel := at.Here(ctx, turn)
+			addr, here, cancel := at.Pick(ctx, turn)
 			err := post(here, client, addr, some, wait)
 			switch {
 			case err == nil:
--- a/internal/registry/feed.go
+++ b/internal/registry/feed.go
@@ -4,7 +4,7 @@
 	"sync"
 	"time"
 
-	"harrierramp/internal/acts"
+	"harrierramp/internal/auditlog"
 )
 
 // maxLines bounds the encoded lines that are kept for watchers at the same revision.
@@ -102,7 +102,7 @@
 }
 
 // told is the changes that are remembered.
-func (f *feed) told() acts.History {
+func (f *feed) told() auditlog.History {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.h.Told()
--- a/internal/registry/figures.go
+++ b/internal/registry/figures.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 	"time"
 
-	"harrierramp/internal/roster"
+	"harrierramp/internal/rollout"
 )
 
 // figures are what operators read, in the form of the nodes' figures: counters run from the start of the process.
@@ -87,13 +87,13 @@
 	count("turned_away", &f.turnedAway)
 	count("told_later", &f.later)
 	gauge("turns_out", int64(s.gate.out()))
-	s.desk.with(s.now(), s.feed.head(), func(t *roster.Table) {
+	s.desk.with(s.now(), s.feed.head(), func(t *rollout.Table) {
 		nodes, late, silent, oldest := t.Counts(s.now())
 		gauge("nodes", int64(nodes))
 		gauge("nodes_behind", int64(late))
 		gauge("nodes_silent", int64(silent))
 		gauge("oldest_revision", oldest)
-		fmt.Fprintf(&b, "registry.claims_refused:%d|c\n", t.Refused)
+		fmt.Fprintf(&b, "registry.claims_refused:%d|c\n", t.Rejected)
 	})
 	count("bad_calls", &f.badCalls)
 	count("refused", &f.refused)
--- a/internal/registry/floor_test.go
+++ b/internal/registry/floor_test.go
@@ -8,8 +8,8 @@
 	"reflect"
 	"testing"
 
-	"harrierramp/internal/acts"
-	"harrierramp/internal/roster"
+	"harrierramp/internal/auditlog"
+	"harrierramp/internal/rollout"
 )
 
 // Who watches the table of nodes hears of each claim, and of each revision.
@@ -21,10 +21,10 @@
 	}
 	defer resp.Body.Close()
 	lines := bufio.NewScanner(resp.Body)
-	until := func(what string, holds func(v roster.View) bool) {
+	until := func(what string, holds func(v rollout.Snapshot) bool) {
 		t.Helper()
 		for range 40 {
-			var v roster.View
+			var v rollout.Snapshot
 			if !lines.Scan() {
 				break
 			}
@@ -37,14 +37,14 @@
 		}
 		t.Fatal("never: " + what)
 	}
-	until("an empty table", func(v roster.View) bool { return len(v.Nodes) == 0 })
+	until("an empty table", func(v rollout.Snapshot) bool { return len(v.Nodes) == 0 })
 	head := a.list().Revision
 	if code, said := a.call("POST", "/registry/nodes", fmt.Sprintf(`{"name":"n","incarnation":1,"seq":1,"revision":%d,"build":"b","config":"c"}`, head)); code != http.StatusNoContent {
 		t.Fatal(code, said)
 	}
-	until("the claim", func(v roster.View) bool { return len(v.Nodes) == 1 && v.Nodes[0].BehindMS == 0 })
+	until("the claim", func(v rollout.Snapshot) bool { return len(v.Nodes) == 1 && v.Nodes[0].BehindMS == 0 })
 	a.register(1, 10_000)
-	until("a change", func(v roster.View) bool { return len(v.Nodes) == 1 && v.Nodes[0].BehindMS > 0 })
+	until("a change", func(v rollout.Snapshot) bool { return len(v.Nodes) == 1 && v.Nodes[0].BehindMS > 0 })
 }
 
 // What a follower remembers of a withdrawal has the clock of the server that decided it, and a floor goes with the list: to
@@ -59,7 +59,7 @@
 	if code, said := a.call("DELETE", "/registry/instances/s1", `{"owner":"p1"}`); code != http.StatusNoContent {
 		t.Fatal(code, said)
 	}
-	history := func(x *site) (h acts.History) {
+	history := func(x *site) (h auditlog.History) {
 		_, text := x.call("GET", "/registry/history", "")
 		if err := json.Unmarshal([]byte(text), &h); err != nil {
 			t.Fatal(err)
@@ -88,7 +88,7 @@
 			return code == http.StatusOK && reflect.DeepEqual(parse(t, text).Floor, want.Floor)
 		})
 	}
-	last := func(h acts.History) (out acts.Change) {
+	last := func(h auditlog.History) (out auditlog.Change) {
 		for _, c := range h.Changes {
 			if c.ID == "s1" && c.Phase == Deleted {
 				out = c
--- a/internal/registry/gate.go
+++ b/internal/registry/gate.go
@@ -8,18 +8,18 @@
 	"sync"
 	"time"
 
-	"harrierramp/internal/turns"
+	"harrierramp/internal/admission"
 )
 
 // gate admits the work of a start at the server's own pace: renewals first, then watchers that lack some changes, then
 // those that need the whole list.
 type gate struct {
 	mu sync.Mutex
-	g  *turns.Gate
+	g  *admission.Limiter
 }
 
 func newGate(rate float64) *gate {
-	return &gate{g: turns.NewGate(rate, rand.Uint64N(1<<52)+1)}
+	return &gate{g: admission.NewLimiter(rate, rand.Uint64N(1<<52)+1)}
 }
 
 // later refuses an ask that can't be served now.
@@ -31,10 +31,10 @@
 func (e *later) Error() string { return fmt.Sprintf("not now: come again after %v", e.wait) }
 
 // ask lets an ask through, or refuses it with a *later.
-func (g *gate) ask(now time.Duration, c turns.Class, held uint64) error {
+func (g *gate) ask(now time.Duration, c admission.Priority, held uint64) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	ok, wait, turn := g.g.Ask(now, c, held)
+	ok, wait, turn := g.g.Admit(now, c, held)
 	if ok {
 		return nil
 	}
@@ -45,7 +45,7 @@
 func (g *gate) out() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.g.Out()
+	return g.g.Outstanding()
 }
 
 // admit lets somebody through who wants the list. Other servers follow at any time.
@@ -54,9 +54,9 @@
 	if q.Get("replica") == "1" {
 		return nil
 	}
-	class := turns.Whole
+	class := admission.FullList
 	if s.feed.leadsFrom(after) || after > 0 && q.Get("watch") != "1" { // the latter wants a second opinion on what it was told
-		class = turns.Recent
+		class = admission.PartialList
 	}
 	held, err := number(r, "turn")
 	if err != nil {
@@ -68,7 +68,7 @@
 // renewals lets a call on an instance through, or answers it, and tells which.
 func (s *Server) renewals(do http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if err := s.gate.ask(s.now(), turns.Renewal, 0); err != nil {
+		if err := s.gate.ask(s.now(), admission.Renewal, 0); err != nil {
 			s.refuse(w, err)
 			return
 		}
--- a/internal/registry/history.go
+++ b/internal/registry/history.go
@@ -4,7 +4,7 @@
 	"maps"
 	"slices"
 
-	"harrierramp/internal/acts"
+	"harrierramp/internal/auditlog"
 	"harrierramp/internal/listwatch"
 )
 
@@ -67,10 +67,10 @@
 }
 
 // Told is what an audit holds the acts of nodes against: the changes in the ring.
-func (h *History) Told() acts.History {
-	out := acts.History{Floor: int64(h.floor), Head: int64(h.head), Changes: make([]acts.Change, 0, len(h.ring))}
+func (h *History) Told() auditlog.History {
+	out := auditlog.History{Floor: int64(h.floor), Head: int64(h.head), Changes: make([]auditlog.Change, 0, len(h.ring))}
 	for _, c := range h.ring {
-		out.Changes = append(out.Changes, acts.Change{Revision: int64(c.rev), AtMS: c.atMS, ID: c.m.ID, Phase: c.m.Phase})
+		out.Changes = append(out.Changes, auditlog.Change{Revision: int64(c.rev), AtMS: c.atMS, ID: c.m.ID, Phase: c.m.Phase})
 	}
 	return out
 }
--- a/internal/registry/http.go
+++ b/internal/registry/http.go
@@ -132,7 +132,7 @@
 	switch {
 	case turn:
 		said.AfterMS = notNow.wait.Milliseconds()
-		listwatch.TellWait(w.Header(), notNow.wait, notNow.turn)
+		listwatch.SetRetryAfter(w.Header(), notNow.wait, notNow.turn)
 	case rosterCode(err) != 0:
 		code = rosterCode(err)
 	case errors.As(err, &conflict):
--- a/internal/registry/peers.go
+++ b/internal/registry/peers.go
@@ -191,7 +191,7 @@
 		}
 		here, cancel := context.WithCancel(ctx)
 		url := fmt.Sprintf("http://%s/registry/instances?watch=1&replica=1&after=%d", addr, s.feed.head())
-		err := listwatch.Follow(here, s.client, url, listwatch.Watch{Patience: listwatch.ServiceSilence, Silence: listwatch.ServiceSilence, Heard: func() {
+		err := listwatch.Follow(here, s.client, url, listwatch.FollowOptions{ResponseTimeout: listwatch.ServiceIdleTimeout, IdleTimeout: listwatch.ServiceIdleTimeout, OnActivity: func() {
 			s.figures.heard.Store(time.Now().UnixNano())
 			if !s.is(roleFollower) || s.peers.primary() != addr {
 				cancel()
--- a/internal/registry/roster.go
+++ b/internal/registry/roster.go
@@ -10,19 +10,19 @@
 	"time"
 
 	"harrierramp/internal/listwatch"
-	"harrierramp/internal/roster"
+	"harrierramp/internal/rollout"
 )
 
 // desk is where nodes tell what they have applied. Each server keeps what it was told; who asks joins them.
 type desk struct {
 	mu sync.Mutex
-	t  *roster.Table
+	t  *rollout.Table
 }
 
-func newDesk() *desk { return &desk{t: roster.NewTable()} }
+func newDesk() *desk { return &desk{t: rollout.NewTable()} }
 
 // with runs something on the table, which holds every revision up to head.
-func (d *desk) with(now time.Duration, head Revision, do func(t *roster.Table)) {
+func (d *desk) with(now time.Duration, head Revision, do func(t *rollout.Table)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.t.Advance(now, int64(head))
@@ -31,10 +31,10 @@
 
 // claimed takes what a node says of itself. Any server takes it, also one that follows.
 func (s *Server) claimed(w http.ResponseWriter, r *http.Request) {
-	var c roster.Claim
+	var c rollout.Report
 	err := read(w, r, &c)
 	if err == nil {
-		s.desk.with(s.now(), s.feed.head(), func(t *roster.Table) { err = t.Take(s.now(), c) })
+		s.desk.with(s.now(), s.feed.head(), func(t *rollout.Table) { err = t.Apply(s.now(), c) })
 	}
 	if err != nil {
 		s.refuse(w, err)
@@ -52,8 +52,8 @@
 // nodes tells what is known of the fleet; with watch=1 a line each time that a claim or a revision has changed it, four a
 // second at most.
 func (s *Server) nodes(w http.ResponseWriter, r *http.Request) {
-	view := func() (v roster.View) {
-		s.desk.with(s.now(), s.feed.head(), func(t *roster.Table) { v = t.View(s.now()) })
+	view := func() (v rollout.Snapshot) {
+		s.desk.with(s.now(), s.feed.head(), func(t *rollout.Table) { v = t.Snapshot(s.now()) })
 		return v
 	}
 	if r.URL.Query().Get("watch") != "1" {
@@ -71,7 +71,7 @@
 	rc := http.NewResponseController(w)
 	for told, at := int64(-1), time.Duration(0); ; {
 		var changed int64
-		s.desk.with(s.now(), s.feed.head(), func(t *roster.Table) { changed = t.Version() })
+		s.desk.with(s.now(), s.feed.head(), func(t *rollout.Table) { changed = t.Version() })
 		if changed != told || s.now()-at >= nodesQuiet {
 			told, at = changed, s.now()
 			err := rc.SetWriteDeadline(time.Now().Add(writeTimeout))
@@ -97,7 +97,7 @@
 func (s *Server) forget(w http.ResponseWriter, r *http.Request) {
 	var was bool
 	name := r.URL.Query().Get("name")
-	s.desk.with(s.now(), s.feed.head(), func(t *roster.Table) { was = t.Drop(name) })
+	s.desk.with(s.now(), s.feed.head(), func(t *rollout.Table) { was = t.Drop(name) })
 	if !was {
 		s.refuse(w, fmt.Errorf("%w: no node %q has told", ErrUnknown, name))
 		return
@@ -108,11 +108,11 @@
 // rosterCode is the status for a claim that is refused; 0 for another error.
 func rosterCode(err error) int {
 	switch {
-	case errors.Is(err, roster.ErrBad):
+	case errors.Is(err, rollout.ErrInvalid):
 		return http.StatusBadRequest
-	case errors.Is(err, roster.ErrOld):
+	case errors.Is(err, rollout.ErrStale):
 		return http.StatusConflict
-	case errors.Is(err, roster.ErrFull):
+	case errors.Is(err, rollout.ErrTableFull):
 		return http.StatusInsufficientStorage
 	}
 	return 0
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"harrierramp/internal/listwatch"
-	"harrierramp/internal/roster"
+	"harrierramp/internal/rollout"
 )
 
 const (
@@ -340,7 +340,7 @@
 
 // publish brings the gauges up to date for readers that must not wait for the loop.
 func (s *Server) publish() {
-	s.desk.with(s.now(), s.feed.head(), func(*roster.Table) {})
+	s.desk.with(s.now(), s.feed.head(), func(*rollout.Table) {})
 	s.figures.instances.Store(int64(s.cat.Len()))
 	s.figures.lapsed.Store(s.cat.Lapses)
 	s.figures.preserved.Store(s.cat.Preserved)
--- a/internal/registry/watch.go
+++ b/internal/registry/watch.go
@@ -51,7 +51,7 @@
 		return
 	} else if ms > 0 {
 		pause = min(max(time.Duration(min(ms, idleLine.Milliseconds()))*time.Millisecond, leastBeat), idleLine)
-		w.Header().Set(listwatch.BeatHeader, strconv.FormatInt(pause.Milliseconds(), 10))
+		w.Header().Set(listwatch.HeartbeatHeader, strconv.FormatInt(pause.Milliseconds(), 10))
 	}
 	s.watch(w, r, Revision(after), r.URL.Query().Get("replica") == "1", pause)
 }
