--- a/internal/roster/roster_test.go
+++ b/internal/rollout/rollout_test.go
@@ -1,4 +1,4 @@
-package roster
+package rollout
 
 import (
 	"errors"
@@ -14,28 +14,28 @@
 
 const s = time.Second
 
-func claim(name string, incarnation, seq, revision int64) Claim {
-	return Claim{Name: name, Incarnation: incarnation, Seq: seq, Revision: revision, Build: "b", Config: "c", Ready: true}
+func newReport(name string, incarnation, seq, revision int64) Report {
+	return Report{Name: name, Incarnation: incarnation, Seq: seq, Revision: revision, Build: "b", Config: "c", Ready: true}
 }
 
 // A change goes through a fleet: who has it, who is behind and since when, and how long it took.
-func TestAChangeGoesThroughTheFleet(t *testing.T) {
+func TestTableTracksRevisionThroughFleet(t *testing.T) {
 	x := NewTable()
 	x.Advance(0, 10)
 	for i := range 4 {
-		if err := x.Take(s, claim(fmt.Sprint("n", i), 1, 1, 10)); err != nil {
+		if err := x.Apply(s, newReport(fmt.Sprint("n", i), 1, 1, 10)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	x.Advance(10*s, 11)
 	x.Advance(12*s, 12)
 	for i, at := range []time.Duration{11 * s, 13 * s, 20 * s} {
-		if err := x.Take(at, claim(fmt.Sprint("n", i), 1, 2, 11)); err != nil {
+		if err := x.Apply(at, newReport(fmt.Sprint("n", i), 1, 2, 11)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	v := x.View(30 * s)
-	if c := v.Changes[1]; c.Revision != 11 || c.Nodes != 4 || c.Applied != 3 || c.Half != 3000 || c.All != -1 || c.AgoMS != 20_000 {
+	v := x.Snapshot(30 * s)
+	if c := v.Changes[1]; c.Revision != 11 || c.Nodes != 4 || c.Applied != 3 || c.HalfMS != 3000 || c.AllMS != -1 || c.AgeMS != 20_000 {
 		t.Errorf("%+v", c)
 	}
 	if v.Nodes[0].BehindMS != 18_000 || v.Nodes[3].BehindMS != 20_000 || v.Head != 12 {
@@ -44,86 +44,86 @@
 	if nodes, behind, silent, oldest := x.Counts(30 * s); nodes != 4 || behind != 4 || silent != 0 || oldest != 10 {
 		t.Errorf("%d nodes, %d behind, %d silent, oldest %d", nodes, behind, silent, oldest)
 	}
-	if v := x.View(s + SilentAfter + 1); !v.Nodes[3].Silent || v.Nodes[0].Silent {
+	if v := x.Snapshot(s + SilentAfter + 1); !v.Nodes[3].Silent || v.Nodes[0].Silent {
 		t.Errorf("%+v", v.Nodes)
 	}
 }
 
-func TestBadClaimsAreRefused(t *testing.T) {
+func TestInvalidReportsAreRejected(t *testing.T) {
 	x := NewTable()
 	x.Advance(0, 10)
-	if err := x.Take(0, claim("n", 5, 5, 9)); err != nil {
+	if err := x.Apply(0, newReport("n", 5, 5, 9)); err != nil {
 		t.Fatal(err)
 	}
 	for name, c := range map[string]struct {
-		c    Claim
+		c    Report
 		want error
 	}{
-		"a revision not given yet": {claim("m", 1, 1, 11), ErrBad},
-		"no name":                  {claim("", 1, 1, 1), ErrBad},
-		"a long name":              {claim(strings.Repeat("x", 65), 1, 1, 1), ErrBad},
-		"a name with a line end":   {claim("a\nb", 1, 1, 1), ErrBad},
-		"no incarnation":           {claim("m", 0, 1, 1), ErrBad},
-		"no number":                {claim("m", 1, 0, 1), ErrBad},
-		"a revision below zero":    {claim("m", 1, 1, -1), ErrBad},
-		"an earlier incarnation":   {claim("n", 4, 9, 10), ErrOld},
-		"the same claim again":     {claim("n", 5, 5, 10), ErrOld},
-		"an earlier claim":         {claim("n", 5, 4, 10), ErrOld},
+		"a revision not given yet": {newReport("m", 1, 1, 11), ErrInvalid},
+		"no name":                  {newReport("", 1, 1, 1), ErrInvalid},
+		"a long name":              {newReport(strings.Repeat("x", 65), 1, 1, 1), ErrInvalid},
+		"a name with a line end":   {newReport("a\nb", 1, 1, 1), ErrInvalid},
+		"no incarnation":           {newReport("m", 0, 1, 1), ErrInvalid},
+		"no number":                {newReport("m", 1, 0, 1), ErrInvalid},
+		"a revision below zero":    {newReport("m", 1, 1, -1), ErrInvalid},
+		"an earlier incarnation":   {newReport("n", 4, 9, 10), ErrStale},
+		"the same claim again":     {newReport("n", 5, 5, 10), ErrStale},
+		"an earlier claim":         {newReport("n", 5, 4, 10), ErrStale},
 	} {
-		if err := x.Take(s, c.c); !errors.Is(err, c.want) {
+		if err := x.Apply(s, c.c); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if x.Refused != 10 || len(x.View(s).Nodes) != 1 {
-		t.Errorf("%d refused, %+v", x.Refused, x.View(s).Nodes)
+	if x.Rejected != 10 || len(x.Snapshot(s).Nodes) != 1 {
+		t.Errorf("%d refused, %+v", x.Rejected, x.Snapshot(s).Nodes)
 	}
 }
 
 // A flood of names fills the table and no more; a row silent for a day gives way.
-func TestTheTableIsBounded(t *testing.T) {
+func TestTableSizeIsBounded(t *testing.T) {
 	x := NewTable()
 	x.Advance(0, 1)
 	for i := range MaxNodes + 100 {
-		if err := x.Take(0, claim(fmt.Sprint("n", i), 1, 1, 1)); (err != nil) != (i >= MaxNodes) {
+		if err := x.Apply(0, newReport(fmt.Sprint("n", i), 1, 1, 1)); (err != nil) != (i >= MaxNodes) {
 			t.Fatalf("claim %d: %v", i, err)
 		}
 	}
-	for r := range int64(3 * maxChanges) {
+	for r := range int64(3 * maxTrackedRevisions) {
 		x.Advance(s, r+2)
 	}
-	if v := x.View(s); len(v.Nodes) != MaxNodes || len(v.Changes) != maxChanges {
+	if v := x.Snapshot(s); len(v.Nodes) != MaxNodes || len(v.Changes) != maxTrackedRevisions {
 		t.Errorf("%d nodes, %d changes", len(v.Nodes), len(v.Changes))
 	}
-	if err := x.Take(2*forgottenFor, claim("late", 1, 1, 1)); err != nil {
+	if err := x.Apply(2*evictAfter, newReport("late", 1, 1, 1)); err != nil {
 		t.Error(err)
 	}
 }
 
 // What several servers know joins to the same, in whatever order, and the latest claim wins whatever the clocks say.
-func TestViewsJoin(t *testing.T) {
+func TestMergeKeepsLatestReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tables := []*Table{NewTable(), NewTable(), NewTable()}
-		want := map[string]Claim{}
+		want := map[string]Report{}
 		for _, x := range tables {
 			x.Advance(0, rapid.Int64Range(50, 60).Draw(t, "head"))
 		}
 		for range rapid.IntRange(0, 60).Draw(t, "claims") {
-			c := claim(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name"), rapid.Int64Range(1, 3).Draw(t, "incarnation"),
+			c := newReport(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name"), rapid.Int64Range(1, 3).Draw(t, "incarnation"),
 				rapid.Int64Range(1, 9).Draw(t, "seq"), rapid.Int64Range(0, 50).Draw(t, "revision"))
-			if tables[rapid.IntRange(0, 2).Draw(t, "server")].Take(s, c) == nil {
+			if tables[rapid.IntRange(0, 2).Draw(t, "server")].Apply(s, c) == nil {
 				if old := want[c.Name]; c.Incarnation > old.Incarnation || c.Incarnation == old.Incarnation && c.Seq > old.Seq {
 					want[c.Name] = c
 				}
 			}
 		}
-		views := []View{tables[0].View(s), tables[1].View(s), tables[2].View(s)}
-		one, other := Merge(views), Merge([]View{views[2], views[0], views[1]})
+		views := []Snapshot{tables[0].Snapshot(s), tables[1].Snapshot(s), tables[2].Snapshot(s)}
+		one, other := Merge(views), Merge([]Snapshot{views[2], views[0], views[1]})
 		if len(one.Nodes) != len(want) {
 			t.Fatalf("%d nodes of %d", len(one.Nodes), len(want))
 		}
 		for i, r := range one.Nodes {
 			if c := want[r.Name]; r.Incarnation != c.Incarnation || r.Seq != c.Seq || other.Nodes[i].Seq != r.Seq {
-				t.Fatalf("%+v, and the latest is %+v", r.Claim, c)
+				t.Fatalf("%+v, and the latest is %+v", r.Report, c)
 			}
 			if (r.Revision < one.Head) != (r.BehindMS > 0) {
 				t.Fatalf("%+v with head %d", r, one.Head)
@@ -134,7 +134,7 @@
 
 // What a fleet's telling costs does not hang on how often the list changes, and a change is known within two seconds and a
 // bit; at rest a node tells once a minute or so.
-func TestTellingCostsTheSameForEach(t *testing.T) {
+func TestReportRateIsIndependentOfChangeRate(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		every       time.Duration // between changes
@@ -143,9 +143,9 @@
 		rng := rand.New(rand.NewPCG(1, 1))
 		const nodes, minutes = 50, 10
 		told, latest := 0, time.Duration(0)
-		var tellers []*Teller
+		var tellers []*Reporter
 		for i := range nodes {
-			tellers = append(tellers, NewTeller(0, claim(fmt.Sprint(i), 1, 0, 1), rng))
+			tellers = append(tellers, NewReporter(0, newReport(fmt.Sprint(i), 1, 0, 1), rng))
 		}
 		changed, revision := time.Duration(0), int64(1)
 		for now := time.Duration(0); now < minutes*time.Minute; now += 10 * time.Millisecond {
@@ -169,13 +169,13 @@
 }
 
 // A claim that nobody takes is made again, with pauses that grow to a bound, and always the newest.
-func TestAClaimIsMadeAgain(t *testing.T) {
-	x := NewTeller(0, claim("n", 1, 0, 1), rand.New(rand.NewPCG(1, 1)))
+func TestRejectedReportIsRetried(t *testing.T) {
+	x := NewReporter(0, newReport("n", 1, 0, 1), rand.New(rand.NewPCG(1, 1)))
 	tries, last := 0, int64(0)
 	for now := time.Duration(0); now < 5*time.Minute; now += 10 * time.Millisecond {
 		x.Update(now, int64(now/time.Second)+1, true, false, "a cut")
 		if c, ok := x.Next(now); ok {
-			if tries++; c.Revision != int64(now/time.Second)+1 || c.Seq <= last || c.Why != "a cut" && tries > 1 {
+			if tries++; c.Revision != int64(now/time.Second)+1 || c.Seq <= last || c.LagReason != "a cut" && tries > 1 {
 				t.Fatalf("%+v at %v", c, now)
 			}
 			last = c.Seq
@@ -197,14 +197,14 @@
 	names := make([]string, MaxNodes)
 	for i := range names {
 		names[i] = fmt.Sprint("node-", i)
-		if err := x.Take(0, Claim{Name: names[i], Incarnation: 1, Seq: 1, Revision: 1, Build: "0c1f30d27a5b", Config: "8c1f30d27a5b", Door: "127.0.0.1:9090"}); err != nil {
+		if err := x.Apply(0, Report{Name: names[i], Incarnation: 1, Seq: 1, Revision: 1, Build: "0c1f30d27a5b", Config: "8c1f30d27a5b", AdminAddr: "127.0.0.1:9090"}); err != nil {
 			b.Fatal(err)
 		}
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	for i := int64(0); b.Loop(); i++ {
-		if err := x.Take(s, Claim{Name: names[i%MaxNodes], Incarnation: 1, Seq: 2 + i, Revision: 1 + i%1000, Build: "0c1f30d27a5b"}); err != nil {
+		if err := x.Apply(s, Report{Name: names[i%MaxNodes], Incarnation: 1, Seq: 2 + i, Revision: 1 + i%1000, Build: "0c1f30d27a5b"}); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/roster/roster.go
+++ b/internal/rollout/table.go
@@ -1,7 +1,7 @@
 // Package roster is who of a fleet has applied which version: the claims that nodes make, the table that a list server
 // keeps of them, and when a node makes one. All of it is stepped with explicit time and does no input or output; whoever
 // has a Table or a Teller owns it.
-package roster
+package rollout
 
 import (
 	"cmp"
@@ -14,16 +14,16 @@
 
 // Bounds.
 const (
-	MaxNodes     = 10_000         // rows of a table; a new name is refused beyond, unless a row is silent for long
-	maxWord      = 64             // bytes of a name, a build or a digest
-	maxChanges   = 128            // revisions whose way through the fleet is remembered
-	SilentAfter  = 3 * TellEvery  // a node that has said nothing for so long is silent
-	forgottenFor = 24 * time.Hour // a silent one gives its row to a new name after this
-	TellEvery    = 60 * time.Second
+	MaxNodes            = 10_000             // rows of a table; a new name is refused beyond, unless a row is silent for long
+	maxFieldLen         = 64                 // bytes of a name, a build or a digest
+	maxTrackedRevisions = 128                // revisions whose way through the fleet is remembered
+	SilentAfter         = 3 * ReportInterval // a node that has said nothing for so long is silent
+	evictAfter          = 24 * time.Hour     // a silent one gives its row to a new name after this
+	ReportInterval      = 60 * time.Second
 )
 
 // Claim is what a node says of itself.
-type Claim struct {
+type Report struct {
 	Name        string `json:"name"`
 	Incarnation int64  `json:"incarnation"` // of its process: a later one began later
 	Seq         int64  `json:"seq"`         // of the claim in that process
@@ -31,90 +31,90 @@
 	Build       string `json:"build"`
 	Config      string `json:"config"` // a digest of what counts of its configuration
 	Ready       bool   `json:"ready"`
-	Out         bool   `json:"out,omitempty"`  // shut out: it does nothing new
-	Door        string `json:"door,omitempty"` // of its operators
-	Why         string `json:"why,omitempty"`  // it was behind, last
+	Fenced      bool   `json:"out,omitempty"`  // shut out: it does nothing new
+	AdminAddr   string `json:"door,omitempty"` // of its operators
+	LagReason   string `json:"why,omitempty"`  // it was behind, last
 }
 
 // Errors of a claim.
 var (
-	ErrBad  = errors.New("bad claim")
-	ErrOld  = errors.New("a later claim is known")
-	ErrFull = errors.New("the table is full")
+	ErrInvalid   = errors.New("bad claim")
+	ErrStale     = errors.New("a later claim is known")
+	ErrTableFull = errors.New("the table is full")
 )
 
-func (c Claim) check(head int64) error {
-	for name, word := range map[string]string{"name": c.Name, "build": c.Build, "config": c.Config, "door": c.Door} {
+func (c Report) validate(head int64) error {
+	for name, word := range map[string]string{"name": c.Name, "build": c.Build, "config": c.Config, "door": c.AdminAddr} {
 		bad := func(r rune) bool { return r <= ' ' || r > '~' }
-		if len(word) > maxWord || name == "name" && word == "" || slices.ContainsFunc([]rune(word), bad) {
-			return fmt.Errorf("%w: %s %.70q", ErrBad, name, word)
+		if len(word) > maxFieldLen || name == "name" && word == "" || slices.ContainsFunc([]rune(word), bad) {
+			return fmt.Errorf("%w: %s %.70q", ErrInvalid, name, word)
 		}
 	}
 	switch {
-	case len(c.Why) > 2*maxWord:
-		return fmt.Errorf("%w: why has %d bytes", ErrBad, len(c.Why))
+	case len(c.LagReason) > 2*maxFieldLen:
+		return fmt.Errorf("%w: why has %d bytes", ErrInvalid, len(c.LagReason))
 	case c.Incarnation <= 0 || c.Seq <= 0 || c.Revision < 0:
-		return fmt.Errorf("%w: incarnation %d, seq %d, revision %d", ErrBad, c.Incarnation, c.Seq, c.Revision)
+		return fmt.Errorf("%w: incarnation %d, seq %d, revision %d", ErrInvalid, c.Incarnation, c.Seq, c.Revision)
 	case c.Revision > head:
-		return fmt.Errorf("%w: revision %d is not given yet, the last is %d", ErrBad, c.Revision, head)
+		return fmt.Errorf("%w: revision %d is not given yet, the last is %d", ErrInvalid, c.Revision, head)
 	}
 	return nil
 }
 
 // Row is a node as the table knows it. Times are the table's clock.
-type Row struct {
-	Claim
-	HeardMS  int64 `json:"heard_ms"`            // since it was last heard
-	BehindMS int64 `json:"behind_ms,omitempty"` // since a revision holds that it does not act on; 0 for none
-	Silent   bool  `json:"silent,omitempty"`
+type NodeStatus struct {
+	Report
+	LastReportMS int64 `json:"heard_ms"`            // since it was last heard
+	BehindMS     int64 `json:"behind_ms,omitempty"` // since a revision holds that it does not act on; 0 for none
+	Silent       bool  `json:"silent,omitempty"`
 }
 
 // Change is a revision's way through the fleet.
-type Change struct {
+type RevisionProgress struct {
 	Revision int64 `json:"revision"`
-	AgoMS    int64 `json:"ago_ms"`
+	AgeMS    int64 `json:"ago_ms"`
 	Applied  int   `json:"applied"`
 	Nodes    int   `json:"nodes"`   // that were not silent when it was made
-	Half     int64 `json:"half_ms"` // until half of them had it; -1 for not yet
-	Most     int64 `json:"most_ms"` // until 99 of 100 had
-	All      int64 `json:"all_ms"`  // until all had
+	HalfMS   int64 `json:"half_ms"` // until half of them had it; -1 for not yet
+	P99MS    int64 `json:"most_ms"` // until 99 of 100 had
+	AllMS    int64 `json:"all_ms"`  // until all had
 }
 
 // View is what a table tells.
-type View struct {
-	Head    int64    `json:"head"`
-	Nodes   []Row    `json:"nodes"`
-	Changes []Change `json:"changes"`
+type Snapshot struct {
+	Head    int64              `json:"head"`
+	Nodes   []NodeStatus       `json:"nodes"`
+	Changes []RevisionProgress `json:"changes"`
 }
 
-type row struct {
-	Claim
-	heard time.Duration
+type nodeEntry struct {
+	Report
+	reportedAt time.Duration
 }
 
-type change struct {
-	revision          int64
-	at                time.Duration
-	nodes, applied    int
-	half, most, whole time.Duration // 0 for not yet
+type trackedRevision struct {
+	revision       int64
+	publishedAt    time.Duration
+	nodes, applied int
+	half, p99, all time.Duration // 0 for not yet
 }
 
 // Table is what one list server knows of the fleet.
 //
 // Invariants: one row a name, of its latest incarnation and claim; no row claims more than head; changes rise.
 type Table struct {
-	head    int64
-	rows    map[string]*row
-	changes []change
-	Refused int64 // claims
-	version int64
+	head     int64
+	nodes    map[string]*nodeEntry
+	changes  []trackedRevision
+	Rejected int64 // claims
+	version  int64
 }
 
 // Version is another after each claim that was taken, each row that was dropped and each revision.
 func (t *Table) Version() int64 { return t.version }
 
 // NewTable is empty.
-func NewTable() *Table { return &Table{rows: map[string]*row{}} }
+func NewTable() *Table { return &Table{nodes: map[string]*nodeEntry{}} }
 
 // Advance notes that a revision holds.
 func (t *Table) Advance(now time.Duration, head int64) {
@@ -124,27 +124,27 @@
 	t.head = head
 	t.version++
 	nodes := 0
-	for _, r := range t.rows {
-		if now-r.heard <= SilentAfter {
+	for _, r := range t.nodes {
+		if now-r.reportedAt <= SilentAfter {
 			nodes++
 		}
 	}
-	t.changes = append(t.changes, change{revision: head, at: now, nodes: nodes})
-	t.changes = t.changes[max(0, len(t.changes)-maxChanges):]
+	t.changes = append(t.changes, trackedRevision{revision: head, publishedAt: now, nodes: nodes})
+	t.changes = t.changes[max(0, len(t.changes)-maxTrackedRevisions):]
 }
 
 // Take takes a claim.
-func (t *Table) Take(now time.Duration, c Claim) error {
-	err := c.check(t.head)
-	old := t.rows[c.Name]
+func (t *Table) Apply(now time.Duration, c Report) error {
+	err := c.validate(t.head)
+	old := t.nodes[c.Name]
 	if err == nil && old != nil && (c.Incarnation < old.Incarnation || c.Incarnation == old.Incarnation && c.Seq <= old.Seq) {
-		err = fmt.Errorf("%w: incarnation %d, claim %d", ErrOld, old.Incarnation, old.Seq)
+		err = fmt.Errorf("%w: incarnation %d, claim %d", ErrStale, old.Incarnation, old.Seq)
 	}
-	if err == nil && old == nil && len(t.rows) >= MaxNodes && !t.forget(now) {
-		err = ErrFull
+	if err == nil && old == nil && len(t.nodes) >= MaxNodes && !t.evictSilent(now) {
+		err = ErrTableFull
 	}
 	if err != nil {
-		t.Refused++
+		t.Rejected++
 		return err
 	}
 	from := int64(0)
@@ -153,64 +153,64 @@
 	}
 	for i := range t.changes {
 		if h := &t.changes[i]; h.revision > from && h.revision <= c.Revision {
-			h.apply(now)
+			h.countNode(now)
 		}
 	}
-	t.rows[c.Name] = &row{c, now}
+	t.nodes[c.Name] = &nodeEntry{c, now}
 	t.version++
 	return nil
 }
 
 // apply counts one more node that has the change.
-func (h *change) apply(now time.Duration) {
+func (h *trackedRevision) countNode(now time.Duration) {
 	h.applied++
 	reached := func(at *time.Duration, percent int) {
 		if *at == 0 && 100*h.applied >= percent*h.nodes {
-			*at = max(now-h.at, 1)
+			*at = max(now-h.publishedAt, 1)
 		}
 	}
 	reached(&h.half, 50)
-	reached(&h.most, 99)
-	reached(&h.whole, 100)
+	reached(&h.p99, 99)
+	reached(&h.all, 100)
 }
 
 // forget gives up the row that has been silent longest, if that is long enough.
-func (t *Table) forget(now time.Duration) bool {
-	var oldest *row
-	for _, r := range t.rows {
-		if oldest == nil || r.heard < oldest.heard || r.heard == oldest.heard && r.Name < oldest.Name {
+func (t *Table) evictSilent(now time.Duration) bool {
+	var oldest *nodeEntry
+	for _, r := range t.nodes {
+		if oldest == nil || r.reportedAt < oldest.reportedAt || r.reportedAt == oldest.reportedAt && r.Name < oldest.Name {
 			oldest = r
 		}
 	}
-	if oldest == nil || now-oldest.heard < forgottenFor {
+	if oldest == nil || now-oldest.reportedAt < evictAfter {
 		return false
 	}
-	delete(t.rows, oldest.Name)
+	delete(t.nodes, oldest.Name)
 	return true
 }
 
 // Drop takes a node out that is gone for good, and tells whether it was there.
 func (t *Table) Drop(name string) bool {
-	was := t.rows[name] != nil
+	was := t.nodes[name] != nil
 	t.version++
-	delete(t.rows, name)
+	delete(t.nodes, name)
 	return was
 }
 
 // View tells everything, nodes by name and changes by revision.
-func (t *Table) View(now time.Duration) View {
-	v := View{Head: t.head, Nodes: make([]Row, 0, len(t.rows)), Changes: make([]Change, 0, len(t.changes))}
-	for _, name := range slices.Sorted(maps.Keys(t.rows)) {
-		r := t.rows[name]
-		out := Row{Claim: r.Claim, HeardMS: (now - r.heard).Milliseconds(), Silent: now-r.heard > SilentAfter}
-		if since, behind := t.behind(r); behind {
+func (t *Table) Snapshot(now time.Duration) Snapshot {
+	v := Snapshot{Head: t.head, Nodes: make([]NodeStatus, 0, len(t.nodes)), Changes: make([]RevisionProgress, 0, len(t.changes))}
+	for _, name := range slices.Sorted(maps.Keys(t.nodes)) {
+		r := t.nodes[name]
+		out := NodeStatus{Report: r.Report, LastReportMS: (now - r.reportedAt).Milliseconds(), Silent: now-r.reportedAt > SilentAfter}
+		if since, behind := t.behindSince(r); behind {
 			out.BehindMS = max((now - since).Milliseconds(), 1)
 		}
 		v.Nodes = append(v.Nodes, out)
 	}
 	for _, h := range t.changes {
-		v.Changes = append(v.Changes, Change{
-			h.revision, (now - h.at).Milliseconds(), h.applied, h.nodes, millis(h.half), millis(h.most), millis(h.whole),
+		v.Changes = append(v.Changes, RevisionProgress{
+			h.revision, (now - h.publishedAt).Milliseconds(), h.applied, h.nodes, millis(h.half), millis(h.p99), millis(h.all),
 		})
 	}
 	return v
@@ -224,24 +224,24 @@
 }
 
 // behind tells since when a node lacks a revision that holds.
-func (t *Table) behind(r *row) (time.Duration, bool) {
+func (t *Table) behindSince(r *nodeEntry) (time.Duration, bool) {
 	if r.Revision >= t.head {
 		return 0, false
 	}
-	i, _ := slices.BinarySearchFunc(t.changes, r.Revision+1, func(h change, rev int64) int { return cmp.Compare(h.revision, rev) })
+	i, _ := slices.BinarySearchFunc(t.changes, r.Revision+1, func(h trackedRevision, rev int64) int { return cmp.Compare(h.revision, rev) })
 	if i == len(t.changes) {
 		return 0, false
 	}
-	return t.changes[i].at, true
+	return t.changes[i].publishedAt, true
 }
 
 // Counts are the nodes, those behind, those silent, and the oldest revision that one which is not silent acts on.
 func (t *Table) Counts(now time.Duration) (nodes, behind, silent int, oldest int64) {
 	oldest = t.head
-	for _, r := range t.rows {
+	for _, r := range t.nodes {
 		nodes++
 		switch late := r.Revision < t.head; {
-		case now-r.heard > SilentAfter:
+		case now-r.reportedAt > SilentAfter:
 			silent++
 		case late:
 			behind++
@@ -252,23 +252,23 @@
 }
 
 // Unfit names the nodes that are not silent and don't reach a floor, and says of how many.
-func (v View) Unfit(revision int64, build, config string) (out []string, of int) {
+func (v Snapshot) BelowFloor(revision int64, build, config string) (below []string, total int) {
 	for _, r := range v.Nodes {
 		if r.Silent {
 			continue
 		}
-		if of++; r.Revision < revision || build != "" && r.Build != build || config != "" && r.Config != config {
-			out = append(out, r.Name)
+		if total++; r.Revision < revision || build != "" && r.Build != build || config != "" && r.Config != config {
+			below = append(below, r.Name)
 		}
 	}
-	return out, of
+	return below, total
 }
 
 // Merge joins what several servers know: of each node the latest claim, by incarnation and number and not by clocks, and
 // the changes of the server that is furthest.
-func Merge(views []View) View {
-	var out View
-	rows := map[string]Row{}
+func Merge(views []Snapshot) Snapshot {
+	var out Snapshot
+	rows := map[string]NodeStatus{}
 	for _, v := range views {
 		if v.Head >= out.Head {
 			out.Head, out.Changes = v.Head, v.Changes
@@ -288,7 +288,7 @@
 			r.BehindMS = 1
 			for _, c := range out.Changes {
 				if c.Revision > r.Revision {
-					r.BehindMS = max(c.AgoMS, 1)
+					r.BehindMS = max(c.AgeMS, 1)
 					break
 				}
 			}
