--- a/cmd/harrierramp/constants_test.go
+++ b/cmd/harrierramp/constants_test.go
@@ -18,7 +18,7 @@
 	"choice":              "noteAsk noteGrant noteEnd noteHand noteCold noteSize",
 	"internal/auditlog":   "Format checksumLen",
 	"internal/cli":        "exitFailed exitUsage epochShift",
-	"internal/journal":    "recordHead",
+	"internal/journal":    "recordHeaderBytes",
 	"internal/membership": "Magic version headerSize digestWidth",
 	"internal/statedir":   "Format",
 	"internal/staleness":  "Magic version datagramSize",
--- a/cmd/harrierramp/shutdown_test.go
+++ b/cmd/harrierramp/shutdown_test.go
@@ -94,7 +94,7 @@
 		t.Fatal(err)
 	}
 	ids := map[string]bool{}
-	for _, m := range j.Owed {
+	for _, m := range j.Unsettled {
 		if m.Ended == nil {
 			ids[m.ID] = true
 		}
--- a/internal/atomicfile/atomicfile.go
+++ b/internal/atomicfile/atomicfile.go
@@ -7,10 +7,10 @@
 )
 
 // Replace puts a file in the place of another: a kill leaves the old one or the new one.
-func Replace(path string, raw []byte) error {
-	fresh := path + ".new"
-	if err := os.WriteFile(fresh, raw, 0o600); err != nil {
-		return errors.Join(err, os.Remove(fresh))
+func Replace(path string, data []byte) error {
+	tmpPath := path + ".new"
+	if err := os.WriteFile(tmpPath, data, 0o600); err != nil {
+		return errors.Join(err, os.Remove(tmpPath))
 	}
-	return os.Rename(fresh, path)
+	return os.Rename(tmpPath, path)
 }
--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -9,21 +9,21 @@
 
 // Pauses between tries at what costs the other side little.
 const (
-	First = 50 * time.Millisecond
-	Last  = 2 * time.Second
+	InitialDelay = 50 * time.Millisecond
+	MaxDelay     = 2 * time.Second
 )
 
 // Backoff is a pause that doubles from first to last, with half of it left to chance so that nodes don't return in step.
-type Backoff struct{ First, Last, pause time.Duration }
+type Backoff struct{ Initial, Max, delay time.Duration }
 
 // Next is the pause before the next try: from half of the present pause to all of it.
 func (b *Backoff) Next() time.Duration {
-	b.pause = min(max(2*b.pause, b.First), max(b.First, b.Last))
-	return b.pause/2 + rand.N(b.pause/2+1)
+	b.delay = min(max(2*b.delay, b.Initial), max(b.Initial, b.Max))
+	return b.delay/2 + rand.N(b.delay/2+1)
 }
 
 // Reset starts over: what was tried has gone well.
-func (b *Backoff) Reset() { b.pause = 0 }
+func (b *Backoff) Reset() { b.delay = 0 }
 
 // Sleep waits, and tells whether the context is still alive after it.
 func Sleep(ctx context.Context, d time.Duration) bool {
--- a/internal/cli/journal.go
+++ b/internal/cli/journal.go
@@ -39,7 +39,7 @@
 	o := owedMessage{
 		ID: m.ID, Class: m.Class, Tenant: m.Tenant, Dest: m.Dest, Bytes: len(m.Body), Deadline: m.Deadline, State: "waiting",
 	}
-	for _, s := range m.Sends {
+	for _, s := range m.Attempts {
 		outcome := "out, or cut off: it may have run"
 		switch {
 		case s.NotRun:
@@ -70,7 +70,7 @@
 				return err
 			}
 			all := []owedMessage{}
-			for _, m := range contents.Owed {
+			for _, m := range contents.Unsettled {
 				all = append(all, describeOwed(m))
 			}
 			out := c.OutOrStdout()
@@ -104,7 +104,7 @@
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%d bytes of whole records, %d messages owed\n", contents.Bytes, len(contents.Owed))
+			fmt.Fprintf(c.OutOrStdout(), "%d bytes of whole records, %d messages owed\n", contents.ValidBytes, len(contents.Unsettled))
 			return reportDamage(contents, c)
 		},
 	}
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -213,7 +213,7 @@
 		if err != nil || fd < 3 {
 			fd = 3 // the only one that is ever passed
 		}
-		return ingress.PassedListener(fd)
+		return ingress.InheritedListener(fd)
 	}
 	return net.Listen("tcp", addr)
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -27,43 +27,43 @@
 
 // Options are what may be changed. Zero values are taken as the defaults.
 type Options struct {
-	Program string        // of the nodes; this one if empty
-	For     time.Duration // of traffic; 6 s, 1 min at most
-	Rate    float64       // messages a second at each node; 40, 500 at most
-	Out     io.Writer     // for people
-	Log     io.Writer     // of the processes; nil to drop it
+	Program  string        // of the nodes; this one if empty
+	Duration time.Duration // of traffic; 6 s, 1 min at most
+	Rate     float64       // messages a second at each node; 40, 500 at most
+	Out      io.Writer     // for people
+	Log      io.Writer     // of the processes; nil to drop it
 }
 
 const (
-	nodes     = 3
-	life      = 8 * time.Second // of a message
-	startWait = 10 * time.Second
-	endWait   = life + 5*time.Second // until the last message has its end
-	settle    = 5 * time.Second      // for a process to end after SIGTERM
+	nodeCount     = 3
+	messageTTL    = 8 * time.Second // of a message
+	startTimeout  = 10 * time.Second
+	settleTimeout = messageTTL + 5*time.Second // until the last message has its end
+	stopTimeout   = 5 * time.Second            // for a process to end after SIGTERM
 )
 
 // Result is what came of the messages.
 type Result struct {
-	HandedIn, Taken, Refused, Delivered, Returned, Failed, Lost, Repeated int
-	FirstDelivered                                                        time.Duration // since the start of the demonstration
+	Submitted, Accepted, Refused, Delivered, Returned, Failed, Lost, Repeated int
+	FirstDelivered                                                            time.Duration // since the start of the demonstration
 }
 
 type fleet struct {
 	Options
-	began     time.Time
-	list      string   // the list service's address
-	addrs     []string // of the nodes
-	doors     []string
-	ledger    *partner.Ledger
-	partners  []*partner.Partner
-	processes []*exec.Cmd
-	logs      sync.WaitGroup
+	startedAt  time.Time
+	listAddr   string   // the list service's address
+	nodeAddrs  []string // of the nodes
+	adminAddrs []string
+	ledger     *partner.Ledger
+	partners   []*partner.Partner
+	processes  []*exec.Cmd
+	logCopiers sync.WaitGroup
 }
 
 // Run plays the demonstration and prints its table.
 func Run(ctx context.Context, o Options) (r Result, err error) {
-	if o.For <= 0 || o.For > time.Minute {
-		o.For = 6 * time.Second
+	if o.Duration <= 0 || o.Duration > time.Minute {
+		o.Duration = 6 * time.Second
 	}
 	if o.Rate <= 0 || o.Rate > 500 {
 		o.Rate = 40
@@ -76,7 +76,7 @@
 	if o.Log == nil {
 		o.Log = io.Discard
 	}
-	f := &fleet{Options: o, began: time.Now(), ledger: partner.NewLedger()}
+	f := &fleet{Options: o, startedAt: time.Now(), ledger: partner.NewLedger()}
 	dir, err := os.MkdirTemp("", "harrierramp-demo-")
 	if err != nil {
 		return r, fmt.Errorf("demo: %w", err)
@@ -91,28 +91,28 @@
 	if err := f.start(ctx, dir, &leases); err != nil {
 		return r, fmt.Errorf("demo: %w", err)
 	}
-	r, err = f.play(ctx)
+	r, err = f.runTraffic(ctx)
 	if err != nil {
 		return r, fmt.Errorf("demo: %w", err)
 	}
-	return r, f.print(r)
+	return r, f.printTable(r)
 }
 
 // start brings up the list service, the partners and the nodes.
 func (f *fleet) start(ctx context.Context, dir string, leases *sync.WaitGroup) error {
-	free, err := freeAddrs(2*nodes + 1)
+	free, err := freeAddrs(2*nodeCount + 1)
 	if err != nil {
 		return err
 	}
-	f.list, f.addrs, f.doors = free[0], free[1:nodes+1], free[nodes+1:]
+	f.listAddr, f.nodeAddrs, f.adminAddrs = free[0], free[1:nodeCount+1], free[nodeCount+1:]
 	listDir := filepath.Join(dir, "list")
 	if err := os.Mkdir(listDir, 0o700); err != nil {
 		return err
 	}
-	if err := f.spawn("registry", "--state", listDir, "--listen", f.list, "--bootstrap", "--log-level", "warn"); err != nil {
+	if err := f.startProcess("registry", "--state", listDir, "--listen", f.listAddr, "--bootstrap", "--log-level", "warn"); err != nil {
 		return err
 	}
-	fmt.Fprintf(f.Out, "list service at %s\n", f.list)
+	fmt.Fprintf(f.Out, "list service at %s\n", f.listAddr)
 	for i, cfg := range []partner.Config{
 		{ID: "portal-1", Latency: 20 * time.Millisecond},
 		{ID: "portal-2", Latency: 40 * time.Millisecond},
@@ -126,35 +126,35 @@
 		f.partners = append(f.partners, p)
 		dest := max(0, i-1) // the two portals are one destination
 		leases.Go(func() {
-			partner.Lease(ctx, http.DefaultClient, []string{f.list}, partner.Instance{
+			partner.KeepRegistered(ctx, http.DefaultClient, []string{f.listAddr}, partner.Instance{
 				ID: cfg.ID, Addr: p.Addr(), Zone: "a", Kind: "partner", Dest: dest, Size: 1,
 			})
 		})
 		fmt.Fprintf(f.Out, "partner %s at %s takes messages for destination %d\n", cfg.ID, p.Addr(), dest)
 	}
-	for i, addr := range f.addrs {
+	for i, addr := range f.nodeAddrs {
 		name := fmt.Sprintf("n%d", i+1)
 		state := filepath.Join(dir, name)
 		file := state + ".toml"
-		if err := errors.Join(os.Mkdir(state, 0o700), os.WriteFile(file, []byte(nodeConfig(name, addr, f.doors[i], f.list, state)), 0o600)); err != nil {
+		if err := errors.Join(os.Mkdir(state, 0o700), os.WriteFile(file, []byte(nodeConfig(name, addr, f.adminAddrs[i], f.listAddr, state)), 0o600)); err != nil {
 			return err
 		}
-		if err := f.spawn("serve", "--config", file); err != nil {
+		if err := f.startProcess("serve", "--config", file); err != nil {
 			return err
 		}
 	}
-	for i, addr := range f.addrs {
-		for end := time.Now().Add(startWait); !f.knows(ctx, f.doors[i]); time.Sleep(10 * time.Millisecond) {
+	for i, addr := range f.nodeAddrs {
+		for end := time.Now().Add(startTimeout); !f.isReady(ctx, f.adminAddrs[i]); time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) || ctx.Err() != nil {
 				return fmt.Errorf("node %d at %s is not ready", i+1, addr)
 			}
 		}
-		fmt.Fprintf(f.Out, "node n%d at %s, its operators' door at %s\n", i+1, addr, f.doors[i])
+		fmt.Fprintf(f.Out, "node n%d at %s, its operators' door at %s\n", i+1, addr, f.adminAddrs[i])
 	}
 	return nil
 }
 
-func nodeConfig(name, listen, door, list, state string) string {
+func nodeConfig(name, listen, adminAddr, list, state string) string {
 	return fmt.Sprintf(`name = %q
 listen = %q
 door = %q
@@ -175,16 +175,16 @@
 effect = "idempotent"
 worth = 1.0
 late_worth = 0.3
-`, name, listen, door, state, list, nodes, life.String())
+`, name, listen, adminAddr, state, list, nodeCount, messageTTL.String())
 }
 
 // knows tells that the node behind a door serves and has heard of all partners.
-func (f *fleet) knows(ctx context.Context, door string) bool {
-	text, err := get(ctx, "http://"+door+"/ops/stats")
+func (f *fleet) isReady(ctx context.Context, adminAddr string) bool {
+	text, err := httpGet(ctx, "http://"+adminAddr+"/ops/stats")
 	return err == nil && strings.Contains(text, fmt.Sprintf("router.pool_size:%d|", len(f.partners)))
 }
 
-func get(ctx context.Context, url string) (string, error) {
+func httpGet(ctx context.Context, url string) (string, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return "", err
@@ -199,7 +199,7 @@
 }
 
 // spawn starts one process of ours.
-func (f *fleet) spawn(args ...string) error {
+func (f *fleet) startProcess(args ...string) error {
 	cmd := exec.Command(f.Program, args...)
 	cmd.Env = append(os.Environ(), "ROUTER_CONFIG=", "ROUTER_STATE=", "ROUTER_CONSOLE=")
 	pipe, err := cmd.StderrPipe()
@@ -210,7 +210,7 @@
 		return err
 	}
 	f.processes = append(f.processes, cmd)
-	f.logs.Go(func() { io.Copy(f.Log, pipe) })
+	f.logCopiers.Go(func() { io.Copy(f.Log, pipe) })
 	return nil
 }
 
@@ -222,13 +222,13 @@
 			errs = append(errs, err)
 		}
 	}
-	slow := time.AfterFunc(settle, func() {
+	slow := time.AfterFunc(stopTimeout, func() {
 		for _, p := range f.processes {
 			p.Process.Kill() // one that has ended is no error here
 		}
 	})
 	defer slow.Stop()
-	f.logs.Wait() // a pipe is read to its end before the process is waited for
+	f.logCopiers.Wait() // a pipe is read to its end before the process is waited for
 	for _, p := range f.processes {
 		if err := p.Wait(); err != nil {
 			errs = append(errs, fmt.Errorf("%s: %w", strings.Join(p.Args[1:], " "), err))
@@ -241,14 +241,14 @@
 }
 
 // play hands messages in while a partner shuts and comes back, and waits until each has its end.
-func (f *fleet) play(ctx context.Context) (Result, error) {
+func (f *fleet) runTraffic(ctx context.Context) (Result, error) {
 	var r Result
 	var mu sync.Mutex
-	taken := map[string]bool{}
-	until := time.Now().Add(f.For)
-	out := f.partners[len(f.partners)-1]
+	accepted := map[string]bool{}
+	until := time.Now().Add(f.Duration)
+	outage := f.partners[len(f.partners)-1]
 	var senders sync.WaitGroup
-	for n, addr := range f.addrs {
+	for n, addr := range f.nodeAddrs {
 		senders.Go(func() {
 			c := client.New(addr, 0)
 			defer c.Close()
@@ -257,48 +257,48 @@
 				time.Sleep(time.Until(due))
 				due = due.Add(time.Duration(float64(time.Second) / f.Rate))
 				id := fmt.Sprintf("demo-%d-%06d", n+1, i)
-				a, _, _ := c.Enqueue(client.Message{ID: id, Class: "notice", Dest: i % 3, Life: life, Body: []byte("hello")})
+				a, _, _ := c.Enqueue(client.Message{ID: id, Class: "notice", Dest: i % 3, TTL: messageTTL, Body: []byte("hello")})
 				mu.Lock()
-				r.HandedIn++
+				r.Submitted++
 				switch a {
-				case client.Taken:
-					taken[id] = true
+				case client.Accepted:
+					accepted[id] = true
 				case client.Busy:
 					r.Refused++
 				case client.Failed:
 					r.Failed++
-				case client.Unheard:
+				case client.NoAnswer:
 					r.Lost++
 				}
 				mu.Unlock()
 			}
 		})
 	}
-	pause(ctx, f.For/3)
+	sleep(ctx, f.Duration/3)
 	fmt.Fprintln(f.Out, "partner office-2 shuts")
-	out.Shut(true)
-	pause(ctx, f.For/3)
+	outage.SetRefusing(true)
+	sleep(ctx, f.Duration/3)
 	fmt.Fprintln(f.Out, "partner office-2 is back")
-	out.Shut(false)
+	outage.SetRefusing(false)
 	senders.Wait()
-	r.Taken = len(taken)
+	r.Accepted = len(accepted)
 	notices := map[string]string{}
-	for end := time.Now().Add(endWait); ctx.Err() == nil; pause(ctx, 100*time.Millisecond) {
-		if err := f.notices(ctx, notices); err != nil {
+	for end := time.Now().Add(settleTimeout); ctx.Err() == nil; sleep(ctx, 100*time.Millisecond) {
+		if err := f.readNotices(ctx, notices); err != nil {
 			return r, err
 		}
-		open := 0
-		for id := range taken {
+		unresolved := 0
+		for id := range accepted {
 			if f.ledger.Runs(id) == 0 && notices[id] == "" {
-				open++
+				unresolved++
 			}
 		}
-		if open == 0 || time.Now().After(end) {
-			r.Lost += open
+		if unresolved == 0 || time.Now().After(end) {
+			r.Lost += unresolved
 			break
 		}
 	}
-	for id := range taken {
+	for id := range accepted {
 		switch {
 		case f.ledger.Runs(id) > 0:
 			r.Delivered++
@@ -309,15 +309,15 @@
 		}
 	}
 	_, r.Repeated = f.ledger.Counts()
-	if first := f.ledger.First(); !first.IsZero() {
-		r.FirstDelivered = first.Sub(f.began)
+	if first := f.ledger.FirstRun(); !first.IsZero() {
+		r.FirstDelivered = first.Sub(f.startedAt)
 	}
 	return r, ctx.Err()
 }
 
 // notices reads what nodes have told the platform's side of messages that are not delivered.
-func (f *fleet) notices(ctx context.Context, into map[string]string) error {
-	text, err := get(ctx, "http://"+f.list+"/reports?after=0")
+func (f *fleet) readNotices(ctx context.Context, into map[string]string) error {
+	text, err := httpGet(ctx, "http://"+f.listAddr+"/reports?after=0")
 	if err != nil {
 		return err
 	}
@@ -332,14 +332,14 @@
 	return lines.Err()
 }
 
-func (f *fleet) print(r Result) error {
+func (f *fleet) printTable(r Result) error {
 	w := tabwriter.NewWriter(f.Out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(f.Out, "\nfirst message delivered after %.2f s\n\n", r.FirstDelivered.Seconds())
 	for _, row := range []struct {
 		name  string
 		count int
 	}{
-		{"handed in", r.HandedIn}, {"taken on", r.Taken}, {"delivered", r.Delivered}, {"refused at once", r.Refused},
+		{"handed in", r.Submitted}, {"taken on", r.Accepted}, {"delivered", r.Delivered}, {"refused at once", r.Refused},
 		{"returned later", r.Returned}, {"failed", r.Failed}, {"lost", r.Lost}, {"repeated", r.Repeated},
 	} {
 		fmt.Fprintf(w, "%s\t%d\t\n", row.name, row.count)
@@ -347,7 +347,7 @@
 	return w.Flush()
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
--- a/internal/egress/endpoint_test.go
+++ b/internal/egress/endpoint_test.go
@@ -7,10 +7,10 @@
 	"harrierramp/internal/testkit"
 )
 
-func TestAStepOfTheWallClockDoesNotChangeAWait(t *testing.T) {
+func TestCooldownIgnoresWallClockStep(t *testing.T) {
 	told := time.Now()
-	var w Wait
-	if w.Binds(told) {
+	var w Cooldown
+	if w.Active(told) {
 		t.Error("no wait was told")
 	}
 	w.Extend(told.Add(time.Second))
@@ -20,12 +20,12 @@
 		if step != 0 && within.Round(0).Sub(told.Round(0)) != 900*time.Millisecond+step {
 			t.Fatal("the clock is not stepped")
 		}
-		if !w.Binds(within) || w.Binds(after) {
-			t.Errorf("stepped by %v: it lasts %v within its time and %v after it", step, w.Binds(within), w.Binds(after))
+		if !w.Active(within) || w.Active(after) {
+			t.Errorf("stepped by %v: it lasts %v within its time and %v after it", step, w.Active(within), w.Active(after))
 		}
 	}
-	e := &Endpoint{Wait: &w}
-	if !e.closedTo(testkit.StepWallClock(told, time.Hour)) {
+	e := &Endpoint{Cooldown: &w}
+	if !e.blocked(testkit.StepWallClock(told, time.Hour)) {
 		t.Error("a step of the clock opens the endpoint")
 	}
 }
--- a/internal/egress/local_test.go
+++ b/internal/egress/local_errors_test.go
@@ -13,7 +13,7 @@
 )
 
 // What this machine lacks for a moment is no endpoint's outage.
-func TestACallOutlastsAMomentWithoutSockets(t *testing.T) {
+func TestCallRetriesOnLocalShortage(t *testing.T) {
 	partner := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse))
 	failed := func(call string, errno syscall.Errno) error {
 		return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError(call, errno)}
@@ -34,8 +34,8 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p, tries := testPool(), 0
-			connect := p.connect
-			p.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
+			connect := p.dialContext
+			p.dialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 				if tries++; tries <= c.times {
 					return nil, c.err
 				}
@@ -45,8 +45,8 @@
 			if got := p.Do(t.Context(), testCall(endpointAt(partner.Addr()))); got.Outcome != c.want {
 				t.Errorf("got %v after %d dials and %v, want %v", got.Outcome, tries, time.Since(began), c.want)
 			}
-			if len(p.places) > 1 {
-				t.Errorf("%d places are taken", len(p.places))
+			if len(p.connSem) > 1 {
+				t.Errorf("%d places are taken", len(p.connSem))
 			}
 		})
 	}
--- a/internal/egress/pool.go
+++ b/internal/egress/pool.go
@@ -20,7 +20,7 @@
 	"time"
 
 	"harrierramp/choice"
-	"harrierramp/internal/nowait"
+	"harrierramp/internal/nonblock"
 	"harrierramp/internal/transient"
 )
 
@@ -30,116 +30,116 @@
 // one connection, by one Write.
 
 const (
-	maxAnswerHead = 32 << 10
-	maxAnswerBody = 64 << 10
-	idleMargin    = 400 * time.Millisecond // an endpoint's idle clock may be ahead of ours by an answer's way
-	loadHeader    = "Endpoint-Load-Metrics"
-	maxContinues  = 8 // 1xx answers ahead of the real one
-	longestWait   = 10 * time.Minute
+	maxResponseHeaderBytes    = 32 << 10
+	maxResponseBodyBytes      = 64 << 10
+	idleTimeoutMargin         = 400 * time.Millisecond // an endpoint's idle clock may be ahead of ours by an answer's way
+	loadHeader                = "Endpoint-Load-Metrics"
+	maxInformationalResponses = 8 // 1xx answers ahead of the real one
+	maxRetryAfter             = 10 * time.Minute
 	// An answer is written at once, and holds 64 KiB at most: once its first byte has come, a link that is of any use
 	// brings the rest in answerRest. What follows a first line with 200 says nothing more, and only decides whether the
 	// connection serves again; so it is not worth holding the slot for longer than a slow round trip.
-	answerRest    = time.Second
-	localPatience = 250 * time.Millisecond // for this machine to have a socket, an address and a route again
-	deliveredRest = 250 * time.Millisecond
+	responseRestTimeout  = time.Second
+	localRetryTimeout    = 250 * time.Millisecond // for this machine to have a socket, an address and a route again
+	deliveredRestTimeout = 250 * time.Millisecond
 )
 
 // Call is one attempt to be made.
 type Call struct {
-	ID, Key  string
-	Body     []byte
-	Endpoint *Endpoint
-	NotPast  time.Time
-	BeginBy  time.Time // no byte is written later; zero for any time before NotPast
-	Rests    string    // on which list and process, for RestsHeader; empty for no header
+	ID, Key       string
+	Body          []byte
+	Endpoint      *Endpoint
+	Deadline      time.Time
+	LatestStart   time.Time // no byte is written later; zero for any time before NotPast
+	DecisionBasis string    // on which list and process, for RestsHeader; empty for no header
 }
 
 // RestsHeader names what a call rests on: the revision of the list, and which process of the node it is, with a dot between
 // them.
-const RestsHeader = "X-Rests-On"
+const DecisionBasisHeader = "X-Rests-On"
 
 // Result is how it ended.
 type Result struct {
-	Outcome choice.Outcome
-	Wait    time.Duration
-	NoSlot  bool
-	Closed  bool
-	Reused  bool // it went over a connection that had stood idle
-	Heard   bool // an answer, read to its end or to what says delivered
+	Outcome      choice.Outcome
+	RetryAfter   time.Duration
+	NoSlot       bool
+	MessageDone  bool
+	Reused       bool // it went over a connection that had stood idle
+	ResponseRead bool // an answer, read to its end or to what says delivered
 	// The request was written whole between these; zero for one that was not.
-	Writing, Wrote time.Time
-	Report         choice.Report
+	WriteStart, WriteEnd time.Time
+	Report               choice.Report
 }
 
 // Pool makes calls, on connections that it keeps between them.
 type Pool struct {
-	dialTimeout, idleFor time.Duration
-	connect              func(ctx context.Context, network, addr string) (net.Conn, error)
-	maxIdle              int
-	places               chan struct{}   // one taken for each connection
-	tries                *atomic.Int64   // messages written whole
-	sealed               context.Context // ends when nothing new may be written
-	seal                 context.CancelFunc
-
-	mu   sync.Mutex
-	idle map[string][]*conn // by endpoint; the last one was used last
-	size int
+	dialTimeout, idleTimeout time.Duration
+	dialContext              func(ctx context.Context, network, addr string) (net.Conn, error)
+	maxIdle                  int
+	connSem                  chan struct{}   // one taken for each connection
+	requestsWritten          *atomic.Int64   // messages written whole
+	closeCtx                 context.Context // ends when nothing new may be written
+	cancelCloseCtx           context.CancelFunc
+
+	mu        sync.Mutex
+	idleConns map[string][]*conn // by endpoint; the last one was used last
+	idleCount int
 }
 
 // conn is a connection to an endpoint.
 type conn struct {
 	net.Conn
-	addr    string
-	limit   *io.LimitedReader
-	br      *bufio.Reader
-	watched chan error // the idle watch's end
-	ended   func()     // gives back its place; may be called again
+	addr        string
+	limitReader *io.LimitedReader
+	br          *bufio.Reader
+	watchDone   chan error // the idle watch's end
+	release     func()     // gives back its place; may be called again
 }
 
 // NewPool makes a pool that holds most connections altogether: the descriptors beyond are others'. They come from source,
 // or from where the system chooses if that is nil.
-func NewPool(source net.Addr, dialTimeout, connIdle time.Duration, maxIdle, most int, tries *atomic.Int64) *Pool {
+func NewPool(source net.Addr, dialTimeout, connIdle time.Duration, maxIdle, maxConns int, requestsWritten *atomic.Int64) *Pool {
 	if dialTimeout <= 0 {
 		dialTimeout = time.Second
 	}
-	sealed, seal := context.WithCancel(context.Background())
+	closeCtx, cancelCloseCtx := context.WithCancel(context.Background())
 	return &Pool{
-		sealed: sealed, seal: seal, connect: (&net.Dialer{LocalAddr: source}).DialContext, dialTimeout: dialTimeout, idleFor: max(connIdle-idleMargin, connIdle/2), maxIdle: maxIdle,
-		places: make(chan struct{}, most), tries: tries, idle: map[string][]*conn{},
+		closeCtx: closeCtx, cancelCloseCtx: cancelCloseCtx, dialContext: (&net.Dialer{LocalAddr: source}).DialContext, dialTimeout: dialTimeout, idleTimeout: max(connIdle-idleTimeoutMargin, connIdle/2), maxIdle: maxIdle,
+		connSem: make(chan struct{}, maxConns), requestsWritten: requestsWritten, idleConns: map[string][]*conn{},
 	}
 }
 
 // Do makes one call. It returns when its slot is free again: at the answer, or with the connection closed.
 func (p *Pool) Do(ctx context.Context, c Call) Result {
-	ctx, cancel := context.WithDeadline(ctx, c.NotPast)
+	ctx, cancel := context.WithDeadline(ctx, c.Deadline)
 	defer cancel()
-	if c.late(ctx) {
+	if c.mustNotStart(ctx) {
 		return Result{Outcome: choice.NotSent}
 	}
-	k := p.take(c.Endpoint)
+	k := p.takeIdle(c.Endpoint)
 	reused := k != nil
 	if !reused {
 		var err error
-		if k, err = p.open(ctx, c.Endpoint.Addr); errors.Is(err, errNoPlace) || (err != nil && p.sealed.Err() != nil) {
+		if k, err = p.openConn(ctx, c.Endpoint.Addr); errors.Is(err, errNoConnCapacity) || (err != nil && p.closeCtx.Err() != nil) {
 			return Result{Outcome: choice.NotSent}
 		} else if err != nil {
 			return Result{Outcome: choice.ConnectFailed}
 		}
 	}
 	// A dial takes up to a second; what was told meanwhile, or the time that has passed, may forbid the first byte.
-	if c.late(ctx) || p.sealed.Err() != nil {
-		p.give(c.Endpoint, k)
+	if c.mustNotStart(ctx) || p.closeCtx.Err() != nil {
+		p.putIdle(c.Endpoint, k)
 		return Result{Outcome: choice.NotSent}
 	}
 	request, err := encodeRequest(c) // tells how long we wait from now on
 	if err != nil {
-		p.give(c.Endpoint, k)
+		p.putIdle(c.Endpoint, k)
 		return Result{Outcome: choice.NotSent}
 	}
 	stop := context.AfterFunc(ctx, func() { k.Close() })
-	res, reuse := k.exchange(ctx, request, p.tries)
+	res, reuse := k.roundTrip(ctx, request, p.requestsWritten)
 	if stop() && reuse {
-		p.give(c.Endpoint, k)
+		p.putIdle(c.Endpoint, k)
 	} else {
 		k.Close()
 	}
@@ -148,38 +148,38 @@
 }
 
 // late tells that the call may not begin any more, or not now.
-func (c Call) late(ctx context.Context) bool {
+func (c Call) mustNotStart(ctx context.Context) bool {
 	now := time.Now()
-	return ctx.Err() != nil || c.Endpoint.closedTo(now) || (!c.BeginBy.IsZero() && now.After(c.BeginBy))
+	return ctx.Err() != nil || c.Endpoint.blocked(now) || (!c.LatestStart.IsZero() && now.After(c.LatestStart))
 }
 
 // errNoPlace says that no descriptor was to be had for a new connection, or too late for it to come up.
-var errNoPlace = errors.New("no place for a connection")
+var errNoConnCapacity = errors.New("no place for a connection")
 
 // open makes a new connection. What it takes, the wait for a place included, stays within the time of a dial: rules hang
 // on when a call can begin at the latest.
-func (p *Pool) open(ctx context.Context, addr string) (*conn, error) {
+func (p *Pool) openConn(ctx context.Context, addr string) (*conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.dialTimeout)
 	defer cancel()
-	defer context.AfterFunc(p.sealed, cancel)()
+	defer context.AfterFunc(p.closeCtx, cancel)()
 	began := time.Now()
-	if !p.place(ctx) {
-		return nil, errNoPlace
+	if !p.acquireSlot(ctx) {
+		return nil, errNoConnCapacity
 	}
 	waited := time.Since(began)
 	k, err := p.dial(ctx, addr)
-	var late net.Error
-	if errors.As(err, &late) && late.Timeout() && waited > p.dialTimeout/10 {
-		return nil, errNoPlace // what was left of the time says nothing of the endpoint
+	var timeoutErr net.Error
+	if errors.As(err, &timeoutErr) && timeoutErr.Timeout() && waited > p.dialTimeout/10 {
+		return nil, errNoConnCapacity // what was left of the time says nothing of the endpoint
 	}
-	if err != nil && lacksRoom(err) {
-		return nil, fmt.Errorf("%w: %w", errNoPlace, err)
+	if err != nil && isLocalShortage(err) {
+		return nil, fmt.Errorf("%w: %w", errNoConnCapacity, err)
 	}
 	return k, err
 }
 
 // lacksRoom tells that this machine had no descriptor or memory for a socket, which says nothing of the endpoint.
-func lacksRoom(err error) bool {
+func isLocalShortage(err error) bool {
 	return errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ENOMEM)
 }
 
@@ -190,14 +190,14 @@
 	}
 	req.Header = http.Header{
 		"X-Trace-Id":   {c.ID},
-		"X-Expires-In": {strconv.FormatInt(max(time.Until(c.NotPast).Milliseconds(), 1), 10) + "m"},
+		"X-Expires-In": {strconv.FormatInt(max(time.Until(c.Deadline).Milliseconds(), 1), 10) + "m"},
 		"User-Agent":   {"harrierramp"},
 	}
 	if c.Key != "" {
 		req.Header["Idempotency-Key"] = []string{c.Key}
 	}
-	if c.Rests != "" {
-		req.Header[RestsHeader] = []string{c.Rests}
+	if c.DecisionBasis != "" {
+		req.Header[DecisionBasisHeader] = []string{c.DecisionBasis}
 	}
 	var b bytes.Buffer
 	if err := req.Write(&b); err != nil {
@@ -207,22 +207,22 @@
 }
 
 // place takes a place for a new connection: a free one, that of one kept idle, or the next that a call gives back.
-func (p *Pool) place(ctx context.Context) bool {
+func (p *Pool) acquireSlot(ctx context.Context) bool {
 	select {
-	case p.places <- struct{}{}:
+	case p.connSem <- struct{}{}:
 		return true
 	default:
 	}
 	p.mu.Lock()
-	for id, kept := range p.idle {
+	for id, kept := range p.idleConns {
 		k := kept[0]
-		p.drop(id, 0)
+		p.removeIdle(id, 0)
 		k.Close()
 		break
 	}
 	p.mu.Unlock()
 	select {
-	case p.places <- struct{}{}:
+	case p.connSem <- struct{}{}:
 		return true
 	case <-ctx.Done():
 		return false
@@ -230,42 +230,42 @@
 }
 
 func (k *conn) Close() error {
-	k.ended()
+	k.release()
 	return k.Conn.Close()
 }
 
 // dial opens a connection in a place that was taken for it.
 func (p *Pool) dial(ctx context.Context, addr string) (*conn, error) {
 	var nc net.Conn
-	err := transient.RetryLocal(ctx, min(localPatience, p.dialTimeout/2), func() (err error) {
-		nc, err = p.connect(ctx, "tcp", addr)
+	err := transient.RetryLocal(ctx, min(localRetryTimeout, p.dialTimeout/2), func() (err error) {
+		nc, err = p.dialContext(ctx, "tcp", addr)
 		return err
 	})
-	ended := sync.OnceFunc(func() { <-p.places })
+	release := sync.OnceFunc(func() { <-p.connSem })
 	if err != nil {
-		ended()
+		release()
 		return nil, err
 	}
-	return newConn(nc, addr, ended), nil
+	return newConn(nc, addr, release), nil
 }
 
-func newConn(nc net.Conn, addr string, ended func()) *conn {
+func newConn(nc net.Conn, addr string, release func()) *conn {
 	l := &io.LimitedReader{R: transient.Reader(nc)}
-	return &conn{Conn: nc, addr: addr, limit: l, br: bufio.NewReaderSize(l, 4096), ended: ended}
+	return &conn{Conn: nc, addr: addr, limitReader: l, br: bufio.NewReaderSize(l, 4096), release: release}
 }
 
 // exchange writes the request, which counts among the tries once it is written whole, and reads the answer; reuse
 // tells that the connection is good for another call.
-func (k *conn) exchange(ctx context.Context, request []byte, tries *atomic.Int64) (res Result, reuse bool) {
-	writing := time.Now()
+func (k *conn) roundTrip(ctx context.Context, request []byte, requestsWritten *atomic.Int64) (res Result, reuse bool) {
+	writeStart := time.Now()
 	if n, err := transient.Write(k, request); err != nil && n < len(request) {
 		return Result{Outcome: choice.ConnectFailed}, false // without its last byte the endpoint has not begun it
 	}
-	wrote := time.Now()
-	tries.Add(1)
-	res, reuse, err := k.answer()
-	switch res.Heard = err == nil; {
-	case res.Heard:
+	writeEnd := time.Now()
+	requestsWritten.Add(1)
+	res, reuse, err := k.readResponse()
+	switch res.ResponseRead = err == nil; {
+	case res.ResponseRead:
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		res.Outcome = choice.TimedOut
 	case ctx.Err() != nil:
@@ -273,20 +273,20 @@
 	default:
 		res.Outcome = choice.ConnReset
 	}
-	res.Writing, res.Wrote = writing, wrote
+	res.WriteStart, res.WriteEnd = writeStart, writeEnd
 	return res, reuse
 }
 
 // answer reads one answer and tells whether the connection may carry another call. One that can't be read to its
 // end proves nothing, whatever it began to say, but for a first line with 200: that line holds. One that has begun has so
 // long to end.
-func (k *conn) answer() (Result, bool, error) {
-	for range maxContinues {
-		k.limit.N = maxAnswerHead + maxAnswerBody
+func (k *conn) readResponse() (Result, bool, error) {
+	for range maxInformationalResponses {
+		k.limitReader.N = maxResponseHeaderBytes + maxResponseBodyBytes
 		delivered := false
-		if k.begins() {
-			if delivered = k.saysDelivered(); delivered {
-				k.endBy(deliveredRest)
+		if k.awaitFirstByte() {
+			if delivered = k.peekStatusOK(); delivered {
+				k.setReadTimeout(deliveredRestTimeout)
 			}
 		}
 		resp, err := http.ReadResponse(k.br, nil)
@@ -297,17 +297,17 @@
 		}
 		if err == nil {
 			var n int64
-			n, err = io.Copy(io.Discard, io.LimitReader(resp.Body, maxAnswerBody+1))
+			n, err = io.Copy(io.Discard, io.LimitReader(resp.Body, maxResponseBodyBytes+1))
 			resp.Body.Close()
-			if err == nil && n > maxAnswerBody {
+			if err == nil && n > maxResponseBodyBytes {
 				err = errors.New("a body too large")
 			}
 		}
 		switch {
 		case err == nil: // more than the answer in the buffer belongs to no call
-			return outcome(resp), !resp.Close && k.br.Buffered() == 0, nil
+			return classifyResponse(resp), !resp.Close && k.br.Buffered() == 0, nil
 		case delivered:
-			return Result{Outcome: choice.Pass, Closed: true}, false, nil
+			return Result{Outcome: choice.Pass, MessageDone: true}, false, nil
 		}
 		return Result{}, false, fmt.Errorf("answer: %w", err)
 	}
@@ -315,20 +315,20 @@
 }
 
 // begins waits for the first byte of an answer, and bounds the time of the rest.
-func (k *conn) begins() bool {
+func (k *conn) awaitFirstByte() bool {
 	_, err := k.br.Peek(1)
 	if err == nil {
-		k.endBy(answerRest)
+		k.setReadTimeout(responseRestTimeout)
 	}
 	return err == nil
 }
 
 // endBy has reads fail after so long. An error means that the connection is closed, and they fail at once.
-func (k *conn) endBy(d time.Duration) { k.SetReadDeadline(time.Now().Add(d)) }
+func (k *conn) setReadTimeout(d time.Duration) { k.SetReadDeadline(time.Now().Add(d)) }
 
 // saysDelivered looks ahead for a first line with 200, which may be the last that comes of the answer. It waits
 // for no more bytes than it takes to tell.
-func (k *conn) saysDelivered() bool {
+func (k *conn) peekStatusOK() bool {
 	const want = "HTTP/1.? 200"
 	for n := 1; n <= len(want); n++ {
 		line, err := k.br.Peek(n)
@@ -341,15 +341,15 @@
 }
 
 // outcome reads the protocol's table of answers.
-func outcome(resp *http.Response) Result {
-	res := Result{Report: loadReport(resp.Header.Get(loadHeader))}
+func classifyResponse(resp *http.Response) Result {
+	res := Result{Report: parseLoadReport(resp.Header.Get(loadHeader))}
 	switch resp.StatusCode {
 	case http.StatusOK:
-		res.Outcome, res.Closed = choice.Pass, true
+		res.Outcome, res.MessageDone = choice.Pass, true
 	case http.StatusTooManyRequests:
 		res.Outcome = choice.Rejected
 		if sec, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && sec > 0 {
-			res.Wait = time.Duration(min(sec, longestWait.Seconds()) * float64(time.Second))
+			res.RetryAfter = time.Duration(min(sec, maxRetryAfter.Seconds()) * float64(time.Second))
 		}
 	case http.StatusServiceUnavailable:
 		res.Outcome = choice.Rejected
@@ -359,7 +359,7 @@
 	case http.StatusGatewayTimeout:
 		res.Outcome = choice.NotSent
 	case http.StatusGone:
-		res.Outcome, res.Closed = choice.NotSent, true
+		res.Outcome, res.MessageDone = choice.NotSent, true
 	default: // 500, and what the protocol does not know: it may have run
 		res.Outcome = choice.Fault
 	}
@@ -367,7 +367,7 @@
 }
 
 // loadReport reads "x0=0.4,x1=25"; what can't be read is left out.
-func loadReport(text string) choice.Report {
+func parseLoadReport(text string) choice.Report {
 	var r choice.Report
 	for field := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
@@ -386,23 +386,23 @@
 }
 
 // take returns a kept connection that is still good, the one used last, or nil.
-func (p *Pool) take(e *Endpoint) *conn {
+func (p *Pool) takeIdle(e *Endpoint) *conn {
 	for {
 		p.mu.Lock()
-		kept := p.idle[e.ID]
+		kept := p.idleConns[e.ID]
 		if len(kept) == 0 {
 			p.mu.Unlock()
 			return nil
 		}
 		k := kept[len(kept)-1]
-		p.drop(e.ID, len(kept)-1)
+		p.removeIdle(e.ID, len(kept)-1)
 		p.mu.Unlock()
 		// The watch is called back from its read. Had it met an end or a byte, it would not end by this time-out; but
 		// what has come since it last looked it may not have seen, and a request would be a sure reset.
 		k.SetReadDeadline(time.Unix(1, 0))
-		err := <-k.watched
+		err := <-k.watchDone
 		var timeout net.Error
-		if errors.As(err, &timeout) && timeout.Timeout() && k.addr == e.Addr && k.silent() {
+		if errors.As(err, &timeout) && timeout.Timeout() && k.addr == e.Addr && k.isQuiet() {
 			return k
 		}
 		k.Close()
@@ -410,69 +410,69 @@
 }
 
 // silent tells that a connection between calls is as it was left: nothing has come on it, and it has not ended.
-func (k *conn) silent() bool {
+func (k *conn) isQuiet() bool {
 	var b [1]byte
-	_, err := nowait.Read(k.Conn, b[:])
-	return errors.Is(err, nowait.ErrNothing)
+	_, err := nonblock.Read(k.Conn, b[:])
+	return errors.Is(err, nonblock.ErrWouldBlock)
 }
 
 // drop takes the i-th kept connection of an endpoint out; the lock is held.
-func (p *Pool) drop(id string, i int) {
-	p.size--
-	if p.idle[id] = slices.Delete(p.idle[id], i, i+1); len(p.idle[id]) == 0 {
-		delete(p.idle, id)
+func (p *Pool) removeIdle(id string, i int) {
+	p.idleCount--
+	if p.idleConns[id] = slices.Delete(p.idleConns[id], i, i+1); len(p.idleConns[id]) == 0 {
+		delete(p.idleConns, id)
 	}
 }
 
 // give keeps a connection for the next call, and watches it: it is closed when the endpoint closes it, sends
 // something unasked for, or when it has stood idle for nearly as long as the endpoint allows.
-func (p *Pool) give(e *Endpoint, k *conn) {
-	k.watched = make(chan error, 1)
-	k.limit.N = 1
+func (p *Pool) putIdle(e *Endpoint, k *conn) {
+	k.watchDone = make(chan error, 1)
+	k.limitReader.N = 1
 	p.mu.Lock()
 	// Under the lock: whoever shuts an endpoint says so first, and then hangs up.
-	unwanted := e.Shut.Load() || e.Out.Load() || p.sealed.Err() != nil
-	if unwanted || p.size >= p.maxIdle || k.SetReadDeadline(time.Now().Add(p.idleFor)) != nil {
+	unusable := e.Withdrawn.Load() || e.Disabled.Load() || p.closeCtx.Err() != nil
+	if unusable || p.idleCount >= p.maxIdle || k.SetReadDeadline(time.Now().Add(p.idleTimeout)) != nil {
 		p.mu.Unlock()
 		k.Close()
 		return
 	}
-	p.idle[e.ID] = append(p.idle[e.ID], k)
-	p.size++
+	p.idleConns[e.ID] = append(p.idleConns[e.ID], k)
+	p.idleCount++
 	p.mu.Unlock()
 	go func() { // ends with the connection, or when take calls it back
 		_, err := k.br.Peek(1)
 		p.mu.Lock()
-		if i := slices.Index(p.idle[e.ID], k); i >= 0 {
-			p.drop(e.ID, i)
+		if i := slices.Index(p.idleConns[e.ID], k); i >= 0 {
+			p.removeIdle(e.ID, i)
 			k.Close()
 		}
 		p.mu.Unlock()
-		k.watched <- err
+		k.watchDone <- err
 	}()
 }
 
 // HangUp closes the kept connections of an endpoint.
-func (p *Pool) HangUp(id string) {
+func (p *Pool) CloseIdle(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, k := range p.idle[id] {
+	for _, k := range p.idleConns[id] {
 		k.Close()
 	}
-	p.size -= len(p.idle[id])
-	delete(p.idle, id)
+	p.idleCount -= len(p.idleConns[id])
+	delete(p.idleConns, id)
 }
 
 // Close closes all kept connections, and keeps none from now on.
 func (p *Pool) Close() {
-	p.seal()
+	p.cancelCloseCtx()
 	p.mu.Lock()
-	ids := make([]string, 0, len(p.idle))
-	for id := range p.idle {
+	ids := make([]string, 0, len(p.idleConns))
+	for id := range p.idleConns {
 		ids = append(ids, id)
 	}
 	p.mu.Unlock()
 	for _, id := range ids {
-		p.HangUp(id)
+		p.CloseIdle(id)
 	}
 }
--- a/internal/egress/pool_test.go
+++ b/internal/egress/pool_test.go
@@ -16,43 +16,43 @@
 )
 
 func endpointAt(addr string) *Endpoint {
-	return &Endpoint{ID: "e", Addr: addr, Wait: new(Wait)}
+	return &Endpoint{ID: "e", Addr: addr, Cooldown: new(Cooldown)}
 }
 
 func testPool() *Pool { return NewPool(nil, 2*time.Second, time.Minute, 16, 64, new(atomic.Int64)) }
 
 func testCall(e *Endpoint) Call {
-	return Call{ID: "9b1f03aa5c7e2d41", Key: "5c0f", Body: []byte("body\x00"), Endpoint: e, NotPast: time.Now().Add(testkit.WaitTimeout)}
+	return Call{ID: "9b1f03aa5c7e2d41", Key: "5c0f", Body: []byte("body\x00"), Endpoint: e, Deadline: time.Now().Add(testkit.WaitTimeout)}
 }
 
-func TestOutcomes(t *testing.T) {
+func TestResponseOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		name, says string
 		want       Result
 	}{
-		{"delivered", testkit.DeliveredResponse, Result{Outcome: choice.Pass, Closed: true}},
+		{"delivered", testkit.DeliveredResponse, Result{Outcome: choice.Pass, MessageDone: true}},
 		{"delivered with a report", "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: x0=0.4,x1=25\r\nContent-Length: 0\r\n\r\n",
-			Result{Outcome: choice.Pass, Closed: true, Report: choice.Report{Left: 0.4, Limit: 25, HasLeft: true, HasLimit: true}}},
+			Result{Outcome: choice.Pass, MessageDone: true, Report: choice.Report{Left: 0.4, Limit: 25, HasLeft: true, HasLimit: true}}},
 		{"a report that can't be read", "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: x0=often,,x1=NaN\r\nContent-Length: 0\r\n\r\n",
-			Result{Outcome: choice.Pass, Closed: true}},
-		{"after a 1xx", "HTTP/1.1 103 Early Hints\r\n\r\n" + testkit.DeliveredResponse, Result{Outcome: choice.Pass, Closed: true}},
+			Result{Outcome: choice.Pass, MessageDone: true}},
+		{"after a 1xx", "HTTP/1.1 103 Early Hints\r\n\r\n" + testkit.DeliveredResponse, Result{Outcome: choice.Pass, MessageDone: true}},
 		{"error", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", Result{Outcome: choice.Fault}},
 		{"told to wait", "HTTP/1.1 429 No\r\nRetry-After: 0.35\r\nContent-Length: 0\r\n\r\n",
-			Result{Outcome: choice.Rejected, Wait: 350 * time.Millisecond}},
+			Result{Outcome: choice.Rejected, RetryAfter: 350 * time.Millisecond}},
 		{"turned away", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", Result{Outcome: choice.Rejected}},
 		{"no slot", "HTTP/1.1 503 No\r\nX-Line-Busy: 1\r\nContent-Length: 0\r\n\r\n", Result{Outcome: choice.NotSent, NoSlot: true}},
 		{"all attempts used", "HTTP/1.1 504 No\r\nContent-Length: 0\r\n\r\n", Result{Outcome: choice.NotSent}},
-		{"over", "HTTP/1.1 410 No\r\nContent-Length: 0\r\n\r\n", Result{Outcome: choice.NotSent, Closed: true}},
+		{"over", "HTTP/1.1 410 No\r\nContent-Length: 0\r\n\r\n", Result{Outcome: choice.NotSent, MessageDone: true}},
 		{"unknown status", "HTTP/1.1 418 No\r\nContent-Length: 0\r\n\r\n", Result{Outcome: choice.Fault}},
 		{"no HTTP", "what?\r\n\r\n", Result{Outcome: choice.ConnReset}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := testkit.NewPartner(t, testkit.RespondWith(c.says))
 			got := testPool().Do(t.Context(), testCall(endpointAt(p.Addr())))
-			if got.Heard != (c.want.Outcome != choice.ConnReset) || got.Writing.IsZero() || got.Wrote.Before(got.Writing) {
-				t.Errorf("heard %v, written from %v to %v", got.Heard, got.Writing, got.Wrote)
+			if got.ResponseRead != (c.want.Outcome != choice.ConnReset) || got.WriteStart.IsZero() || got.WriteEnd.Before(got.WriteStart) {
+				t.Errorf("heard %v, written from %v to %v", got.ResponseRead, got.WriteStart, got.WriteEnd)
 			}
-			got.Heard, got.Writing, got.Wrote = false, c.want.Writing, c.want.Wrote
+			got.ResponseRead, got.WriteStart, got.WriteEnd = false, c.want.WriteStart, c.want.WriteEnd
 			if got != c.want {
 				t.Errorf("got %+v, want %+v", got, c.want)
 			}
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestOutcomesOfConnections(t *testing.T) {
+func TestConnectionFailureOutcomes(t *testing.T) {
 	t.Run("refused", func(t *testing.T) {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -78,7 +78,7 @@
 			far.Close()
 		}()
 		k, tries := &conn{Conn: near}, new(atomic.Int64)
-		if got, reuse := k.exchange(t.Context(), []byte(strings.Repeat("x", 100)), tries); got.Outcome != choice.ConnectFailed || reuse || tries.Load() != 0 {
+		if got, reuse := k.roundTrip(t.Context(), []byte(strings.Repeat("x", 100)), tries); got.Outcome != choice.ConnectFailed || reuse || tries.Load() != 0 {
 			t.Errorf("got %+v, %v, %d tries", got, reuse, tries.Load())
 		}
 	})
@@ -96,7 +96,7 @@
 			return false
 		})
 		c := testCall(endpointAt(p.Addr()))
-		c.NotPast = time.Now().Add(100 * time.Millisecond)
+		c.Deadline = time.Now().Add(100 * time.Millisecond)
 		if got := testPool().Do(t.Context(), c); got.Outcome != choice.TimedOut || !<-closed {
 			t.Errorf("got %+v", got)
 		}
@@ -115,14 +115,14 @@
 	t.Run("over before it began", func(t *testing.T) {
 		p := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse))
 		c := testCall(endpointAt(p.Addr()))
-		c.NotPast = time.Now().Add(-time.Second)
+		c.Deadline = time.Now().Add(-time.Second)
 		if got := testPool().Do(t.Context(), c); got.Outcome != choice.NotSent {
 			t.Errorf("got %+v", got)
 		}
 	})
 }
 
-func TestWhatGoesOut(t *testing.T) {
+func TestRequestHeaders(t *testing.T) {
 	p := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse))
 	testPool().Do(t.Context(), testCall(endpointAt(p.Addr())))
 	req := p.Next(t)
@@ -134,7 +134,7 @@
 }
 
 // A library that sends a request again by itself makes a second effect of it.
-func TestBrokenReusedConnectionIsNotSentAgain(t *testing.T) {
+func TestNoResendOnBrokenReusedConn(t *testing.T) {
 	first := true
 	p := testkit.NewPartner(t, func(nc net.Conn, _ *http.Request) bool {
 		if first {
@@ -158,7 +158,7 @@
 
 // A first line with 200 holds whatever becomes of the rest; any other answer that breaks off proves nothing,
 // least of all that the call has not run.
-func TestAnswersThatBreakOff(t *testing.T) {
+func TestTruncatedResponses(t *testing.T) {
 	for text, want := range map[string]choice.Outcome{
 		"HTTP/1.1 200":                  choice.Pass,
 		"HTTP/1.1 200 O":                choice.Pass,
@@ -177,17 +177,17 @@
 			return false
 		})
 		pool := testPool()
-		if got := pool.Do(t.Context(), testCall(endpointAt(p.Addr()))); got.Outcome != want || got.Closed != (want == choice.Pass) {
+		if got := pool.Do(t.Context(), testCall(endpointAt(p.Addr()))); got.Outcome != want || got.MessageDone != (want == choice.Pass) {
 			t.Errorf("%q: got %+v", text, got)
 		}
-		if pool.size != 0 {
+		if pool.idleCount != 0 {
 			t.Errorf("%q: its connection was kept", text)
 		}
 	}
 }
 
 // A request written to a connection that the endpoint has closed is a sure reset.
-func TestServersCloseIsNoticed(t *testing.T) {
+func TestRemoteCloseDropsIdleConn(t *testing.T) {
 	p := testkit.NewPartner(t, func(nc net.Conn, _ *http.Request) bool {
 		io.WriteString(nc, testkit.DeliveredResponse)
 		return false
@@ -200,39 +200,39 @@
 		testkit.Eventually(t, "the closed connection is dropped", func() bool {
 			pool.mu.Lock()
 			defer pool.mu.Unlock()
-			return pool.size == 0
+			return pool.idleCount == 0
 		})
 	}
 }
 
-func TestIdleConnectionIsDroppedInTime(t *testing.T) {
+func TestIdleConnTimesOut(t *testing.T) {
 	p := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse))
 	pool, e := NewPool(nil, time.Second, 20*time.Millisecond, 16, 64, new(atomic.Int64)), endpointAt(p.Addr())
 	pool.Do(t.Context(), testCall(e))
 	testkit.Eventually(t, "the idle connection is dropped", func() bool {
 		pool.mu.Lock()
 		defer pool.mu.Unlock()
-		return pool.size == 0
+		return pool.idleCount == 0
 	})
 }
 
-func TestHangUp(t *testing.T) {
+func TestCloseIdle(t *testing.T) {
 	p := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse))
 	pool, e := testPool(), endpointAt(p.Addr())
 	pool.Do(t.Context(), testCall(e))
-	pool.HangUp(e.ID)
+	pool.CloseIdle(e.ID)
 	pool.Do(t.Context(), testCall(e))
 	if calls, conns := p.Counts(); calls != 2 || conns != 2 {
 		t.Errorf("%d calls on %d connections", calls, conns)
 	}
 	pool.Close()
-	if pool.size != 0 {
+	if pool.idleCount != 0 {
 		t.Error("connections are kept after close")
 	}
 }
 
 // Bytes that belong to no call would be taken for the next call's answer.
-func TestMoreThanTheAnswerIsNotReused(t *testing.T) {
+func TestConnWithExtraBytesIsNotReused(t *testing.T) {
 	p := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse+"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"))
 	pool, e := testPool(), endpointAt(p.Addr())
 	for range 3 {
@@ -243,11 +243,11 @@
 }
 
 // Between the decision and the first byte lies a dial; a drain or a wait told meanwhile must hold the call.
-func TestNothingIsSentToAClosedEndpoint(t *testing.T) {
+func TestNoCallToBlockedEndpoint(t *testing.T) {
 	p := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse))
 	drained, waiting := endpointAt(p.Addr()), endpointAt(p.Addr())
-	drained.Shut.Store(true)
-	waiting.Wait.Extend(time.Now().Add(time.Hour))
+	drained.Withdrawn.Store(true)
+	waiting.Cooldown.Extend(time.Now().Add(time.Hour))
 	for _, e := range []*Endpoint{drained, waiting} {
 		if got := testPool().Do(t.Context(), testCall(e)); got.Outcome != choice.NotSent {
 			t.Errorf("got %+v", got)
@@ -260,11 +260,11 @@
 
 // Places for connections run out: a call waits for one, takes that of an idle connection, and is not sent if none
 // comes; it is no failure of the endpoint.
-func TestCallsLeaveDescriptorsToOthers(t *testing.T) {
+func TestCallsStayWithinConnLimit(t *testing.T) {
 	p, q := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), testkit.NewPartner(t, testkit.NeverRespond)
 	pool := NewPool(nil, 50*time.Millisecond, time.Minute, 16, 1, new(atomic.Int64))
-	e, f := endpointAt(p.Addr()), &Endpoint{ID: "f", Addr: q.Addr(), Wait: new(Wait)}
-	if got := pool.Do(t.Context(), testCall(e)); !got.Closed {
+	e, f := endpointAt(p.Addr()), &Endpoint{ID: "f", Addr: q.Addr(), Cooldown: new(Cooldown)}
+	if got := pool.Do(t.Context(), testCall(e)); !got.MessageDone {
 		t.Fatalf("got %+v", got)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -279,7 +279,7 @@
 	}
 	cancel()
 	<-done
-	if got := pool.Do(t.Context(), testCall(e)); !got.Closed {
+	if got := pool.Do(t.Context(), testCall(e)); !got.MessageDone {
 		t.Errorf("with the place given back: got %+v", got)
 	}
 }
--- a/internal/egress/cross_test.go
+++ b/internal/egress/races_test.go
@@ -17,22 +17,22 @@
 )
 
 // calledBack is a connection that has something come in the moment in which the watch on it is called back.
-type calledBack struct {
+type hookedConn struct {
 	*net.TCPConn
-	then func()
+	onPastDeadline func()
 }
 
-func (c calledBack) SetReadDeadline(at time.Time) error {
+func (c hookedConn) SetReadDeadline(at time.Time) error {
 	err := c.TCPConn.SetReadDeadline(at)
 	if !at.IsZero() && time.Until(at) < 0 {
-		c.then()
+		c.onPastDeadline()
 	}
 	return err
 }
 
 // What comes on an idle connection as it is taken, be it an end, a reset or a stray byte, is met before a request is
 // written to it: the call goes over a new one.
-func TestWhatComesAsAConnectionIsTaken(t *testing.T) {
+func TestTakeIdleDetectsPeerActivity(t *testing.T) {
 	for name, c := range map[string]struct {
 		act  func(far *net.TCPConn) error
 		good bool
@@ -60,9 +60,9 @@
 			}
 			far := <-conns
 			pool.mu.Lock()
-			k := pool.idle[e.ID][0]
+			k := pool.idleConns[e.ID][0]
 			near := k.Conn.(*net.TCPConn)
-			k.Conn = calledBack{near, func() {
+			k.Conn = hookedConn{near, func() {
 				if err := c.act(far); err != nil {
 					t.Error(err)
 				}
@@ -84,7 +84,7 @@
 
 // An answer that has begun holds its slot no longer than it is worth: what says delivered has said it with its first
 // line, and what says nothing to the end proves nothing.
-func TestAnswersThatNeverEnd(t *testing.T) {
+func TestEndlessResponsesReleaseSlot(t *testing.T) {
 	const patience = 20 * time.Second
 	for text, want := range map[string]choice.Outcome{
 		"HTTP/1.1 200 OK\r\n":                                              choice.Pass,
@@ -112,7 +112,7 @@
 			pool := testPool()
 			defer pool.Close()
 			call := testCall(endpointAt(p.Addr()))
-			call.NotPast = time.Now().Add(patience)
+			call.Deadline = time.Now().Add(patience)
 			began := time.Now()
 			res := pool.Do(t.Context(), call)
 			if res.Outcome != want || time.Since(began) > patience/2 {
@@ -128,7 +128,7 @@
 }
 
 // A process that ends before the rest of an answer that says delivered has come knows that it is.
-func TestALeaveAfterAFirstLineWith200(t *testing.T) {
+func TestStatusOKCountsWhenCancelledMidResponse(t *testing.T) {
 	p := testkit.NewPartner(t, func(nc net.Conn, _ *http.Request) bool {
 		io.WriteString(nc, "HTTP/1.1 200 OK\r\n")
 		return testkit.NeverRespond(nc, nil)
@@ -148,17 +148,17 @@
 		t.Fatal(err)
 	}
 	testkit.WaitForPendingData(t, near.(*net.TCPConn))
-	if k.limit.N = maxAnswerHead; !k.saysDelivered() { // its line is read
+	if k.limitReader.N = maxResponseHeaderBytes; !k.peekStatusOK() { // its line is read
 		t.Fatal("the first line does not say delivered")
 	}
 	leave()
-	if got, reuse, err := k.answer(); got.Outcome != choice.Pass || !got.Closed || reuse || err != nil {
+	if got, reuse, err := k.readResponse(); got.Outcome != choice.Pass || !got.MessageDone || reuse || err != nil {
 		t.Errorf("%+v, reuse %v, %v", got, reuse, err)
 	}
 }
 
 // held is a pool with room for one connection, which a call holds until it is let go.
-func held(t *testing.T, dial time.Duration) (pool *Pool, letGo func()) {
+func newFullPool(t *testing.T, dial time.Duration) (pool *Pool, release func()) {
 	t.Helper()
 	inside, goOn := make(chan struct{}), make(chan struct{})
 	p := testkit.NewPartner(t, func(nc net.Conn, _ *http.Request) bool {
@@ -169,31 +169,31 @@
 	})
 	pool = NewPool(nil, dial, time.Minute, 16, 1, new(atomic.Int64))
 	t.Cleanup(pool.Close)
-	go pool.Do(t.Context(), testCall(&Endpoint{ID: "holder", Addr: p.Addr(), Wait: new(Wait)}))
+	go pool.Do(t.Context(), testCall(&Endpoint{ID: "holder", Addr: p.Addr(), Cooldown: new(Cooldown)}))
 	<-inside
 	return pool, func() { close(goOn) }
 }
 
 // While a call waits for its connection the world goes on: what it tells the endpoint of its time is what is left, and
 // what is forbidden by then is not begun.
-func TestWhatHasChangedWhileAConnectionCameUp(t *testing.T) {
+func TestConditionsRecheckedAfterDial(t *testing.T) {
 	const wait = 300 * time.Millisecond
 	for name, c := range map[string]struct {
 		change func(*Call)
 		sent   bool
 	}{
 		"time has passed":            {func(*Call) {}, true},
-		"the endpoint is drained":    {func(c *Call) { c.Endpoint.Shut.Store(true) }, false},
-		"operators have taken it":    {func(c *Call) { c.Endpoint.Out.Store(true) }, false},
-		"a wait was told":            {func(c *Call) { c.Endpoint.Wait.Extend(time.Now().Add(time.Minute)) }, false},
-		"a repeat is no longer safe": {func(c *Call) { c.BeginBy = time.Now().Add(wait / 2) }, false},
+		"the endpoint is drained":    {func(c *Call) { c.Endpoint.Withdrawn.Store(true) }, false},
+		"operators have taken it":    {func(c *Call) { c.Endpoint.Disabled.Store(true) }, false},
+		"a wait was told":            {func(c *Call) { c.Endpoint.Cooldown.Extend(time.Now().Add(time.Minute)) }, false},
+		"a repeat is no longer safe": {func(c *Call) { c.LatestStart = time.Now().Add(wait / 2) }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			pool, letGo := held(t, 10*time.Second)
+			pool, release := newFullPool(t, 10*time.Second)
 			p := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse))
 			call := testCall(endpointAt(p.Addr()))
-			call.NotPast = time.Now().Add(5 * time.Second)
+			call.Deadline = time.Now().Add(5 * time.Second)
 			if name == "a repeat is no longer safe" {
 				c.change(&call)
 			}
@@ -203,7 +203,7 @@
 			if name != "a repeat is no longer safe" {
 				c.change(&call)
 			}
-			letGo()
+			release()
 			got := <-res
 			if calls, _ := p.Counts(); c.sent != (calls == 1) || c.sent != (got.Outcome == choice.Pass) {
 				t.Fatalf("%d calls, %+v", calls, got)
@@ -224,36 +224,36 @@
 
 // The wait for a place and the dial together last no longer than a dial may: when a repeat can begin at the latest is
 // reckoned from that. A dial that had only what the wait for its place has left says nothing of the endpoint.
-func TestAPlaceAndADialShareTheirTime(t *testing.T) {
+func TestSlotWaitAndDialShareTimeout(t *testing.T) {
 	t.Parallel()
 	const dial = 2 * time.Second
-	pool, letGo := held(t, dial)
+	pool, release := newFullPool(t, dial)
 	call := testCall(endpointAt(testkit.UnresponsiveAddr(t)))
-	call.NotPast = time.Now().Add(time.Minute)
+	call.Deadline = time.Now().Add(time.Minute)
 	began := time.Now()
 	res := make(chan Result)
 	go func() { res <- pool.Do(t.Context(), call) }()
 	time.Sleep(dial * 3 / 4)
-	letGo()
+	release()
 	if got, took := <-res, time.Since(began); got.Outcome != choice.NotSent || took > dial*3/2 {
 		t.Errorf("%+v after %v", got, took)
 	}
-	call.NotPast = time.Now().Add(time.Minute)
+	call.Deadline = time.Now().Add(time.Minute)
 	if got := pool.Do(t.Context(), call); got.Outcome != choice.ConnectFailed { // with all of its time
 		t.Errorf("%+v", got)
 	}
 }
 
 // A connection that nobody may use any more by the time its call ends is not kept.
-func TestAConnectionThatNobodyMayUseIsNotKept(t *testing.T) {
+func TestUnusableConnIsNotKept(t *testing.T) {
 	for name, change := range map[string]func(*Pool, *Endpoint){
 		"the endpoint is shut": func(pool *Pool, e *Endpoint) {
-			e.Shut.Store(true)
-			pool.HangUp(e.ID)
+			e.Withdrawn.Store(true)
+			pool.CloseIdle(e.ID)
 		},
 		"operators have taken it out": func(pool *Pool, e *Endpoint) {
-			e.Out.Store(true)
-			pool.HangUp(e.ID)
+			e.Disabled.Store(true)
+			pool.CloseIdle(e.ID)
 		},
 		"the pool is closed": func(pool *Pool, _ *Endpoint) { pool.Close() },
 	} {
@@ -291,7 +291,7 @@
 }
 
 // A call that ends, or is called off, while its dial does not come up leaves neither a place taken nor a dial under way.
-func TestADialThatOutlivesItsCaller(t *testing.T) {
+func TestAbandonedDialReleasesSlot(t *testing.T) {
 	addr := testkit.UnresponsiveAddr(t)
 	for name, end := range map[string]func(cancel context.CancelFunc, pool *Pool, c *Call){
 		"called off":         func(cancel context.CancelFunc, _ *Pool, _ *Call) { cancel() },
@@ -300,7 +300,7 @@
 	} {
 		pool, call := NewPool(nil, time.Minute, time.Minute, 16, 1, new(atomic.Int64)), testCall(endpointAt(addr))
 		if name == "out of time" {
-			call.NotPast = time.Now().Add(100 * time.Millisecond)
+			call.Deadline = time.Now().Add(100 * time.Millisecond)
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		res := make(chan Result)
@@ -312,7 +312,7 @@
 		if got := <-res; got.Outcome != choice.ConnectFailed && got.Outcome != choice.NotSent {
 			t.Errorf("%s: %+v", name, got)
 		}
-		if n := len(pool.places); n != 0 {
+		if n := len(pool.connSem); n != 0 {
 			t.Errorf("%s: %d places are taken", name, n)
 		}
 		testkit.Eventually(t, "no dial is under way", func() bool { return testkit.CountPendingDials(t, addr) == 0 })
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -40,9 +40,9 @@
 	State *State `json:",omitempty"` // with the lock
 
 	// From the old process to its successor.
-	Client *ingress.Moved `json:",omitempty"` // with its connection
-	Ended  *EndedCall     `json:",omitempty"`
-	Order  *LinkOrder     `json:",omitempty"`
+	Client *ingress.ConnHandover `json:",omitempty"` // with its connection
+	Ended  *EndedCall            `json:",omitempty"`
+	Order  *LinkOrder            `json:",omitempty"`
 
 	// From the successor.
 	Cancel *CallName  `json:",omitempty"`
--- a/internal/ingress/close_test.go
+++ b/internal/ingress/close_test.go
@@ -15,7 +15,7 @@
 
 // Whatever makes the node end a connection, a request that comes in that very moment neither takes the last answer with
 // it nor is served behind the end: the client reads what was written to it, then an end, never a reset.
-func TestBytesThatComeAsAConnectionEnds(t *testing.T) {
+func TestCloseDeliversLastAnswerDespiteLateRequest(t *testing.T) {
 	late := testkit.EnqueueRequest("late", "c=notice,d=8000,dest=7", strings.Repeat("x", 2000))
 	ping, half := testkit.EncodeRESP("PING"), "*5\r\n$7\r\nENQ"
 	for name, c := range map[string]struct {
@@ -82,9 +82,9 @@
 }
 
 // slowClock is a connection whose process does not run for a while after each deadline that it sets.
-type slowClock struct{ *net.TCPConn }
+type stalledConn struct{ *net.TCPConn }
 
-func (s slowClock) SetReadDeadline(at time.Time) error {
+func (s stalledConn) SetReadDeadline(at time.Time) error {
 	err := s.TCPConn.SetReadDeadline(at)
 	if d := time.Until(at); d > 0 && d < time.Second {
 		time.Sleep(d + time.Millisecond) // until the deadline has passed
@@ -94,38 +94,38 @@
 
 // A request that lies in the socket when the wait for one has ended is seen, also by a node that does not run in time
 // to look: a deadline that has passed hides it.
-func TestLastLookSeesWhatLiesInTheSocket(t *testing.T) {
+func TestPollPendingFindsRequestAfterDeadline(t *testing.T) {
 	near, far := testkit.TCPPair(t)
-	nc := slowClock{near}
+	nc := stalledConn{near}
 	in := &replayReader{src: nc}
-	callBack(nc)
-	if _, err := in.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) || lastLook(nc, in, err) {
+	interruptRead(nc)
+	if _, err := in.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) || pollPending(nc, in, err) {
 		t.Fatalf("%v, and a request where none has come", err)
 	}
 	if _, err := io.WriteString(far, testkit.EncodeRESP("PING")); err != nil {
 		t.Fatal(err)
 	}
 	testkit.WaitForPendingData(t, near)
-	callBack(nc)
-	if _, err := in.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) || !lastLook(nc, in, err) {
+	interruptRead(nc)
+	if _, err := in.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) || !pollPending(nc, in, err) {
 		t.Fatalf("%v, and a request is not seen", err)
 	}
 	if got := string(in.unanswered()); got != testkit.EncodeRESP("PING") {
 		t.Errorf("%q is left to be read", got)
 	}
-	if lastLook(nc, in, io.EOF) {
+	if pollPending(nc, in, io.EOF) {
 		t.Error("the end of a connection is taken for a request")
 	}
 }
 
 // Peers that rest and do not hang up when they are told to must not keep newcomers waiting: their places are had at once.
-func TestAFloodOfRestingPeersYieldsItsPlaces(t *testing.T) {
-	c, addr := serveTest(t, 8, func(Request) Answer { return Answer{} })
+func TestIdleConnsAreEvictedForNewClients(t *testing.T) {
+	c, addr := startTestServer(t, 8, func(Request) Answer { return Answer{} })
 	began := time.Now()
 	for range 40 {
 		nc, br := testkit.Dial(t, addr)
 		testkit.MustExchange(t, nc, br, testkit.EncodeRESP("PING"), "+PONG")
-		if n := c.Count(); n > 8 {
+		if n := c.ConnCount(); n > 8 {
 			t.Errorf("%d connections are open", n)
 		}
 	}
@@ -136,9 +136,9 @@
 
 // A connection that waits for a place when the node leaves is ended like the others, and does not keep the node from it:
 // all have their time at once.
-func TestAConnectionThatWaitsForAPlaceAtTheEnd(t *testing.T) {
+func TestCloseEndsConnWaitingForSlot(t *testing.T) {
 	inside, goOn := make(chan struct{}), make(chan struct{})
-	c, addr := serveTest(t, 1, func(Request) Answer {
+	c, addr := startTestServer(t, 1, func(Request) Answer {
 		close(inside)
 		<-goOn
 		return Answer{}
--- a/internal/ingress/fuzz_test.go
+++ b/internal/ingress/fuzz_test.go
@@ -12,7 +12,7 @@
 
 // Whatever a peer sends, the reader ends, holds no more than its bounds, and what it takes for a message is one.
 func FuzzRequests(f *testing.F) {
-	f.Add([]byte(client.Request("ENQUEUE", "0", "id", "c=notice,d=8000,dest=7,k=x", "body")))
+	f.Add([]byte(client.EncodeCommand("ENQUEUE", "0", "id", "c=notice,d=8000,dest=7,k=x", "body")))
 	f.Add([]byte("*1\r\n$1048577\r\n"))
 	f.Add([]byte("*-1\r\n$9223372036854775807\r\nPING\r\n"))
 	f.Fuzz(func(t *testing.T, raw []byte) {
@@ -29,11 +29,11 @@
 			for _, a := range args {
 				held += len(a)
 			}
-			if held > maxArgs*maxBody || len(args) > maxArgs && raw[0] == '*' {
+			if held > maxArgs*maxBodyBytes || len(args) > maxArgs && raw[0] == '*' {
 				t.Fatalf("%d words of %d bytes", len(args), held)
 			}
 			if q, err := parseEnqueue(args, testkit.TestNames, time.Now()); err == nil {
-				if q.Life < 0 || q.Life > maxLife || q.Class != 0 || q.Dest < 0 || !isToken(q.ID) {
+				if q.TTL < 0 || q.TTL > maxTTL || q.Class != 0 || q.Dest < 0 || !isHeaderSafe(q.ID) {
 					t.Fatalf("taken: %+v", q)
 				}
 			}
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -14,13 +14,13 @@
 	"harrierramp/internal/testkit"
 )
 
-func serveTest(t *testing.T, most int, hand func(Request) Answer) (*Server, string) {
+func startTestServer(t *testing.T, maxConns int, handle func(Request) Answer) (*Server, string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := NewServer(ln, most, testkit.TestNames, hand)
+	c := NewServer(ln, maxConns, testkit.TestNames, handle)
 	go c.Serve(t.Context())
 	t.Cleanup(func() {
 		select {
@@ -33,12 +33,12 @@
 }
 
 // Whatever comes, the client hears an error, the node does not fall, and nothing of it is taken on.
-func TestBadInput(t *testing.T) {
-	_, addr := serveTest(t, 100, func(Request) Answer {
+func TestMalformedRequestsAreRejected(t *testing.T) {
+	_, addr := startTestServer(t, 100, func(Request) Answer {
 		t.Error("bad input was handed on")
 		return Answer{}
 	})
-	big := strings.Repeat("x", maxBody+1)
+	big := strings.Repeat("x", maxBodyBytes+1)
 	for _, text := range []string{
 		testkit.EnqueueRequest("id", "c=notice,d=8000,dest=7", big),
 		testkit.EnqueueRequest("id", "c=other,d=8000,dest=7", "b"),
@@ -72,29 +72,29 @@
 }
 
 // After an error about one request, the connection goes on where the framing is sound.
-func TestConnectionGoesOnAfterAnOversizedBody(t *testing.T) {
+func TestConnSurvivesOversizedBody(t *testing.T) {
 	var got Request
-	_, addr := serveTest(t, 100, func(q Request) Answer {
+	_, addr := startTestServer(t, 100, func(q Request) Answer {
 		got = q
 		return Answer{}
 	})
 	nc, br := testkit.Dial(t, addr)
-	go io.WriteString(nc, testkit.EnqueueRequest("a", "c=notice,d=8000,dest=7", strings.Repeat("x", maxBody+1))+
+	go io.WriteString(nc, testkit.EnqueueRequest("a", "c=notice,d=8000,dest=7", strings.Repeat("x", maxBodyBytes+1))+
 		"PING\r\n"+testkit.EnqueueRequest("b", "c=notice,t=globex,d=1500.5,dest=7,k=key,r=1", "\r\n\x00$*")+testkit.EncodeRESP("PING"))
 	for _, want := range []string{"-ERR a body", "+PONG", "+OK", "+PONG"} {
 		if line, err := br.ReadString('\n'); err != nil || !strings.HasPrefix(line, want) {
 			t.Fatalf("got %q, %v, want %q", line, err, want)
 		}
 	}
-	if got.ID != "b" || got.Tenant != 1 || got.Key != "key" || got.Dest != 7 || got.Life != 1500500*time.Microsecond || string(got.Body) != "\r\n\x00$*" {
+	if got.ID != "b" || got.Tenant != 1 || got.Key != "key" || got.Dest != 7 || got.TTL != 1500500*time.Microsecond || string(got.Body) != "\r\n\x00$*" {
 		t.Errorf("got %+v", got)
 	}
 }
 
 func TestAnswerLines(t *testing.T) {
 	for want, a := range map[string]Answer{
-		"+OK\r\n": {}, "-BUSY\r\n": {Refused: true}, "-BUSY 1500\r\n": {Refused: true, After: 1500 * time.Millisecond},
-		"-ERR no\r\n": {Failed: "no"},
+		"+OK\r\n": {}, "-BUSY\r\n": {Refused: true}, "-BUSY 1500\r\n": {Refused: true, RetryAfter: 1500 * time.Millisecond},
+		"-ERR no\r\n": {ErrorText: "no"},
 	} {
 		if got := a.line(); got != want {
 			t.Errorf("got %q, want %q", got, want)
@@ -103,9 +103,9 @@
 }
 
 // A request that has been read gets its answer, also while the node hangs up on everybody.
-func TestCloseAnswersWhatWasRead(t *testing.T) {
+func TestCloseAnswersRequestsAlreadyRead(t *testing.T) {
 	inside, release := make(chan struct{}), make(chan struct{})
-	c, addr := serveTest(t, 100, func(Request) Answer {
+	c, addr := startTestServer(t, 100, func(Request) Answer {
 		close(inside)
 		<-release
 		return Answer{}
@@ -134,8 +134,8 @@
 }
 
 // Half a request must not keep the node from leaving before it is killed.
-func TestCloseDoesNotWaitForHalfARequest(t *testing.T) {
-	c, addr := serveTest(t, 100, func(Request) Answer { return Answer{} })
+func TestCloseDoesNotWaitForIncompleteRequest(t *testing.T) {
+	c, addr := startTestServer(t, 100, func(Request) Answer { return Answer{} })
 	nc, br := testkit.Dial(t, addr)
 	io.WriteString(nc, testkit.EncodeRESP("PING")+"*5\r\n$7\r\nENQ")
 	if line, err := br.ReadString('\n'); line != "+PONG\r\n" {
@@ -154,8 +154,8 @@
 }
 
 // Descriptors are bounded, and whoever holds a place without a request yields it to a newcomer.
-func TestConnectionsAreCapped(t *testing.T) {
-	c, addr := serveTest(t, 2, func(Request) Answer { return Answer{} })
+func TestConnLimit(t *testing.T) {
+	c, addr := startTestServer(t, 2, func(Request) Answer { return Answer{} })
 	for range 5 { // silent, but open
 		nc, br := testkit.Dial(t, addr)
 		io.WriteString(nc, testkit.EncodeRESP("PING"))
@@ -163,7 +163,7 @@
 			t.Fatalf("got %q, %v", line, err)
 		}
 		c.mu.Lock()
-		open := len(c.open)
+		open := len(c.conns)
 		c.mu.Unlock()
 		if open > 2 {
 			t.Errorf("%d connections are open", open)
@@ -172,12 +172,12 @@
 }
 
 // A peer that has no proper request must not hold its place for more than the platform's 3 s.
-func TestPeersWithoutARequestAreHungUpOn(t *testing.T) {
+func TestConnsWithoutRequestTimeOut(t *testing.T) {
 	for name, act := range map[string]func(net.Conn){
 		"silent":      func(net.Conn) {},
-		"empty lines": func(nc net.Conn) { drip(nc, strings.Repeat("\r\n", 100), 500*time.Millisecond) },
+		"empty lines": func(nc net.Conn) { writeSlowly(nc, strings.Repeat("\r\n", 100), 500*time.Millisecond) },
 		"slow": func(nc net.Conn) {
-			drip(nc, testkit.EnqueueRequest("a", "c=notice,d=8000,dest=7", "b"), 100*time.Millisecond)
+			writeSlowly(nc, testkit.EnqueueRequest("a", "c=notice,d=8000,dest=7", "b"), 100*time.Millisecond)
 		},
 		"half a request at the last moment": func(nc net.Conn) {
 			time.Sleep(idleTimeout - 50*time.Millisecond)
@@ -196,11 +196,11 @@
 					return Answer{}
 				})
 				near, far := net.Pipe()
-				c.open[near] = &peer{idle: true, since: time.Now()}
+				c.conns[near] = &connState{idle: true, lastActivity: time.Now()}
 				began := time.Now()
 				var acting sync.WaitGroup
 				acting.Go(func() { act(far) })
-				c.serveConn(near, start{since: time.Now()})
+				c.serveConn(near, connStart{lastActivity: time.Now()})
 				if took := time.Since(began); took > 2900*time.Millisecond {
 					t.Errorf("closed after %s", took)
 				}
@@ -212,7 +212,7 @@
 }
 
 // drip writes text a byte at a time until it is hung up on.
-func drip(nc net.Conn, text string, pause time.Duration) {
+func writeSlowly(nc net.Conn, text string, pause time.Duration) {
 	for _, b := range []byte(text) {
 		if _, err := nc.Write([]byte{b}); err != nil {
 			return
@@ -222,9 +222,9 @@
 }
 
 // A request that comes cut at any byte is one request, and what follows it in the same piece is the next.
-func TestRequestCutAtAnyByte(t *testing.T) {
+func TestRequestSplitAtAnyByte(t *testing.T) {
 	handed := make(chan Request, 1)
-	_, addr := serveTest(t, 4, func(q Request) Answer {
+	_, addr := startTestServer(t, 4, func(q Request) Answer {
 		handed <- q
 		return Answer{}
 	})
@@ -249,9 +249,9 @@
 
 // Clients walk away inside a request, or before its answer: nothing of half a request is taken on, the whole one
 // is, once, and the places are free again.
-func TestClientsThatWalkAway(t *testing.T) {
+func TestClientDisconnects(t *testing.T) {
 	handed, answers := make(chan Request, 100), make(chan struct{})
-	c, addr := serveTest(t, 4, func(q Request) Answer {
+	c, addr := startTestServer(t, 4, func(q Request) Answer {
 		handed <- q
 		<-answers
 		return Answer{}
@@ -276,7 +276,7 @@
 	}
 	nc.Close()
 	close(answers)
-	testkit.Eventually(t, "the places are free", func() bool { return c.Count() == 0 && len(c.room) == 0 })
+	testkit.Eventually(t, "the places are free", func() bool { return c.ConnCount() == 0 && len(c.connSem) == 0 })
 	if len(handed) != 0 {
 		t.Errorf("%d messages beside the whole one", len(handed))
 	}
@@ -284,7 +284,7 @@
 
 // The wall clock is stepped between a connection's begin, or its last answer, and its next request: the request is read as
 // ever.
-func TestAStepOfTheWallClockEndsNoConnection(t *testing.T) {
+func TestWallClockStepKeepsConn(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, time.Hour} {
 		t.Run(step.String(), func(t *testing.T) {
 			c := NewServer(nil, 1, testkit.TestNames, func(Request) Answer { return Answer{} })
@@ -298,11 +298,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			c.open[served] = &peer{idle: true, since: time.Now()}
+			c.conns[served] = &connState{idle: true, lastActivity: time.Now()}
 			done := make(chan struct{})
 			go func() {
 				defer close(done)
-				c.serveConn(served, start{since: testkit.StepWallClock(time.Now(), step)})
+				c.serveConn(served, connStart{lastActivity: testkit.StepWallClock(time.Now(), step)})
 			}()
 			request := testkit.EnqueueRequest("a", "c=notice,d=1000,dest=1", "body")
 			if _, err := io.WriteString(client, request[:len(request)/2]); err != nil {
@@ -317,10 +317,10 @@
 }
 
 // What another process says of a connection may have been written before a step of the wall clock.
-func TestAPassedConnectionSurvivesAStepOfTheWallClock(t *testing.T) {
+func TestHandedOverConnSurvivesWallClockStep(t *testing.T) {
 	now := time.Now()
 	for _, age := range []time.Duration{-time.Hour, 0, 100 * time.Millisecond, time.Hour} {
-		got := now.Sub(recently(now, now.Add(-age).UnixNano()))
+		got := now.Sub(clampToRecent(now, now.Add(-age).UnixNano()))
 		if want := min(max(age, 0), requestTimeout); (got - want).Abs() > time.Microsecond {
 			t.Errorf("%v old: taken for %v", age, got)
 		}
--- a/internal/ingress/passed.go
+++ b/internal/ingress/inherited_listener.go
@@ -14,7 +14,7 @@
 // makes it a blocking socket, an accept would no longer heed deadlines or a close, and hang until a client comes. So
 // the flag is seen to before each accept, and it is waited for a client outside of that. (The Read of a
 // net.TCPListener's SyscallConn is not to be had.)
-type passedListener struct {
+type inheritedListener struct {
 	f      *os.File
 	raw    syscall.RawConn
 	addr   net.Addr
@@ -23,12 +23,12 @@
 
 // PassedListener is the socket that the platform holds and passes on to each process under this number. It is never
 // shut down, for that would end it for every process that has it.
-func PassedListener(number int) (net.Listener, error) {
+func InheritedListener(number int) (net.Listener, error) {
 	if err := syscall.SetNonblock(number, true); err != nil { // only such a file can be waited for
 		return nil, fmt.Errorf("descriptor %d: %w", number, err)
 	}
 	syscall.CloseOnExec(number)
-	l := &passedListener{f: os.NewFile(uintptr(number), "passed socket")}
+	l := &inheritedListener{f: os.NewFile(uintptr(number), "passed socket")}
 	ln, err := net.FileListener(l.f) // by a descriptor of its own
 	if err == nil {
 		l.addr = ln.Addr()
@@ -43,7 +43,7 @@
 	return l, nil
 }
 
-func (l *passedListener) Accept() (net.Conn, error) {
+func (l *inheritedListener) Accept() (net.Conn, error) {
 	var accepted int
 	var fail error
 	err := l.raw.Read(func(fd uintptr) bool {
@@ -68,11 +68,11 @@
 	return nc, errors.Join(err, f.Close())
 }
 
-func (l *passedListener) SetDeadline(t time.Time) error { return l.f.SetReadDeadline(t) }
+func (l *inheritedListener) SetDeadline(t time.Time) error { return l.f.SetReadDeadline(t) }
 
-func (l *passedListener) Addr() net.Addr { return l.addr }
+func (l *inheritedListener) Addr() net.Addr { return l.addr }
 
-func (l *passedListener) Close() error {
+func (l *inheritedListener) Close() error {
 	l.closed.Store(true)
 	return l.f.Close()
 }
--- a/internal/journal/fuzz_test.go
+++ b/internal/journal/fuzz_test.go
@@ -18,14 +18,14 @@
 		if m, err = j.Accept(m); err != nil {
 			f.Fatal(err)
 		}
-		j.Attempt(m, Send{At: m.Deadline, Zone: 1, List: 5, Life: 1})
+		j.Attempt(m, Attempt{At: m.Deadline, Zone: 1, ListRevision: 5, Incarnation: 1})
 		j.Failed(m, 0)
 		j.Ended(m, Ending{Failed: true})
 	}
 	if err := j.Close(); err != nil {
 		f.Fatal(err)
 	}
-	whole, err := os.ReadFile(filepath.Join(dir, journalName))
+	whole, err := os.ReadFile(filepath.Join(dir, journalFile))
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -37,7 +37,7 @@
 			t.Skip()
 		}
 		dir := t.TempDir()
-		path := filepath.Join(dir, journalName)
+		path := filepath.Join(dir, journalFile)
 		if err := os.WriteFile(path, raw, 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -48,16 +48,16 @@
 		if after, err := os.ReadFile(path); err != nil || !bytes.Equal(after, raw) {
 			t.Fatalf("reading has changed the file: %v", err)
 		}
-		if (got.Damage == nil) != (got.Bytes == int64(len(raw))) {
-			t.Fatalf("%d of %d bytes, damage %v", got.Bytes, len(raw), got.Damage)
+		if (got.Damage == nil) != (got.ValidBytes == int64(len(raw))) {
+			t.Fatalf("%d of %d bytes, damage %v", got.ValidBytes, len(raw), got.Damage)
 		}
 		j, err := Open(dir, 3)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer j.Close()
-		if len(j.Owed()) != len(got.Owed) {
-			t.Errorf("%d owed, and %d read", len(j.Owed()), len(got.Owed))
+		if len(j.Unsettled()) != len(got.Unsettled) {
+			t.Errorf("%d owed, and %d read", len(j.Unsettled()), len(got.Unsettled))
 		}
 	})
 }
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -16,13 +16,13 @@
 	"harrierramp/internal/testkit"
 )
 
-func openTest(t *testing.T, dir string, mb float64) *Journal {
+func openTestJournal(t *testing.T, dir string, mb float64) *Journal {
 	t.Helper()
 	j, err := Open(dir, mb)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { j.f.Close() })
+	t.Cleanup(func() { j.file.Close() })
 	return j
 }
 
@@ -45,23 +45,23 @@
 }
 
 // history writes something of every kind, and returns what is then live.
-func history(t *testing.T, j *Journal) map[uint64]*Message {
+func writeEveryRecordKind(t *testing.T, j *Journal) map[uint64]*Message {
 	t.Helper()
 	now := time.UnixMicro(time.Now().UnixMicro())
 	a, b := mustAccept(t, j, "a", []byte("body of a")), mustAccept(t, j, "b", nil)
 	c, d := mustAccept(t, j, "c", []byte{0, 255}), mustAccept(t, j, "d", []byte("d"))
-	j.add(attemptRecord(a.seq, Send{At: now, List: 7, Life: 2}))
-	j.add(attemptRecord(a.seq, Send{At: now.Add(time.Second), Zone: 2}))
-	j.add(outcomeRecord(recNotRun, a.seq, 0))
-	j.add(outcomeRecord(recFailed, a.seq, 1))
-	j.add(endedRecord(b.seq, Ending{After: 500 * time.Millisecond}))
-	j.add(endedRecord(c.seq, Ending{Failed: true}))
-	j.add(record(recOver, d.seq))
+	j.enqueue(attemptRecord(a.seq, Attempt{At: now, ListRevision: 7, Incarnation: 2}))
+	j.enqueue(attemptRecord(a.seq, Attempt{At: now.Add(time.Second), Zone: 2}))
+	j.enqueue(outcomeRecord(recNotExecuted, a.seq, 0))
+	j.enqueue(outcomeRecord(recFailed, a.seq, 1))
+	j.enqueue(endedRecord(b.seq, Ending{RetryAfter: 500 * time.Millisecond}))
+	j.enqueue(endedRecord(c.seq, Ending{Failed: true}))
+	j.enqueue(record(recSettled, d.seq))
 	mustFlush(t, j)
 	return j.live
 }
 
-func sameLive(t *testing.T, got, want map[uint64]*Message) {
+func requireSameLive(t *testing.T, got, want map[uint64]*Message) {
 	t.Helper()
 	if len(got) != len(want) {
 		t.Fatalf("%d live, want %d", len(got), len(want))
@@ -79,57 +79,57 @@
 	}
 }
 
-func TestJournalOutlastsItsProcess(t *testing.T) {
+func TestReplayRestoresLiveMessages(t *testing.T) {
 	dir := t.TempDir()
-	j := openTest(t, dir, 3)
-	want := history(t, j)
-	again := openTest(t, dir, 3)
-	sameLive(t, again.live, want)
-	if again.next != j.next || again.held != j.held {
-		t.Errorf("next %d, held %d; want %d, %d", again.next, again.held, j.next, j.held)
+	j := openTestJournal(t, dir, 3)
+	want := writeEveryRecordKind(t, j)
+	again := openTestJournal(t, dir, 3)
+	requireSameLive(t, again.live, want)
+	if again.nextSeq != j.nextSeq || again.liveBytes != j.liveBytes {
+		t.Errorf("next %d, held %d; want %d, %d", again.nextSeq, again.liveBytes, j.nextSeq, j.liveBytes)
 	}
 	if err := again.compact(); err != nil {
 		t.Fatal(err)
 	}
-	sameLive(t, openTest(t, dir, 3).live, want)
+	requireSameLive(t, openTestJournal(t, dir, 3).live, want)
 }
 
 // A kill tears the last record at any byte; all before it must be there, and what follows must be readable.
 func TestTornTail(t *testing.T) {
 	dir := t.TempDir()
-	history(t, openTest(t, dir, 3))
-	whole, err := os.ReadFile(filepath.Join(dir, journalName))
+	writeEveryRecordKind(t, openTestJournal(t, dir, 3))
+	whole, err := os.ReadFile(filepath.Join(dir, journalFile))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for cut := range whole {
 		dir := t.TempDir()
-		if err := os.WriteFile(filepath.Join(dir, journalName), whole[:cut], 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, journalFile), whole[:cut], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		j := openTest(t, dir, 3)
+		j := openTestJournal(t, dir, 3)
 		before := len(j.live)
 		mustAccept(t, j, "new", []byte("after the tear"))
 		mustFlush(t, j)
-		if again := openTest(t, dir, 3); len(again.live) != before+1 {
+		if again := openTestJournal(t, dir, 3); len(again.live) != before+1 {
 			t.Fatalf("cut at %d: %d live, want %d", cut, len(again.live), before+1)
 		}
 	}
 	for i := range whole { // a flipped byte ends the replay there, and is no panic
 		bad := bytes.Clone(whole)
 		bad[i] ^= 0x55
-		if err := os.WriteFile(filepath.Join(dir, journalName), bad, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, journalFile), bad, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		openTest(t, dir, 3)
+		openTestJournal(t, dir, 3)
 	}
 }
 
 // Over its share of the disk the node is taken for crashed: the old file, the new one and all.
-func TestDiskBudgetHoldsWithLargeBodies(t *testing.T) {
+func TestDiskBudgetWithLargeBodies(t *testing.T) {
 	dir := t.TempDir()
 	const mb = 1
-	j := openTest(t, dir, mb)
+	j := openTestJournal(t, dir, mb)
 	body := make([]byte, 64<<10)
 	var held []*Message
 	most, refused := int64(0), 0
@@ -138,61 +138,61 @@
 		switch {
 		case errors.Is(err, errDiskBudget):
 			refused++
-			j.add(record(recOver, held[0].seq))
+			j.enqueue(record(recSettled, held[0].seq))
 			held = held[1:]
 		case err != nil:
 			t.Fatal(err)
 		default:
 			held = append(held, p)
-			j.add(attemptRecord(p.seq, Send{At: time.Now()}))
+			j.enqueue(attemptRecord(p.seq, Attempt{At: time.Now()}))
 		}
 		live := int64(0) // what a compaction would write now, beside the file that is there
 		for _, p := range j.live {
-			live += int64(len(acceptedRecord(p))) + recordHead + 64
+			live += int64(len(acceptedRecord(p))) + recordHeaderBytes + 64
 		}
-		most = max(most, j.written+live)
+		most = max(most, j.fileBytes+live)
 		mustFlush(t, j)
 		info, err := os.Stat(j.path())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if info.Size() != j.written {
-			t.Fatalf("the file has %d bytes, the journal counts %d", info.Size(), j.written)
+		if info.Size() != j.fileBytes {
+			t.Fatalf("the file has %d bytes, the journal counts %d", info.Size(), j.fileBytes)
 		}
 	}
 	if refused == 0 || most > mb<<20 {
 		t.Errorf("refused %d, most on disk %d", refused, most)
 	}
-	if again := openTest(t, dir, mb); len(again.live) != len(held) {
+	if again := openTestJournal(t, dir, mb); len(again.live) != len(held) {
 		t.Errorf("%d live, want %d", len(again.live), len(held))
 	}
 }
 
-func TestCompactionDropsWhatIsOver(t *testing.T) {
-	j := openTest(t, t.TempDir(), 3)
+func TestCompactionDropsSettledMessages(t *testing.T) {
+	j := openTestJournal(t, t.TempDir(), 3)
 	body := make([]byte, 1000)
 	for i := range 5000 {
 		p := mustAccept(t, j, fmt.Sprint(i), body)
-		j.add(record(recOver, p.seq))
+		j.enqueue(record(recSettled, p.seq))
 		mustFlush(t, j)
 	}
-	if j.written > 2*minCompact || len(j.live) != 0 || j.held != 0 {
-		t.Errorf("%d bytes, %d live, %d held", j.written, len(j.live), j.held)
+	if j.fileBytes > 2*minCompactBytes || len(j.live) != 0 || j.liveBytes != 0 {
+		t.Errorf("%d bytes, %d live, %d held", j.fileBytes, len(j.live), j.liveBytes)
 	}
 }
 
 // A journal that can't be written must not lose what it has, nor take anything more on.
 func TestUnwritableJournal(t *testing.T) {
 	dir := t.TempDir()
-	j := openTest(t, dir, 3)
-	want := history(t, j)
+	j := openTestJournal(t, dir, 3)
+	want := writeEveryRecordKind(t, j)
 	full, err := os.OpenFile("/dev/full", os.O_RDWR, 0)
 	if err != nil {
 		t.Skip("no /dev/full here")
 	}
-	good := j.f
+	good := j.file
 	defer good.Close()
-	j.f = full
+	j.file = full
 	if err := os.Mkdir(j.path()+".new", 0o700); err != nil { // no compaction either
 		t.Fatal(err)
 	}
@@ -200,7 +200,7 @@
 	if err := j.Flush(); err == nil {
 		t.Fatal("the full disk took it")
 	}
-	j.add(record(recOver, p.seq)) // its client is refused
+	j.enqueue(record(recSettled, p.seq)) // its client is refused
 	if _, err := j.Accept(&Message{ID: "more"}); err == nil {
 		t.Error("taken on without a journal")
 	}
@@ -211,13 +211,13 @@
 		t.Fatal(err)
 	}
 	testkit.Eventually(t, "the journal is written again", func() bool { return j.Flush() == nil })
-	sameLive(t, openTest(t, dir, 3).live, want)
+	requireSameLive(t, openTestJournal(t, dir, 3).live, want)
 }
 
 // A new file that can't be made costs nothing while there is room to append to the old one.
-func TestAppendingGoesOnWhileCompactionFails(t *testing.T) {
+func TestAppendContinuesWhileCompactionFails(t *testing.T) {
 	dir := t.TempDir()
-	j := openTest(t, dir, 3)
+	j := openTestJournal(t, dir, 3)
 	if err := os.Mkdir(j.path()+".new", 0o700); err != nil { // no file can be opened there
 		t.Fatal(err)
 	}
@@ -226,10 +226,10 @@
 		p := mustAccept(t, j, fmt.Sprint("m", i), body)
 		mustFlush(t, j)
 		if j.Down() {
-			t.Fatalf("down after %d bytes of 3 MB", j.written)
+			t.Fatalf("down after %d bytes of 3 MB", j.fileBytes)
 		}
 		if i > 0 {
-			j.Over(p)
+			j.Settled(p)
 		}
 	}
 	mustFlush(t, j)
@@ -241,45 +241,45 @@
 // openCopy opens what stands in a folder's journal now, without what stands beside it.
 func openCopy(t *testing.T, dir string) *Journal {
 	t.Helper()
-	raw, err := os.ReadFile(filepath.Join(dir, journalName))
+	raw, err := os.ReadFile(filepath.Join(dir, journalFile))
 	if err != nil {
 		t.Fatal(err)
 	}
 	copied := t.TempDir()
-	if err := os.WriteFile(filepath.Join(copied, journalName), raw, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(copied, journalFile), raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return openTest(t, copied, 3)
+	return openTestJournal(t, copied, 3)
 }
 
 // What stands behind the last good record after a failed write is found by the next start until it is cut off.
-func TestAJournalSaysThatGivenUpRecordsMayBeFound(t *testing.T) {
+func TestStaleTailIsReported(t *testing.T) {
 	dir := t.TempDir()
-	j := openTest(t, dir, 3)
+	j := openTestJournal(t, dir, 3)
 	full, err := os.OpenFile("/dev/full", os.O_RDWR, 0) // neither written nor cut
 	if err != nil {
 		t.Skip("no /dev/full here")
 	}
-	good := j.f
-	j.f = full
+	good := j.file
+	j.file = full
 	if err := os.Mkdir(j.path()+".new", 0o700); err != nil {
 		t.Fatal(err)
 	}
 	mustAccept(t, j, "refused", nil)
-	if err := j.Flush(); err == nil || !j.Torn() {
-		t.Errorf("torn %v after %v", j.Torn(), err)
+	if err := j.Flush(); err == nil || !j.StaleTail() {
+		t.Errorf("torn %v after %v", j.StaleTail(), err)
 	}
-	j.f = good // it can be cut again, though no new file can be made
-	testkit.Eventually(t, "the end is cut off", func() bool { return j.Flush() != nil && !j.Torn() })
+	j.file = good // it can be cut again, though no new file can be made
+	testkit.Eventually(t, "the end is cut off", func() bool { return j.Flush() != nil && !j.StaleTail() })
 	if !j.Down() {
 		t.Error("it is up without its records")
 	}
 }
 
 // A file that can't be read to its end for a moment is not cut there.
-func TestAReadErrorIsNoEndOfTheJournal(t *testing.T) {
-	j := openTest(t, t.TempDir(), 3)
-	history(t, j)
+func TestReadErrorIsNotEndOfJournal(t *testing.T) {
+	j := openTestJournal(t, t.TempDir(), 3)
+	writeEveryRecordKind(t, j)
 	whole, err := os.ReadFile(j.path())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/journal/read.go
+++ b/internal/journal/read.go
@@ -10,8 +10,8 @@
 
 // Contents are what stands in a journal's file at one moment.
 type Contents struct {
-	Owed  []*Message // in the order in which they were taken on
-	Bytes int64      // of whole records
+	Unsettled  []*Message // in the order in which they were taken on
+	ValidBytes int64      // of whole records
 	// Damage is why reading ended before the end of the file, nil if it did not. Torn tells that the file ends inside
 	// its last record, as a kill leaves it or as it looks while a node writes; anything else is damage.
 	Damage error
@@ -20,7 +20,7 @@
 
 // Read reads the journal in a folder without changing anything, also while a node writes it.
 func Read(dir string) (Contents, error) {
-	f, err := os.Open(filepath.Join(dir, journalName))
+	f, err := os.Open(filepath.Join(dir, journalFile))
 	if err != nil {
 		return Contents{}, fmt.Errorf("journal: %w", err)
 	}
@@ -30,17 +30,17 @@
 
 // ReadFrom reads a journal's bytes.
 func ReadFrom(r io.Reader) (Contents, error) {
-	j := Journal{live: map[uint64]*Message{}, next: 1}
+	j := Journal{live: map[uint64]*Message{}, nextSeq: 1}
 	err := j.replay(r)
-	c := Contents{Owed: j.Owed(), Bytes: j.written}
+	c := Contents{Unsettled: j.Unsettled(), ValidBytes: j.fileBytes}
 	switch {
 	case errors.Is(err, io.EOF):
 	case errors.Is(err, io.ErrUnexpectedEOF):
-		c.Damage, c.Torn = fmt.Errorf("at byte %d: the file ends inside a record", j.written), true
-	case errors.Is(err, errDamaged):
-		c.Damage = fmt.Errorf("at byte %d: %w", j.written, err)
+		c.Damage, c.Torn = fmt.Errorf("at byte %d: the file ends inside a record", j.fileBytes), true
+	case errors.Is(err, errCorrupt):
+		c.Damage = fmt.Errorf("at byte %d: %w", j.fileBytes, err)
 	default:
-		return c, fmt.Errorf("journal: at byte %d: %w", j.written, err)
+		return c, fmt.Errorf("journal: at byte %d: %w", j.fileBytes, err)
 	}
 	return c, nil
 }
--- a/internal/journal/records.go
+++ b/internal/journal/records.go
@@ -10,13 +10,13 @@
 )
 
 func readRecord(r io.Reader) ([]byte, error) {
-	var head [recordHead]byte
+	var head [recordHeaderBytes]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		return nil, err
 	}
 	n := binary.LittleEndian.Uint32(head[:])
-	if n == 0 || n > maxRecord {
-		return nil, fmt.Errorf("%w: of impossible length", errDamaged)
+	if n == 0 || n > maxRecordBytes {
+		return nil, fmt.Errorf("%w: of impossible length", errCorrupt)
 	}
 	payload := make([]byte, n)
 	if _, err := io.ReadFull(r, payload); errors.Is(err, io.EOF) {
@@ -25,39 +25,39 @@
 		return nil, err
 	}
 	if crc32.ChecksumIEEE(payload) != binary.LittleEndian.Uint32(head[4:]) {
-		return nil, fmt.Errorf("%w: with a wrong checksum", errDamaged)
+		return nil, fmt.Errorf("%w: with a wrong checksum", errCorrupt)
 	}
 	return payload, nil
 }
 
 // fields reads the fields of a payload; bad is set when it is too short.
-type fields struct {
-	b   []byte
-	bad bool
+type payloadReader struct {
+	rest      []byte
+	malformed bool
 }
 
-func (f *fields) number() uint64 {
-	v, n := binary.Uvarint(f.b)
+func (f *payloadReader) uvarint() uint64 {
+	v, n := binary.Uvarint(f.rest)
 	if n <= 0 {
-		f.bad, f.b = true, nil
+		f.malformed, f.rest = true, nil
 		return 0
 	}
-	f.b = f.b[n:]
+	f.rest = f.rest[n:]
 	return v
 }
 
-func (f *fields) bytes() []byte {
-	n := f.number()
-	if n > uint64(len(f.b)) {
-		f.bad, f.b = true, nil
+func (f *payloadReader) bytes() []byte {
+	n := f.uvarint()
+	if n > uint64(len(f.rest)) {
+		f.malformed, f.rest = true, nil
 		return nil
 	}
-	v := f.b[:n]
-	f.b = f.b[n:]
+	v := f.rest[:n]
+	f.rest = f.rest[n:]
 	return v
 }
 
-func (f *fields) time() time.Time { return time.UnixMicro(int64(f.number())) }
+func (f *payloadReader) time() time.Time { return time.UnixMicro(int64(f.uvarint())) }
 
 func appendBytes(b, v []byte) []byte {
 	return append(binary.AppendUvarint(b, uint64(len(v))), v...)
@@ -83,12 +83,12 @@
 	return binary.AppendUvarint(b, uint64(p.Tenant+1))
 }
 
-func attemptRecord(seq uint64, s Send) []byte {
+func attemptRecord(seq uint64, s Attempt) []byte {
 	b := binary.AppendUvarint(appendTime(record(recAttempt, seq), s.At), uint64(s.Zone))
-	if s.Life == 0 {
+	if s.Incarnation == 0 {
 		return b
 	}
-	return binary.AppendUvarint(binary.AppendUvarint(b, uint64(s.List)), uint64(s.Life))
+	return binary.AppendUvarint(binary.AppendUvarint(b, uint64(s.ListRevision)), uint64(s.Incarnation))
 }
 
 // outcomeRecord is of recNotRun or recFailed.
@@ -102,5 +102,5 @@
 		failed = 1
 	}
 	b := binary.AppendUvarint(record(recEnded, seq), failed)
-	return binary.AppendUvarint(b, uint64(e.After/time.Millisecond))
+	return binary.AppendUvarint(b, uint64(e.RetryAfter/time.Millisecond))
 }
--- a/internal/journal/recovery.go
+++ b/internal/journal/recovery.go
@@ -14,7 +14,7 @@
 	if diskMB <= 0 {
 		diskMB = DefaultDiskMB
 	}
-	j := &Journal{dir: dir, budget: int64(diskMB*(1<<20)) - 16<<10, live: map[uint64]*Message{}, next: 1}
+	j := &Journal{dir: dir, budgetBytes: int64(diskMB*(1<<20)) - 16<<10, live: map[uint64]*Message{}, nextSeq: 1}
 	// A compaction that was cut short left its file; the old one is still whole.
 	if err := os.Remove(j.path() + ".new"); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("journal: %w", err)
@@ -23,16 +23,16 @@
 	if err != nil {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
-	j.f = f
+	j.file = f
 	switch err := j.replay(f); {
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF): // what a torn tail would have guarded was not done
-	case errors.Is(err, errDamaged):
-		j.Damage = fmt.Errorf("journal: at byte %d: %w", j.written, err)
+	case errors.Is(err, errCorrupt):
+		j.Damage = fmt.Errorf("journal: at byte %d: %w", j.fileBytes, err)
 	default: // what stands behind is not known, and may be owed
-		return nil, errors.Join(fmt.Errorf("journal: at byte %d: %w", j.written, err), f.Close())
+		return nil, errors.Join(fmt.Errorf("journal: at byte %d: %w", j.fileBytes, err), f.Close())
 	}
 	// Without a truncation a new file has to be written before anything is appended.
-	j.broken = j.rewind() != nil
+	j.needsRewrite = j.truncateTail() != nil
 	return j, nil
 }
 
@@ -45,69 +45,69 @@
 			return err
 		}
 		j.apply(payload)
-		j.written += int64(recordHead + len(payload))
+		j.fileBytes += int64(recordHeaderBytes + len(payload))
 	}
 }
 
 // apply brings what is live up to date with one record.
 func (j *Journal) apply(payload []byte) {
-	f := &fields{b: payload[1:]}
-	seq := f.number()
-	j.next = max(j.next, seq+1)
+	f := &payloadReader{rest: payload[1:]}
+	seq := f.uvarint()
+	j.nextSeq = max(j.nextSeq, seq+1)
 	p := j.live[seq]
 	if p == nil && payload[0] != recAccepted {
 		return
 	}
 	switch payload[0] {
 	case recAccepted:
-		p = &Message{seq: seq, ID: string(f.bytes()), Key: string(f.bytes()), Class: int(f.number()), Dest: int(f.number()),
+		p = &Message{seq: seq, ID: string(f.bytes()), Key: string(f.bytes()), Class: int(f.uvarint()), Dest: int(f.uvarint()),
 			Deadline: f.time(), Body: f.bytes(), Tenant: -1}
-		if len(f.b) > 0 { // not in journals of earlier builds
-			p.Tenant = int(f.number()) - 1
+		if len(f.rest) > 0 { // not in journals of earlier builds
+			p.Tenant = int(f.uvarint()) - 1
 		}
-		if !f.bad {
+		if !f.malformed {
 			j.live[seq] = p
-			j.held += p.size()
+			j.liveBytes += p.size()
 		}
 	case recAttempt:
-		s := Send{At: f.time(), Zone: int(f.number())}
-		if len(f.b) > 0 { // not in journals of earlier builds, which leave it unread
-			s.List, s.Life = int64(f.number()), uint32(f.number())
+		s := Attempt{At: f.time(), Zone: int(f.uvarint())}
+		if len(f.rest) > 0 { // not in journals of earlier builds, which leave it unread
+			s.ListRevision, s.Incarnation = int64(f.uvarint()), uint32(f.uvarint())
 		}
-		if !f.bad {
-			p.Sends = append(p.Sends, s)
+		if !f.malformed {
+			p.Attempts = append(p.Attempts, s)
 		}
-	case recNotRun:
-		if n := f.number(); !f.bad && n < uint64(len(p.Sends)) {
-			p.Sends[n].NotRun, p.Sends[n].Failed = true, true
+	case recNotExecuted:
+		if n := f.uvarint(); !f.malformed && n < uint64(len(p.Attempts)) {
+			p.Attempts[n].NotRun, p.Attempts[n].Failed = true, true
 		}
 	case recFailed:
-		if n := f.number(); !f.bad && n < uint64(len(p.Sends)) {
-			p.Sends[n].Failed = true
+		if n := f.uvarint(); !f.malformed && n < uint64(len(p.Attempts)) {
+			p.Attempts[n].Failed = true
 		}
 	case recEnded:
-		e := &Ending{Failed: f.number() == 1, After: time.Duration(f.number()) * time.Millisecond}
-		if !f.bad {
-			j.held -= p.size()
-			p.Ended, p.Body, p.Sends = e, nil, nil // only the notice is owed
-			j.held += p.size()
+		e := &Ending{Failed: f.uvarint() == 1, RetryAfter: time.Duration(f.uvarint()) * time.Millisecond}
+		if !f.malformed {
+			j.liveBytes -= p.size()
+			p.Ended, p.Body, p.Attempts = e, nil, nil // only the notice is owed
+			j.liveBytes += p.size()
 		}
-	case recOver:
-		j.held -= p.size()
+	case recSettled:
+		j.liveBytes -= p.size()
 		delete(j.live, seq)
 	}
 }
 
 // giveUp drops what is queued: only a new file can hold what is live.
-func (j *Journal) giveUp() { j.pending, j.broken = nil, true }
+func (j *Journal) discardPending() { j.pending, j.needsRewrite = nil, true }
 
 // Restamp changes the times of all that is live, and writes it to a new file. After an error the times have changed here
 // alone, and it is to be called again.
 func (j *Journal) Restamp(change func(time.Time) time.Time) error {
 	for _, p := range j.live {
 		p.Deadline = change(p.Deadline)
-		for i := range p.Sends {
-			p.Sends[i].At = change(p.Sends[i].At)
+		for i := range p.Attempts {
+			p.Attempts[i].At = change(p.Attempts[i].At)
 		}
 	}
 	if len(j.live) == 0 {
@@ -117,29 +117,29 @@
 }
 
 // recover writes the new file that a broken journal needs. What has been queued meanwhile is live, and so in it.
-func (j *Journal) recover() error {
-	if j.torn && j.rewind() == nil {
-		j.torn = false
+func (j *Journal) rewrite() error {
+	if j.staleTail && j.truncateTail() == nil {
+		j.staleTail = false
 	}
 	j.pending = nil
 	return j.compact()
 }
 
 // rewind cuts off whatever stands behind the last whole record.
-func (j *Journal) rewind() error {
-	return j.f.Truncate(j.written)
+func (j *Journal) truncateTail() error {
+	return j.file.Truncate(j.fileBytes)
 }
 
 // compact writes what is live, queued records included, to a new file that takes the old one's place. After an error the
 // old one stands, and compact fails at once for CompactPause: a full disk should not have all that is live written to it
 // again and again.
 func (j *Journal) compact() (err error) {
-	if time.Now().Before(j.retryAt) {
-		return errJournalDown
+	if time.Now().Before(j.compactNotBefore) {
+		return errUnwritable
 	}
 	defer func() {
 		if err != nil {
-			j.retryAt = time.Now().Add(CompactPause)
+			j.compactNotBefore = time.Now().Add(CompactRetryDelay)
 		}
 	}()
 	f, err := os.OpenFile(j.path()+".new", os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
@@ -158,9 +158,9 @@
 	if err := os.Rename(f.Name(), j.path()); err != nil {
 		return err
 	}
-	old := j.f
-	j.f, j.written, j.pending, j.broken, j.torn = f, size, nil, false, false // a large buffer is not kept
-	old.Close()                                                              // nothing of the old file is needed any more
+	old := j.file
+	j.file, j.fileBytes, j.pending, j.needsRewrite, j.staleTail = f, size, nil, false, false // a large buffer is not kept
+	old.Close()                                                                              // nothing of the old file is needed any more
 	return nil
 }
 
@@ -173,11 +173,11 @@
 	}
 	for _, p := range j.live {
 		put(acceptedRecord(p))
-		for i, s := range p.Sends {
+		for i, s := range p.Attempts {
 			put(attemptRecord(p.seq, s))
 			switch {
 			case s.NotRun:
-				put(outcomeRecord(recNotRun, p.seq, i))
+				put(outcomeRecord(recNotExecuted, p.seq, i))
 			case s.Failed:
 				put(outcomeRecord(recFailed, p.seq, i))
 			}
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -130,7 +130,7 @@
 		queues[i] = make(chan due, MaxRate)
 		for range c.Conns {
 			workers.Go(func() {
-				conn := client.New(addr, client.Patience)
+				conn := client.New(addr, client.AnswerTimeout)
 				defer conn.Close()
 				for d := range queues[i] {
 					if ctx.Err() != nil {
@@ -140,7 +140,7 @@
 					took := time.Since(d.at)
 					mu.Lock()
 					res.Classes[d.class].note(a, wait, took)
-					if a == client.Taken {
+					if a == client.Accepted {
 						res.Taken = append(res.Taken, d.m.ID)
 					}
 					mu.Unlock()
@@ -179,12 +179,12 @@
 				}
 			}
 			id := fmt.Sprintf("load-%x-%08x", c.Seed, sent)
-			d := due{at, client.Message{ID: id, Key: id, Class: class.Name, Dest: dest, Life: class.Life, Body: body}, class.Name}
+			d := due{at, client.Message{ID: id, Key: id, Class: class.Name, Dest: dest, TTL: class.Life, Body: body}, class.Name}
 			select {
 			case queues[r.IntN(len(queues))] <- d:
 			default: // a hundred thousand wait: the nodes are gone
 				mu.Lock()
-				res.Classes[class.Name].note(client.Unheard, 0, longest)
+				res.Classes[class.Name].note(client.NoAnswer, 0, longest)
 				mu.Unlock()
 			}
 			sent++
@@ -205,7 +205,7 @@
 func (r *ClassResult) note(a client.Answer, wait, took time.Duration) {
 	r.Sent++
 	switch a {
-	case client.Taken:
+	case client.Accepted:
 		r.Taken++
 	case client.Busy:
 		r.Busy++
--- a/internal/lab/loopback/node.go
+++ b/internal/lab/loopback/node.go
@@ -62,7 +62,7 @@
 		},
 	}
 	for range maxClients {
-		x.clients <- client.New(x.addr, client.Patience)
+		x.clients <- client.New(x.addr, client.AnswerTimeout)
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /registry/instances", x.instances)
@@ -253,12 +253,12 @@
 		select {
 		case c := <-x.clients:
 			a, after, _ := c.Enqueue(client.Message{
-				ID: m.ID, Class: className(m.Class), Tenant: tenantName(m.Tenant), Key: m.ID, Dest: m.Dest, Life: m.Left, Body: []byte("body of " + m.ID),
+				ID: m.ID, Class: className(m.Class), Tenant: tenantName(m.Tenant), Key: m.ID, Dest: m.Dest, TTL: m.Left, Body: []byte("body of " + m.ID),
 			})
 			x.clients <- c
 			wait = after
 			switch a {
-			case client.Taken:
+			case client.Accepted:
 				told = model.Taken
 			case client.Busy:
 				told = model.Busy
--- a/internal/lab/stage/judge_test.go
+++ b/internal/lab/stage/judge_test.go
@@ -159,16 +159,16 @@
 		t.Fatal(err)
 	}
 	for name, c := range map[string]struct {
-		does []partner.Seen
+		does []partner.Event
 		want string
 	}{
-		"as it should": {[]partner.Seen{{What: partner.Called, ID: "m"}, {What: partner.Ran, ID: "m"}}, ""},
-		"refuses, then is called again": {[]partner.Seen{
-			{What: partner.Called, ID: "m"}, {What: partner.Refused, ID: "m"}, {What: partner.Called, ID: "m"}, {What: partner.Ran, ID: "m"}}, ""},
-		"runs one call twice":        {[]partner.Seen{{What: partner.Called, ID: "m"}, {What: partner.Ran, ID: "m"}, {What: partner.Ran, ID: "m"}}, "without a call"},
-		"runs what it has refused":   {[]partner.Seen{{What: partner.Called, ID: "m"}, {What: partner.Refused, ID: "m"}, {What: partner.Ran, ID: "m"}}, "without a call"},
-		"runs what nobody handed in": {[]partner.Seen{{What: partner.Ran, ID: "x"}}, "nobody has handed in"},
-		"runs what was not called":   {[]partner.Seen{{What: partner.Ran, ID: "m"}}, "without a call"},
+		"as it should": {[]partner.Event{{Type: partner.CallReceived, MessageID: "m"}, {Type: partner.CallExecuted, MessageID: "m"}}, ""},
+		"refuses, then is called again": {[]partner.Event{
+			{Type: partner.CallReceived, MessageID: "m"}, {Type: partner.CallRefused, MessageID: "m"}, {Type: partner.CallReceived, MessageID: "m"}, {Type: partner.CallExecuted, MessageID: "m"}}, ""},
+		"runs one call twice":        {[]partner.Event{{Type: partner.CallReceived, MessageID: "m"}, {Type: partner.CallExecuted, MessageID: "m"}, {Type: partner.CallExecuted, MessageID: "m"}}, "without a call"},
+		"runs what it has refused":   {[]partner.Event{{Type: partner.CallReceived, MessageID: "m"}, {Type: partner.CallRefused, MessageID: "m"}, {Type: partner.CallExecuted, MessageID: "m"}}, "without a call"},
+		"runs what nobody handed in": {[]partner.Event{{Type: partner.CallExecuted, MessageID: "x"}}, "nobody has handed in"},
+		"runs what was not called":   {[]partner.Event{{Type: partner.CallExecuted, MessageID: "m"}}, "without a call"},
 	} {
 		l := newLedger(&s, day, time.Now())
 		l.started(0)
@@ -176,7 +176,7 @@
 		l.hand(m)
 		l.answered(m, model.Taken, true)
 		for _, e := range c.does {
-			e.Endpoint, e.From = "p0-0", "127.0.0.1:1"
+			e.Endpoint, e.RemoteAddr = "p0-0", "127.0.0.1:1"
 			l.partner(0, e)
 		}
 		broken := strings.Join(l.report(nil).Broken, "\n")
--- a/internal/lab/stage/ledger.go
+++ b/internal/lab/stage/ledger.go
@@ -352,7 +352,7 @@
 }
 
 // partner takes what partners see. (partner.Config.Seen)
-func (l *ledger) partner(node int, s partner.Seen) {
+func (l *ledger) partner(node int, s partner.Event) {
 	at := l.now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -362,12 +362,12 @@
 		return
 	}
 	e, n := &l.endpoints[i], l.node(node)
-	if n == nil && s.What != partner.Fell {
+	if n == nil && s.Type != partner.Overloaded {
 		l.strange++
 		return
 	}
-	switch s.What {
-	case partner.Connected:
+	switch s.Type {
+	case partner.ConnectionOpened:
 		b.Conns++
 		e.conns++
 		e.open++
@@ -378,18 +378,18 @@
 		if at > l.script.For.Duration()*2/3 {
 			e.mostLast = max(e.mostLast, e.open)
 		}
-	case partner.Closed:
+	case partner.ConnectionClosed:
 		e.open--
-	case partner.HungUp:
+	case partner.ConnectionRejected:
 		b.HungUp++
 		e.hungUp++
-	case partner.Fell:
+	case partner.Overloaded:
 		e.fell++
-	case partner.Called:
+	case partner.CallReceived:
 		b.Calls++
 		e.calls++
 		e.load = max(e.load, s.Load)
-		by, marked := readRests(node, s.Header.Get(egress.RestsHeader))
+		by, marked := readRests(node, s.Header.Get(egress.DecisionBasisHeader))
 		if l.script.Node.Audit && !marked {
 			l.unmarked++
 		}
@@ -403,11 +403,11 @@
 			e.lastLate = at - e.withdrawn
 		}
 		l.called(node, e, s, at)
-	case partner.Refused:
+	case partner.CallRefused:
 		b.Refused++
 		e.refused++
 		l.ended(node, e, s, at, choice.Rejected)
-	case partner.Ran:
+	case partner.CallExecuted:
 		b.Ran++
 		if n.delivered < 0 {
 			n.delivered = at - n.started
@@ -434,24 +434,24 @@
 }
 
 // called notes the beginning of a call. The lock is held.
-func (l *ledger) called(node int, e *endpointSeen, s partner.Seen, at time.Duration) {
-	m := l.byID[s.ID]
+func (l *ledger) called(node int, e *endpointSeen, s partner.Event, at time.Duration) {
+	m := l.byID[s.MessageID]
 	if m == nil {
-		l.breaks("strange", "%s is called by node %d for %q, which nobody has handed in", e.id, node, s.ID)
+		l.breaks("strange", "%s is called by node %d for %q, which nobody has handed in", e.id, node, s.MessageID)
 		return
 	}
-	m.tell(at, "%s called for %s", e.id, s.ID)
-	if m.tryID != s.ID {
+	m.tell(at, "%s called for %s", e.id, s.MessageID)
+	if m.tryID != s.MessageID {
 		return // an earlier try, which its client has been told is over
 	}
 	for _, o := range m.calls {
 		if !o.ended && at-o.began > copySlack {
-			l.breaks("copies", "%s is called for %s while its call at %s is out since %v", e.id, s.ID, o.endpoint, at-o.began)
+			l.breaks("copies", "%s is called for %s while its call at %s is out since %v", e.id, s.MessageID, o.endpoint, at-o.began)
 		}
 	}
-	c := &call{endpoint: e.id, from: s.From, began: at, attempt: len(m.calls)}
+	c := &call{endpoint: e.id, from: s.RemoteAddr, began: at, attempt: len(m.calls)}
 	m.calls = append(m.calls, c)
-	ev := model.Event{At: at, Node: node, Msg: s.ID, First: m.id, Class: m.class, Dest: e.dest, Endpoint: e.id, Attempt: c.attempt, Wrote: at}
+	ev := model.Event{At: at, Node: node, Msg: s.MessageID, First: m.id, Class: m.class, Dest: e.dest, Endpoint: e.id, Attempt: c.attempt, Wrote: at}
 	ev.What = model.Sent
 	l.observe(ev)
 	ev.What = model.Began
@@ -459,26 +459,26 @@
 }
 
 // ended notes the end of a call at its partner. The lock is held.
-func (l *ledger) ended(node int, e *endpointSeen, s partner.Seen, at time.Duration, o choice.Outcome) {
-	m := l.byID[s.ID]
+func (l *ledger) ended(node int, e *endpointSeen, s partner.Event, at time.Duration, o choice.Outcome) {
+	m := l.byID[s.MessageID]
 	if m == nil {
 		if o == choice.Pass {
-			l.breaks("strange", "%s runs %q, which nobody has handed in", e.id, s.ID)
+			l.breaks("strange", "%s runs %q, which nobody has handed in", e.id, s.MessageID)
 		}
 		return
 	}
-	m.tell(at, "%s ends %s with %d", e.id, s.ID, o)
-	i := slices.IndexFunc(m.calls, func(c *call) bool { return c.from == s.From && c.endpoint == e.id && !c.ended })
-	ev := model.Event{At: at, Node: node, Msg: s.ID, First: m.id, Class: m.class, Dest: e.dest, Endpoint: e.id, Outcome: o}
-	if i < 0 && s.ID == m.tryID && o == choice.Pass {
-		l.breaks("strange", "%s runs %s without a call of it", e.id, s.ID)
+	m.tell(at, "%s ends %s with %d", e.id, s.MessageID, o)
+	i := slices.IndexFunc(m.calls, func(c *call) bool { return c.from == s.RemoteAddr && c.endpoint == e.id && !c.ended })
+	ev := model.Event{At: at, Node: node, Msg: s.MessageID, First: m.id, Class: m.class, Dest: e.dest, Endpoint: e.id, Outcome: o}
+	if i < 0 && s.MessageID == m.tryID && o == choice.Pass {
+		l.breaks("strange", "%s runs %s without a call of it", e.id, s.MessageID)
 	}
 	if i >= 0 {
 		m.calls[i].ended = true
 		ev.Attempt = i
 	}
 	if o == choice.Pass {
-		if s.ID == m.tryID {
+		if s.MessageID == m.tryID {
 			m.ranNow++
 		}
 		if m.ran++; m.ran == 1 {
--- a/internal/lab/stage/play.go
+++ b/internal/lab/stage/play.go
@@ -342,7 +342,7 @@
 	rng := rand.New(rand.NewPCG(st.script.Seed, uint64(n)+100))
 	clients := make(chan *client.Client, clientsANode)
 	for range clientsANode {
-		clients <- client.New(st.Addr(n), client.Patience)
+		clients <- client.New(st.Addr(n), client.AnswerTimeout)
 	}
 	var hands sync.WaitGroup
 	defer func() {
@@ -407,7 +407,7 @@
 				m.next = false
 			}
 			told, wait, _ = c.Enqueue(client.Message{
-				ID: m.tryID, Class: classNames[m.class], Tenant: "t", Dest: m.dest, Life: left, Body: []byte("body of " + m.id),
+				ID: m.tryID, Class: classNames[m.class], Tenant: "t", Dest: m.dest, TTL: left, Body: []byte("body of " + m.id),
 			})
 			clients <- c
 		case <-st.ctx.Done():
@@ -416,7 +416,7 @@
 		wait = max(wait, leastWait)
 		wait += time.Duration(rng.Int64N(int64(wait)/4 + 1))
 		switch told {
-		case client.Taken:
+		case client.Accepted:
 			st.ledger.answered(m, model.Taken, true)
 			return
 		case client.Failed:
@@ -426,7 +426,7 @@
 			again = st.ledger.now()+wait < m.until
 			m.next = true
 			st.ledger.answered(m, model.Busy, !again)
-		case client.Unheard:
+		case client.NoAnswer:
 			again = m.class == classSafe // the other kind may have been taken on
 			st.ledger.answered(m, model.Nothing, !again)
 		}
--- a/internal/lab/stage/stage.go
+++ b/internal/lab/stage/stage.go
@@ -163,12 +163,12 @@
 	p := relay.Party{Kind: relay.Partner, N: len(st.partners)}
 	own := process.At(st.block.Own(p), process.CallPort)
 	cfg := partner.Config{
-		ID: endpointID(dest, n), Rate: spec.Rate, Burst: spec.Burst, Latency: spec.Latency.Duration(), Listen: own, Conns: spec.Connections,
+		ID: endpointID(dest, n), Rate: spec.Rate, Burst: spec.Burst, Latency: spec.Latency.Duration(), Listen: own, MaxConns: spec.Connections,
 	}
-	cfg.Seen = func(s partner.Seen) { st.ledger.partner(st.nodeOf(s.From), s) }
+	cfg.OnEvent = func(s partner.Event) { st.ledger.partner(st.nodeOf(s.RemoteAddr), s) }
 	if spec.Cold {
 		c := st.ledger.day.Settings
-		cfg.Cold = partner.Cold{From: c.ColdFrom, Multiple: c.FallMultiple, Within: c.WarmWithin, Fall: c.Fall, DownFor: 2 * time.Second}
+		cfg.ColdStart = partner.ColdStart{InitialShare: c.ColdFrom, OverloadFactor: c.FallMultiple, WarmUpTime: c.WarmWithin, OverloadWindow: c.Fall, Downtime: 2 * time.Second}
 	}
 	one, err := partner.Start(cfg, shared)
 	if err != nil {
@@ -219,7 +219,7 @@
 			<-before
 		}
 		st.ledger.withdrew(x.instance.ID, false)
-		partner.Lease(ctx, x.client, servers, x.instance)
+		partner.KeepRegistered(ctx, x.client, servers, x.instance)
 		st.ledger.withdrew(x.instance.ID, true)
 		x.client.CloseIdleConnections()
 	})
@@ -310,7 +310,7 @@
 }
 
 // Shut makes a partner refuse every call, or take them again, cold.
-func (st *Stage) Shut(n int, shut bool) { st.partners[n].p.Shut(shut) }
+func (st *Stage) Shut(n int, shut bool) { st.partners[n].p.SetRefusing(shut) }
 
 // Addr is where clients reach a node, and Door where operators do.
 func (st *Stage) Addr(n int) string {
--- a/internal/listwatch/backoff_test.go
+++ b/internal/listwatch/backoff_test.go
@@ -22,7 +22,7 @@
 	counts := make([]int, length*10)
 	for range fleet {
 		pause := pauses()
-		if pause.Last == 0 { // all ask at once, and hear
+		if pause.Max == 0 { // all ask at once, and hear
 			counts[0]++
 			continue
 		}
--- a/internal/listwatch/failover_test.go
+++ b/internal/listwatch/failover_test.go
@@ -268,7 +268,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
 	w := Watcher{
-		Log: slog.New(slog.DiscardHandler), Client: &http.Client{}, Servers: at, Backoff: backoff.Backoff{First: time.Hour, Last: time.Hour},
+		Log: slog.New(slog.DiscardHandler), Client: &http.Client{}, Servers: at, Backoff: backoff.Backoff{Initial: time.Hour, Max: time.Hour},
 		OnActivity: func() {}, OnServerChange: func() { at.Set([]string{b.srv.Listener.Addr().String()}) }, OnList: func(List) { cancel() },
 	}
 	w.Run(ctx, 0)
--- a/internal/listwatch/watcher.go
+++ b/internal/listwatch/watcher.go
@@ -120,15 +120,15 @@
 
 // AgentPauses are the pauses between asks of an agent, to whom they are no work.
 func AgentBackoff() backoff.Backoff {
-	return backoff.Backoff{First: backoff.First, Last: maxAgentBackoff}
+	return backoff.Backoff{Initial: backoff.InitialDelay, Max: maxAgentBackoff}
 }
 
 // AskPauses are those between asks where discovery has to be asked. Every ask is work for it, and one that it can't take in
 // fails late: a whole fleet that asks again within a second or two keeps it from answering anybody. So the pauses grow
 // with the fleet, up to askPause.
 func DiscoveryBackoff(fleet int) backoff.Backoff {
-	first := min(max(backoff.First, time.Duration(fleet)*retrySpacing), maxDiscoveryBackoff)
-	return backoff.Backoff{First: first, Last: maxDiscoveryBackoff}
+	first := min(max(backoff.InitialDelay, time.Duration(fleet)*retrySpacing), maxDiscoveryBackoff)
+	return backoff.Backoff{Initial: first, Max: maxDiscoveryBackoff}
 }
 
 // Watcher follows the list.
--- a/internal/node/acts.go
+++ b/internal/node/acts.go
@@ -54,11 +54,11 @@
 		return
 	}
 	e := auditlog.CallEnd{Seq: seq, Outcome: auditlog.OutcomeUnsent}
-	if !r.Wrote.IsZero() {
-		if e.Outcome = auditlog.OutcomeUnknown; r.Heard {
+	if !r.WriteEnd.IsZero() {
+		if e.Outcome = auditlog.OutcomeUnknown; r.ResponseRead {
 			e.Outcome = auditlog.OutcomeAnswered
 		}
-		e.WriteStartMS, e.WriteTookMS = a.wall(r.Writing), r.Wrote.Sub(r.Writing).Milliseconds()
+		e.WriteStartMS, e.WriteTookMS = a.wall(r.WriteStart), r.WriteEnd.Sub(r.WriteStart).Milliseconds()
 	}
 	a.line.Ends = append(a.line.Ends, e)
 }
--- a/internal/node/clockstep_test.go
+++ b/internal/node/clockstep_test.go
@@ -18,23 +18,23 @@
 			journal: openJournalAt(t, state), messages: map[string]*journal.Message{}, dests: map[int]bool{7: true}, start: began,
 			wallClock: wallClock{began: began}, log: slog.New(slog.DiscardHandler),
 		}
-		if _, ok := n.accept(arrival{Request: ingress.Request{ID: "a", Tenant: -1, Dest: 7, Life: 50 * time.Second, Came: began}}); !ok {
+		if _, ok := n.accept(arrival{Request: ingress.Request{ID: "a", Tenant: -1, Dest: 7, TTL: 50 * time.Second, ReceivedAt: began}}); !ok {
 			t.Fatal("not taken on")
 		}
-		n.journal.Attempt(n.messages["a"], journal.Send{At: began})
+		n.journal.Attempt(n.messages["a"], journal.Attempt{At: began})
 		flushJournal(t, n.journal)
-		deadline, sent := n.at(n.messages["a"].Deadline), n.at(n.messages["a"].Sends[0].At)
+		deadline, sent := n.at(n.messages["a"].Deadline), n.at(n.messages["a"].Attempts[0].At)
 
 		now := testkit.StepWallClock(time.Now(), step)
 		n.restamp(now)
 		if got := n.at(n.messages["a"].Deadline); (got - deadline).Abs() > time.Millisecond {
 			t.Errorf("%v: its time is %v later", step, got-deadline)
 		}
-		found := openJournalAt(t, state).Owed()[0]
+		found := openJournalAt(t, state).Unsettled()[0]
 		if left := found.Deadline.Sub(now.Round(0)); (left - 50*time.Second).Abs() > time.Second {
 			t.Errorf("%v: the next process finds %v left of 50 s", step, left)
 		}
-		if got := found.Sends[0].At.Sub(found.Deadline) - (sent - deadline); got.Abs() > time.Millisecond {
+		if got := found.Attempts[0].At.Sub(found.Deadline) - (sent - deadline); got.Abs() > time.Millisecond {
 			t.Errorf("%v: its attempt is %v later", step, got)
 		}
 		if n.wallClock.stepped(now) != 0 {
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -42,8 +42,8 @@
 		}
 		if e == nil || e.Addr != m.Addr {
 			n.shut(e)
-			e = &egress.Endpoint{ID: m.ID, Addr: m.Addr, Zone: entries[i].Zone, Wait: n.waitOf(entries[i])}
-			e.Out.Store(n.orders.out[m.ID])
+			e = &egress.Endpoint{ID: m.ID, Addr: m.Addr, Zone: entries[i].Zone, Cooldown: n.waitOf(entries[i])}
+			e.Disabled.Store(n.orders.out[m.ID])
 			n.eps[m.ID] = e
 		}
 	}
@@ -57,19 +57,19 @@
 
 func (n *Node) shut(e *egress.Endpoint) {
 	if e != nil {
-		e.Shut.Store(true)
+		e.Withdrawn.Store(true)
 		delete(n.eps, e.ID)
-		n.pool.HangUp(e.ID)
+		n.pool.CloseIdle(e.ID)
 	}
 }
 
 // waitOf is where the waits are kept that bind an endpoint: its own if it is a route apart.
-func (n *Node) waitOf(e choice.Entry) *egress.Wait {
+func (n *Node) waitOf(e choice.Entry) *egress.Cooldown {
 	if kinds := n.cfg.Settings.Kinds; e.Kind >= 0 && e.Kind < len(kinds) && kinds[e.Kind].Apart {
-		return new(egress.Wait)
+		return new(egress.Cooldown)
 	}
 	if n.waits[e.Dest] == nil {
-		n.waits[e.Dest] = new(egress.Wait)
+		n.waits[e.Dest] = new(egress.Cooldown)
 	}
 	return n.waits[e.Dest]
 }
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -75,7 +75,7 @@
 	if n.journal.Damage != nil {
 		n.log.Error("journal_damaged", "err", n.journal.Damage)
 	}
-	n.journal.Appended = n.figures.ObserveJournalAppend
+	n.journal.OnAppend = n.figures.ObserveJournalAppend
 	before := n.orders
 	err = n.patiently(ctx, func() (err error) {
 		if n.orders, err = readOrders(n.cfg.StateDir); err == nil && !c.Upgrade {
@@ -143,7 +143,7 @@
 
 // replayed makes the events of what the journal says is still owed, in the order in which it was taken on.
 func (n *Node) replayed(c handover.Claim, unheard []called) (events []choice.Event) {
-	for _, p := range n.journal.Owed() {
+	for _, p := range n.journal.Unsettled() {
 		n.messages[p.ID] = p
 		if p.Ended != nil {
 			n.owed = append(n.owed, outbox.NewNotice(p))
@@ -176,14 +176,14 @@
 		}
 	}
 	resumed, untried := 0, 0
-	for _, p := range n.journal.Owed() {
+	for _, p := range n.journal.Unsettled() {
 		if p.Ended == nil && !carried[p.ID] {
 			events = append(events, n.resumed(p))
 			resumed++
-			if len(p.Sends) == 0 {
+			if len(p.Attempts) == 0 {
 				untried++
 			}
-			n.log.Debug("message_found", "msg_id", p.ID, "class", p.Class, "dest", p.Dest, "sends", len(p.Sends), "left", time.Until(p.Deadline))
+			n.log.Debug("message_found", "msg_id", p.ID, "class", p.Class, "dest", p.Dest, "sends", len(p.Attempts), "left", time.Until(p.Deadline))
 		}
 	}
 	if len(n.messages) > 0 {
@@ -250,10 +250,10 @@
 func (n *Node) remoteEnded(e handover.EndedCall) called {
 	at := n.eps[e.Endpoint]
 	if at == nil {
-		at = &egress.Endpoint{ID: e.Endpoint, Wait: new(egress.Wait)}
+		at = &egress.Endpoint{ID: e.Endpoint, Cooldown: new(egress.Cooldown)}
 	}
 	return called{attempt{e.ID, e.N}, at, egress.Result{
-		Outcome: e.Outcome, Wait: e.Wait, NoSlot: e.NoSlot, Closed: e.Closed, Reused: e.Reused, Report: e.Report,
+		Outcome: e.Outcome, RetryAfter: e.Wait, NoSlot: e.NoSlot, MessageDone: e.Closed, Reused: e.Reused, Report: e.Report,
 	}, e.Took}
 }
 
@@ -268,7 +268,7 @@
 }
 
 // moveClient passes a client's connection on.
-func moveClient(l *handover.Link, nc net.Conn, m ingress.Moved) error {
+func moveClient(l *handover.Link, nc net.Conn, m ingress.ConnHandover) error {
 	tcp, ok := nc.(*net.TCPConn)
 	if !ok {
 		return fmt.Errorf("handover: a connection of type %T", nc)
--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -16,8 +16,8 @@
 
 // resumed tells the module of a message's past. An attempt that is not proven not to have run may have.
 func (n *Node) resumed(p *journal.Message) choice.Resumed {
-	r := choice.Resumed{Arrived: n.arrived(p, p.Deadline), Attempts: len(p.Sends)}
-	for _, s := range p.Sends {
+	r := choice.Resumed{Arrived: n.arrived(p, p.Deadline), Attempts: len(p.Attempts)}
+	for _, s := range p.Attempts {
 		r.Failed = r.Failed || s.Failed
 		if !s.NotRun && !r.Touched {
 			r.Touched, r.MayRun, r.Zone = true, n.at(s.At), s.Zone
@@ -36,7 +36,7 @@
 // refusal waits until it can't: by then the client has most likely gone without having heard anything.
 func (n *Node) refuseGivenUp(a arrival) {
 	refusal := clientAnswer{a, ingress.Answer{Refused: true}}
-	if n.journal.Torn() {
+	if n.journal.StaleTail() {
 		n.guarded.answers = append(n.guarded.answers, refusal)
 		return
 	}
@@ -58,26 +58,26 @@
 		return ingress.Answer{}, false // taken on before: handed in again it has no second effect
 	case n.ward.out() || n.unfit:
 		n.figures.CountShed(a.Class)
-		return ingress.Answer{Refused: true, After: comeLater()}, false
+		return ingress.Answer{Refused: true, RetryAfter: comeLater()}, false
 	case !n.dests[a.Dest] && n.cold != nil && !n.cold.Whole(): // the list that is awaited may name it
 		n.figures.CountShed(a.Class)
-		return ingress.Answer{Refused: true, After: n.cold.Come(rand.Float64())}, false
+		return ingress.Answer{Refused: true, RetryAfter: n.cold.Come(rand.Float64())}, false
 	case !n.dests[a.Dest]:
 		n.figures.CountFailed(a.Class)
-		return ingress.Answer{Failed: "unknown destination"}, false
+		return ingress.Answer{ErrorText: "unknown destination"}, false
 	case n.cfg.Settings.MaxOpen > 0 && n.held >= n.cfg.Settings.MaxOpen:
 		n.figures.CountShed(a.Class)
 		return ingress.Answer{Refused: true}, false
 	}
 	p := &journal.Message{
-		ID: a.ID, Key: a.Key, Class: a.Class, Tenant: a.Tenant, Dest: a.Dest, Body: a.Body, Deadline: a.Came.Add(a.Life),
+		ID: a.ID, Key: a.Key, Class: a.Class, Tenant: a.Tenant, Dest: a.Dest, Body: a.Body, Deadline: a.ReceivedAt.Add(a.TTL),
 	}
 	p, err := n.journal.Accept(p)
 	if err != nil {
 		n.figures.CountShed(a.Class)
 		return ingress.Answer{Refused: true}, false
 	}
-	p.Came, p.Deadline = a.Came, a.Came.Add(a.Life) // on the monotonic clock, which the journal does not keep
+	p.ReceivedAt, p.Deadline = a.ReceivedAt, a.ReceivedAt.Add(a.TTL) // on the monotonic clock, which the journal does not keep
 	n.messages[p.ID] = p
 	n.held++
 	return ingress.Answer{}, true
@@ -92,7 +92,7 @@
 		n.held--
 	}
 	delete(n.messages, p.ID)
-	n.journal.Over(p)
+	n.journal.Settled(p)
 }
 
 // called notes the outcome of a call.
@@ -121,7 +121,7 @@
 	default:
 		n.journal.Failed(m, e.n)
 	}
-	if e.Closed && m.Ended == nil {
+	if e.MessageDone && m.Ended == nil {
 		if e.Outcome == choice.Pass {
 			n.figures.CountDelivered(m.Class)
 			n.figures.ObserveFirstDelivery(time.Since(n.began))
@@ -130,12 +130,12 @@
 		}
 		n.forget(m)
 	}
-	if e.Wait > 0 {
-		e.endpoint.Wait.Extend(time.Now().Add(e.Wait))
+	if e.RetryAfter > 0 {
+		e.endpoint.Cooldown.Extend(time.Now().Add(e.RetryAfter))
 	}
 	return choice.Ended{
-		ID: e.id, Attempt: e.n, Endpoint: e.endpoint.ID, Outcome: e.Outcome, Took: e.took, Closed: e.Closed,
-		Wait: e.Wait, NoSlot: e.NoSlot, Reused: e.Reused, Report: e.Report,
+		ID: e.id, Attempt: e.n, Endpoint: e.endpoint.ID, Outcome: e.Outcome, Took: e.took, Closed: e.MessageDone,
+		Wait: e.RetryAfter, NoSlot: e.NoSlot, Reused: e.Reused, Report: e.Report,
 	}
 }
 
@@ -150,13 +150,13 @@
 	} else {
 		n.figures.CountShed(p.Class)
 	}
-	n.log.Debug("message_ended", "msg_id", id, "failed", e.Failed, "after", e.After, "sends", len(p.Sends), "left", time.Until(p.Deadline))
+	n.log.Debug("message_ended", "msg_id", id, "failed", e.Failed, "after", e.RetryAfter, "sends", len(p.Attempts), "left", time.Until(p.Deadline))
 	if a, ok := fresh[id]; ok {
 		delete(fresh, id)
 		n.forget(p)
-		reply := ingress.Answer{Refused: true, After: e.After}
+		reply := ingress.Answer{Refused: true, RetryAfter: e.RetryAfter}
 		if e.Failed {
-			reply = ingress.Answer{Failed: "the message failed"}
+			reply = ingress.Answer{ErrorText: "the message failed"}
 		}
 		n.guarded.answers = append(n.guarded.answers, clientAnswer{a, reply})
 		return
@@ -171,25 +171,25 @@
 	p, e := n.messages[a.ID], n.eps[a.Endpoint]
 	if e == nil {
 		// The list has just lost it; a call there is NotSent, and so proven not to have run.
-		e = &egress.Endpoint{ID: a.Endpoint, Wait: new(egress.Wait)}
-		e.Shut.Store(true)
+		e = &egress.Endpoint{ID: a.Endpoint, Cooldown: new(egress.Cooldown)}
+		e.Withdrawn.Store(true)
 	}
-	name, now := attempt{a.ID, len(p.Sends)}, time.Now()
-	sent := journal.Send{At: now, Zone: e.Zone}
+	name, now := attempt{a.ID, len(p.Attempts)}, time.Now()
+	sent := journal.Attempt{At: now, Zone: e.Zone}
 	if n.audit != nil {
-		sent.List, sent.Life = n.revision, n.audit.life
+		sent.ListRevision, sent.Incarnation = n.revision, n.audit.life
 	}
 	n.journal.Attempt(p, sent)
 	n.figures.ObserveFirstCall(time.Since(n.began))
-	if name.n == 0 && !p.Came.IsZero() {
-		n.figures.ObserveFirstAttempt(p.Dest, now.Sub(p.Came))
+	if name.n == 0 && !p.ReceivedAt.IsZero() {
+		n.figures.ObserveFirstAttempt(p.Dest, now.Sub(p.ReceivedAt))
 	}
-	c := egress.Call{ID: p.ID, Key: p.Key, Body: p.Body, Endpoint: e, NotPast: n.wall(a.NotPast)}
+	c := egress.Call{ID: p.ID, Key: p.Key, Body: p.Body, Endpoint: e, Deadline: n.wall(a.NotPast)}
 	if a.BeginBy > 0 {
-		c.BeginBy = n.wall(a.BeginBy)
+		c.LatestStart = n.wall(a.BeginBy)
 	}
 	if n.audit != nil && n.cfg.Audit.MarkCalls {
-		c.Rests = n.version()
+		c.DecisionBasis = n.version()
 	}
 	var act int64
 	if n.audit != nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -102,16 +102,16 @@
 	awaits    atomic.Pointer[awaited] // shared: nil once there is a list
 	// The list that is known comes from before the start, and no server has confirmed it yet.
 	unconfirmed bool
-	waits       map[int]*egress.Wait // of destinations whose endpoints share them
-	owed        []outbox.Notice      // not yet handed to the reporter
-	named       map[string]bool      // endpoints that a list has ever named
-	dests       map[int]bool         // all that a list has ever named
-	held        int                  // messages without their final answer
-	guarded     guarded              // what the records that are not yet written guard
-	withdrawn   []choice.Event       // ends of calls that could not be journaled, for the next step
-	cancelled   []attempt            // by this step
-	obeyed      []obeyed             // orders that hold after this step
-	wakeAt      time.Duration        // of the module; 0 none
+	waits       map[int]*egress.Cooldown // of destinations whose endpoints share them
+	owed        []outbox.Notice          // not yet handed to the reporter
+	named       map[string]bool          // endpoints that a list has ever named
+	dests       map[int]bool             // all that a list has ever named
+	held        int                      // messages without their final answer
+	guarded     guarded                  // what the records that are not yet written guard
+	withdrawn   []choice.Event           // ends of calls that could not be journaled, for the next step
+	cancelled   []attempt                // by this step
+	obeyed      []obeyed                 // orders that hold after this step
+	wakeAt      time.Duration            // of the module; 0 none
 	calls       sync.WaitGroup
 }
 
@@ -158,7 +158,7 @@
 		events:    make(chan any, eventQueue), notices: make(chan []outbox.Notice), asks: make(chan *handover.Link),
 		nudge:    make(chan struct{}, 1),
 		messages: map[string]*journal.Message{}, out: map[attempt]outCall{}, eps: map[string]*egress.Endpoint{},
-		waits: map[int]*egress.Wait{}, dests: map[int]bool{}, named: map[string]bool{},
+		waits: map[int]*egress.Cooldown{}, dests: map[int]bool{}, named: map[string]bool{},
 	}
 	n.wallClock.began = n.began
 	n.figures.ListServiceEnabled, n.figures.MembershipEnabled = cfg.Registry != nil, cfg.Membership != nil
@@ -197,8 +197,8 @@
 	life, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	var parts sync.WaitGroup
 	n.clients = ingress.NewServer(ln, n.cfg.Limits.Sockets/3, n.cfg.Names, func(q ingress.Request) ingress.Answer { return n.hand(life, q) })
-	n.clients.LogTo(n.log)
-	n.clients.Await(n.awaiting)
+	n.clients.SetLogger(n.log)
+	n.clients.SetNotReadyReason(n.awaiting)
 	n.clients.Pause()
 	parts.Go(func() { n.clients.Serve(life) })
 	gone := make(chan struct{})
@@ -234,7 +234,7 @@
 			return err
 		}
 		n.log.Info("handover_done", "out", len(n.out))
-		n.clients.Move(func(nc net.Conn, m ingress.Moved) error { return moveClient(successor, nc, m) })
+		n.clients.HandOver(func(nc net.Conn, m ingress.ConnHandover) error { return moveClient(successor, nc, m) })
 		n.passing.Store(true)
 		var left bool
 		unheard, left = n.relay(ctx, successor, gone)
@@ -347,7 +347,7 @@
 	n.tell(ctx, a)
 	select {
 	case r := <-a.reply:
-		n.figures.ObserveIntakeAnswer(time.Since(q.Came))
+		n.figures.ObserveIntakeAnswer(time.Since(q.ReceivedAt))
 		return r
 	case <-ctx.Done():
 		return ingress.Answer{Refused: true} // the loop has ended and did not take it on
@@ -402,7 +402,7 @@
 		return 0
 	}
 	if n.journal.Down() {
-		wait = min(wait, journal.CompactPause, n.guarded.untilOverdue(time.Now()))
+		wait = min(wait, journal.CompactRetryDelay, n.guarded.untilOverdue(time.Now()))
 	}
 	if n.kept != nil {
 		wait = min(wait, n.kept.UntilDue(time.Now()))
@@ -464,20 +464,20 @@
 				events = append(events, news)
 			}
 		case arrival:
-			e.Life -= n.lain(e.Came)
+			e.TTL -= n.lain(e.ReceivedAt)
 			if first, undecided := fresh[e.ID]; undecided { // what the first is told holds for both
 				first.also = append(first.also, e.reply)
 				fresh[e.ID] = first
 				continue
 			}
 			if refusal, ok := n.accept(e); !ok {
-				n.log.Debug("request_answered", "msg_id", e.ID, "refused", refusal.Refused, "after", refusal.After, "failed", refusal.Failed,
+				n.log.Debug("request_answered", "msg_id", e.ID, "refused", refusal.Refused, "after", refusal.RetryAfter, "failed", refusal.ErrorText,
 					"journal_down", n.journal.Down(), "held", n.held)
 				e.reply <- refusal
 				continue
 			}
 			fresh[e.ID] = e
-			events = append(events, n.arrived(n.messages[e.ID], e.Came.Add(e.Life)))
+			events = append(events, n.arrived(n.messages[e.ID], e.ReceivedAt.Add(e.TTL)))
 		}
 	}
 	events = append(events, n.keptDue()...)
@@ -525,13 +525,13 @@
 		return nil
 	}
 	if e := n.eps[o.endpoint]; e != nil {
-		e.Out.Store(o.on)
+		e.Disabled.Store(o.on)
 	}
 	done(nil)
 	if !o.on {
 		return choice.Enabled{Endpoint: o.endpoint}
 	}
-	n.pool.HangUp(o.endpoint) // it is about to be restarted
+	n.pool.CloseIdle(o.endpoint) // it is about to be restarted
 	return choice.Disabled{Endpoint: o.endpoint}
 }
 
@@ -543,7 +543,7 @@
 		case choice.Send:
 			n.send(a)
 		case choice.PushBack:
-			n.end(a.ID, journal.Ending{After: a.RetryAfter}, fresh)
+			n.end(a.ID, journal.Ending{RetryAfter: a.RetryAfter}, fresh)
 		case choice.Fail:
 			n.end(a.ID, journal.Ending{Failed: true}, fresh)
 		case choice.Cancel:
@@ -551,7 +551,7 @@
 		case choice.Tell:
 			n.peers.send(a, n.log)
 		case choice.HangUp:
-			n.pool.HangUp(a.Endpoint)
+			n.pool.CloseIdle(a.Endpoint)
 		case choice.Wake:
 			if n.wakeAt == 0 || a.At < n.wakeAt {
 				n.wakeAt = a.At
@@ -577,7 +577,7 @@
 func (n *Node) finishStep(ctx context.Context) {
 	if err := n.journal.Flush(); err != nil {
 		n.log.Error("journal_waiting", "calls", len(n.guarded.calls), "answers", len(n.guarded.answers),
-			"notices", len(n.guarded.notices), "torn", n.journal.Torn(), "err", err)
+			"notices", len(n.guarded.notices), "torn", n.journal.StaleTail(), "err", err)
 		n.withhold()
 	} else {
 		n.release(ctx)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -233,7 +233,7 @@
 
 // Worth beyond a tenant's share counts little: the module has to know whose a message is, after a restart too.
 func TestTenantReachesTheModule(t *testing.T) {
-	q := ingress.Request{ID: "a", Tenant: 1, Dest: 7, Life: 50 * time.Second, Came: time.Now()}
+	q := ingress.Request{ID: "a", Tenant: 1, Dest: 7, TTL: 50 * time.Second, ReceivedAt: time.Now()}
 	state := t.TempDir()
 	n := &Node{journal: openJournalAt(t, state), messages: map[string]*journal.Message{}, dests: map[int]bool{7: true}, start: time.Now()}
 	if refusal, ok := n.accept(arrival{Request: q}); !ok {
@@ -243,7 +243,7 @@
 	if got := n.arrived(n.messages["a"], time.Now()).Tenant; got != 1 {
 		t.Errorf("tenant %d", got)
 	}
-	for _, p := range openJournalAt(t, state).Owed() {
+	for _, p := range openJournalAt(t, state).Unsettled() {
 		if got := n.resumed(p).Tenant; got != 1 {
 			t.Errorf("tenant %d after a restart", got)
 		}
@@ -264,8 +264,8 @@
 		t.Errorf("an unknown destination: %q", got)
 	}
 	stop()
-	if j := openJournalAt(t, state); len(j.Owed()) != 0 {
-		t.Errorf("%d live after delivery", len(j.Owed()))
+	if j := openJournalAt(t, state); len(j.Unsettled()) != 0 {
+		t.Errorf("%d live after delivery", len(j.Unsettled()))
 	}
 }
 
@@ -398,8 +398,8 @@
 	if calls, _ := p.Counts(); calls != 1 {
 		t.Errorf("%d calls", calls)
 	}
-	if j := openJournalAt(t, state); len(j.Owed()) != 0 {
-		t.Errorf("%d live after their notices", len(j.Owed()))
+	if j := openJournalAt(t, state); len(j.Unsettled()) != 0 {
+		t.Errorf("%d live after their notices", len(j.Unsettled()))
 	}
 }
 
@@ -546,8 +546,8 @@
 					t.Fatal(err)
 				}
 				for i, write := range []func(){
-					func() { j.Attempt(m, journal.Send{At: time.Now()}) }, func() { j.NotRun(m, 0) },
-					func() { j.Ended(m, journal.Ending{After: time.Second}) },
+					func() { j.Attempt(m, journal.Attempt{At: time.Now()}) }, func() { j.NotRun(m, 0) },
+					func() { j.Ended(m, journal.Ending{RetryAfter: time.Second}) },
 				} {
 					if i < point {
 						write()
@@ -591,11 +591,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		j.Attempt(m, journal.Send{At: time.Now()})
+		j.Attempt(m, journal.Attempt{At: time.Now()})
 		c.write(j, m)
 		flushJournal(t, j)
 		n := &Node{start: time.Now()}
-		for _, p := range openJournalAt(t, dir).Owed() {
+		for _, p := range openJournalAt(t, dir).Unsettled() {
 			r := n.resumed(p)
 			if r.Failed != c.failed || r.Touched != c.touched || r.Attempts != 1 || (r.Touched && r.MayRun > n.now()) {
 				t.Errorf("%s: got %+v", c.name, r)
@@ -616,8 +616,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	j.Attempt(late, journal.Send{At: time.Now().Add(-time.Minute)})
-	j.Attempt(forgotten, journal.Send{At: time.Now().Add(-2 * time.Minute)}) // its key is remembered for one
+	j.Attempt(late, journal.Attempt{At: time.Now().Add(-time.Minute)})
+	j.Attempt(forgotten, journal.Attempt{At: time.Now().Add(-2 * time.Minute)}) // its key is remembered for one
 	flushJournal(t, j)
 	startNode(t, r, state, serving("e", p.Addr(), 7, "SERVING"))
 	testkit.Eventually(t, "the overdue one's end", func() bool { return r.state("late") == "returned" })
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -79,7 +79,7 @@
 		}
 		if err != nil {
 			log.Debug("note_not_read", "err", err)
-			if !backoff.Sleep(ctx, backoff.First) {
+			if !backoff.Sleep(ctx, backoff.InitialDelay) {
 				return
 			}
 			continue
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -54,11 +54,11 @@
 		case e := <-n.events:
 			switch e := e.(type) {
 			case arrival:
-				e.reply <- ingress.Answer{Moved: true}
+				e.reply <- ingress.Answer{HandedOver: true}
 			case called:
 				if l.Send(handover.Frame{Ended: &handover.EndedCall{
-					CallName: handover.CallName{ID: e.id, N: e.n}, Endpoint: e.endpoint.ID, Outcome: e.Outcome, Wait: e.Wait, Took: e.took,
-					NoSlot: e.NoSlot, Closed: e.Closed, Reused: e.Reused, Report: e.Report,
+					CallName: handover.CallName{ID: e.id, N: e.n}, Endpoint: e.endpoint.ID, Outcome: e.Outcome, Wait: e.RetryAfter, Took: e.took,
+					NoSlot: e.NoSlot, Closed: e.MessageDone, Reused: e.Reused, Report: e.Report,
 				}}, -1) != nil {
 					unheard = append(unheard, e)
 				} else {
@@ -99,7 +99,7 @@
 			}
 			gone = nil
 		case <-tick.C:
-			if ctx.Err() != nil && len(n.out) == 0 && (gone == nil || n.clients.Count() == 0) {
+			if ctx.Err() != nil && len(n.out) == 0 && (gone == nil || n.clients.ConnCount() == 0) {
 				return nil, true
 			}
 		}
@@ -116,7 +116,7 @@
 		case called:
 			ends = append(ends, e)
 		case arrival:
-			e.reply <- ingress.Answer{Moved: true} // it stays, and asks again
+			e.reply <- ingress.Answer{HandedOver: true} // it stays, and asks again
 		case order:
 			e.done <- admin.ErrNotServing
 		}
--- a/internal/node/successors.go
+++ b/internal/node/successors.go
@@ -17,7 +17,7 @@
 	for {
 		nc, err := ln.AcceptUnix()
 		if err != nil {
-			if errors.Is(err, net.ErrClosed) || !backoff.Sleep(ctx, backoff.First) {
+			if errors.Is(err, net.ErrClosed) || !backoff.Sleep(ctx, backoff.InitialDelay) {
 				return
 			}
 			continue
--- a/internal/node/twice_test.go
+++ b/internal/node/twice_test.go
@@ -33,7 +33,7 @@
 			var replies []chan ingress.Answer
 			for range 3 {
 				a := arrival{
-					Request: ingress.Request{ID: "x", Dest: 7, Life: c.life, Came: time.Now().Add(-20 * time.Millisecond)},
+					Request: ingress.Request{ID: "x", Dest: 7, TTL: c.life, ReceivedAt: time.Now().Add(-20 * time.Millisecond)},
 					reply:   make(chan ingress.Answer, 1),
 				}
 				batch, replies = append(batch, a), append(replies, a.reply)
--- a/internal/node/upgrade_test.go
+++ b/internal/node/upgrade_test.go
@@ -137,7 +137,7 @@
 	if err != nil {
 		return err
 	}
-	ln, err := ingress.PassedListener(3)
+	ln, err := ingress.InheritedListener(3)
 	if err != nil {
 		return err
 	}
@@ -419,7 +419,7 @@
 			t.Fatal(err)
 		}
 	}
-	ln, err := ingress.PassedListener(number)
+	ln, err := ingress.InheritedListener(number)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/nowait/nowait.go
+++ b/internal/nonblock/nonblock.go
@@ -1,6 +1,6 @@
 // Package nowait looks at what lies in a socket now, without waiting and whatever deadline is set. A read with a deadline
 // can't tell that: one that has passed fails the read before it has looked, also where bytes or an end have come.
-package nowait
+package nonblock
 
 import (
 	"errors"
@@ -11,7 +11,7 @@
 )
 
 // ErrNothing says that nothing has come and that the connection has not ended.
-var ErrNothing = errors.New("nothing has come")
+var ErrWouldBlock = errors.New("nothing has come")
 
 // Read reads what has come into p, which must have room, and never waits. Where nothing has, the error is ErrNothing; at
 // the connection's end io.EOF; any other is of the connection, or says that it is no socket. It takes the read deadline
@@ -28,10 +28,10 @@
 	if err := c.SetReadDeadline(time.Time{}); err != nil {
 		return 0, err
 	}
-	n, fail := 0, error(nil)
+	n, readErr := 0, error(nil)
 	err = raw.Read(func(fd uintptr) bool {
 		for {
-			if n, fail = syscall.Read(int(fd), p); !errors.Is(fail, syscall.EINTR) {
+			if n, readErr = syscall.Read(int(fd), p); !errors.Is(readErr, syscall.EINTR) {
 				return true
 			}
 		}
@@ -39,10 +39,10 @@
 	switch {
 	case err != nil:
 		return 0, err
-	case errors.Is(fail, syscall.EAGAIN):
-		return 0, ErrNothing
-	case fail != nil:
-		return 0, fail
+	case errors.Is(readErr, syscall.EAGAIN):
+		return 0, ErrWouldBlock
+	case readErr != nil:
+		return 0, readErr
 	case n == 0:
 		return 0, io.EOF
 	}
--- a/internal/nowait/nowait_test.go
+++ b/internal/nonblock/nonblock_test.go
@@ -1,4 +1,4 @@
-package nowait
+package nonblock
 
 import (
 	"errors"
@@ -12,13 +12,13 @@
 )
 
 // What has come is seen whatever deadline is set, and nothing is waited for.
-func TestWhatLiesInASocket(t *testing.T) {
+func TestReadIgnoresDeadline(t *testing.T) {
 	for name, c := range map[string]struct {
 		peer func(t *testing.T, far *net.TCPConn)
 		want error
 		n    int
 	}{
-		"nothing": {func(*testing.T, *net.TCPConn) {}, ErrNothing, 0},
+		"nothing": {func(*testing.T, *net.TCPConn) {}, ErrWouldBlock, 0},
 		"bytes": {func(t *testing.T, far *net.TCPConn) {
 			if _, err := io.WriteString(far, "xyz"); err != nil {
 				t.Error(err)
--- a/internal/outbox/outbox.go
+++ b/internal/outbox/outbox.go
@@ -38,7 +38,7 @@
 func AgentPace() Pace { return Pace{agentTimeout, agentTimeout, agentPause} }
 
 // ServicePace is for a list service that a fleet shares and that may be slow.
-func ServicePace() Pace { return Pace{serviceTimeout, servicePatience, backoff.Last} }
+func ServicePace() Pace { return Pace{serviceTimeout, servicePatience, backoff.MaxDelay} }
 
 // Notice tells the platform how a message ended that was taken on and not delivered.
 type Notice struct {
@@ -53,7 +53,7 @@
 	if p.Ended.Failed {
 		return Notice{Of: p, ID: p.ID, State: "failed"}
 	}
-	return Notice{Of: p, ID: p.ID, State: "returned", AfterMS: p.Ended.After.Milliseconds()}
+	return Notice{Of: p, ID: p.ID, State: "returned", AfterMS: p.Ended.RetryAfter.Milliseconds()}
 }
 
 // Run posts the notices that come, in order, until ctx ends. A post that is not taken is made again, for a
@@ -72,7 +72,7 @@
 		case <-ctx.Done():
 			return
 		}
-		pause := backoff.Backoff{First: backoff.First, Last: pace.LastPause}
+		pause := backoff.Backoff{Initial: backoff.InitialDelay, Max: pace.LastPause}
 		for len(batch) > 0 {
 			some := batch[:min(len(batch), maxNotices)]
 			addr, here, cancel := at.Pick(ctx, turn)
--- a/internal/outbox/outbox_test.go
+++ b/internal/outbox/outbox_test.go
@@ -33,7 +33,7 @@
 
 	var batch []Notice
 	for range count {
-		batch = append(batch, NewNotice(&journal.Message{ID: strings.Repeat("<", 256), Ended: &journal.Ending{After: time.Second}}))
+		batch = append(batch, NewNotice(&journal.Message{ID: strings.Repeat("<", 256), Ended: &journal.Ending{RetryAfter: time.Second}}))
 	}
 	notices := make(chan []Notice, 1)
 	notices <- batch
--- a/internal/partner/lease.go
+++ b/internal/partner/lease.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	leaseTime   = 6 * time.Second
-	leaseCall   = time.Second // for one call to a list server
-	maxLeaseSay = 64 << 10
+	leaseDuration         = 6 * time.Second
+	leaseCallTimeout      = time.Second // for one call to a list server
+	maxLeaseResponseBytes = 64 << 10
 )
 
 // Instance is how an endpoint stands in the list.
@@ -25,37 +25,37 @@
 
 // Lease keeps an instance registered at the list service until ctx ends, and then withdraws it. It asks the next
 // server when one is out or is not the primary.
-func Lease(ctx context.Context, client *http.Client, servers []string, i Instance) {
+func KeepRegistered(ctx context.Context, client *http.Client, servers []string, i Instance) {
 	owner := fmt.Sprintf("%s.%d", i.ID, time.Now().UnixNano())
 	claim := fmt.Sprintf(`{"host_port":%q,"locality":%q,"flavor":%q,"cell":%d,"size":%g,"owner":%q,"lease_ms":%d}`,
-		i.Addr, i.Zone, i.Kind, i.Dest, i.Size, owner, leaseTime.Milliseconds())
-	for at := 0; ctx.Err() == nil; {
-		url := "http://" + servers[at] + "/registry/instances/" + i.ID
-		code := tell(ctx, client, http.MethodPost, url+"/renew", fmt.Sprintf(`{"owner":%q}`, owner))
+		i.Addr, i.Zone, i.Kind, i.Dest, i.Size, owner, leaseDuration.Milliseconds())
+	for current := 0; ctx.Err() == nil; {
+		url := "http://" + servers[current] + "/registry/instances/" + i.ID
+		code := call(ctx, client, http.MethodPost, url+"/renew", fmt.Sprintf(`{"owner":%q}`, owner))
 		if code == http.StatusNotFound {
-			code = tell(ctx, client, http.MethodPut, url, claim)
+			code = call(ctx, client, http.MethodPut, url, claim)
 		}
-		pause := leaseTime/4 + rand.N(leaseTime/8)
+		pause := leaseDuration/4 + rand.N(leaseDuration/8)
 		if code != http.StatusOK {
-			at, pause = (at+1)%len(servers), 50*time.Millisecond
+			current, pause = (current+1)%len(servers), 50*time.Millisecond
 		}
 		select {
 		case <-ctx.Done():
 		case <-time.After(pause):
 		}
 	}
-	bye, cancel := context.WithTimeout(context.WithoutCancel(ctx), leaseCall)
+	withdrawCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), leaseCallTimeout)
 	defer cancel()
 	for _, s := range servers {
-		if tell(bye, client, http.MethodDelete, "http://"+s+"/registry/instances/"+i.ID, fmt.Sprintf(`{"owner":%q}`, owner)) == http.StatusNoContent {
+		if call(withdrawCtx, client, http.MethodDelete, "http://"+s+"/registry/instances/"+i.ID, fmt.Sprintf(`{"owner":%q}`, owner)) == http.StatusNoContent {
 			return
 		}
 	}
 }
 
 // tell makes one call and returns its status, 0 if there was no answer.
-func tell(ctx context.Context, client *http.Client, method, url, body string) int {
-	ctx, cancel := context.WithTimeout(ctx, leaseCall)
+func call(ctx context.Context, client *http.Client, method, url, body string) int {
+	ctx, cancel := context.WithTimeout(ctx, leaseCallTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, url, strings.NewReader(body))
 	if err != nil {
@@ -66,6 +66,6 @@
 		return 0
 	}
 	defer resp.Body.Close()
-	io.Copy(io.Discard, io.LimitReader(resp.Body, maxLeaseSay)) // so that the connection serves again
+	io.Copy(io.Discard, io.LimitReader(resp.Body, maxLeaseResponseBytes)) // so that the connection serves again
 	return resp.StatusCode
 }
--- a/internal/transient/transient_test.go
+++ b/internal/transient/transient_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-func TestWhichErrorsMayPass(t *testing.T) {
+func TestErrorClassification(t *testing.T) {
 	for _, c := range []struct {
 		err       error
 		is, local bool
@@ -29,8 +29,8 @@
 		{&net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ETIMEDOUT)}, false, false},
 		{errors.Join(errors.New("first"), syscall.EIO), true, false},
 	} {
-		if Is(c.err) != c.is || Local(c.err) != c.local {
-			t.Errorf("%v: may pass %v, local %v", c.err, Is(c.err), Local(c.err))
+		if Is(c.err) != c.is || IsLocal(c.err) != c.local {
+			t.Errorf("%v: may pass %v, local %v", c.err, Is(c.err), IsLocal(c.err))
 		}
 	}
 }
@@ -67,20 +67,20 @@
 }
 
 // scarce is a stream that fails each second time, and transfers a byte otherwise.
-type scarce struct {
+type flakyStream struct {
 	text  []byte
 	calls int
 	err   error
 }
 
-func (s *scarce) transfer() error {
+func (s *flakyStream) transfer() error {
 	if s.calls++; s.calls%2 == 1 {
 		return &net.OpError{Op: "read", Err: os.NewSyscallError("read", syscall.ENOMEM)}
 	}
 	return nil
 }
 
-func (s *scarce) Read(p []byte) (int, error) {
+func (s *flakyStream) Read(p []byte) (int, error) {
 	if err := s.transfer(); err != nil {
 		return 0, err
 	}
@@ -91,7 +91,7 @@
 	return 1, nil
 }
 
-func (s *scarce) Write(p []byte) (int, error) {
+func (s *flakyStream) Write(p []byte) (int, error) {
 	s.text = append(s.text, p[0])
 	if len(p) == 1 {
 		return 1, s.err
@@ -99,15 +99,15 @@
 	return 1, &net.OpError{Op: "write", Err: os.NewSyscallError("write", syscall.ENOBUFS)}
 }
 
-func TestStreamsOutlastALackOfMemory(t *testing.T) {
-	got, err := io.ReadAll(Reader(&scarce{text: []byte("text"), err: io.EOF}))
+func TestStreamRetriesOnMemoryShortage(t *testing.T) {
+	got, err := io.ReadAll(Reader(&flakyStream{text: []byte("text"), err: io.EOF}))
 	if string(got) != "text" || err != nil {
 		t.Errorf("read %q, %v", got, err)
 	}
-	if _, err := Reader(&scarce{err: os.ErrDeadlineExceeded}).Read(make([]byte, 1)); err != os.ErrDeadlineExceeded {
+	if _, err := Reader(&flakyStream{err: os.ErrDeadlineExceeded}).Read(make([]byte, 1)); err != os.ErrDeadlineExceeded {
 		t.Errorf("got %v", err)
 	}
-	var out scarce
+	var out flakyStream
 	if n, err := Write(&out, []byte("text")); n != 4 || err != nil || string(out.text) != "text" {
 		t.Errorf("%d bytes, %q, %v", n, out.text, err)
 	}
@@ -118,23 +118,23 @@
 }
 
 // unreachable is a stream whose first calls fail since its peer can't be reached.
-type unreachable struct{ fails, calls int }
+type unreachableStream struct{ fails, calls int }
 
-func (u *unreachable) Read(p []byte) (int, error) { return u.Write(p) }
+func (u *unreachableStream) Read(p []byte) (int, error) { return u.Write(p) }
 
-func (u *unreachable) Write(p []byte) (int, error) {
+func (u *unreachableStream) Write(p []byte) (int, error) {
 	if u.calls++; u.calls <= u.fails {
 		return 0, &net.OpError{Op: "read", Err: os.NewSyscallError("read", syscall.EHOSTUNREACH)}
 	}
 	return len(p), nil
 }
 
-func TestAPeerThatCannotBeReachedIsAskedOnceMore(t *testing.T) {
+func TestUnreachablePeerIsRetriedOnce(t *testing.T) {
 	for fails, want := range []error{nil, nil, syscall.EHOSTUNREACH} {
-		if _, err := Reader(&unreachable{fails: fails}).Read(make([]byte, 1)); !errors.Is(err, want) {
+		if _, err := Reader(&unreachableStream{fails: fails}).Read(make([]byte, 1)); !errors.Is(err, want) {
 			t.Errorf("read, %d failures: %v", fails, err)
 		}
-		if _, err := Write(&unreachable{fails: fails}, []byte("x")); !errors.Is(err, want) {
+		if _, err := Write(&unreachableStream{fails: fails}, []byte("x")); !errors.Is(err, want) {
 			t.Errorf("write, %d failures: %v", fails, err)
 		}
 	}
