--- a/choice/bench_test.go
+++ b/choice/bench_test.go
@@ -14,40 +14,40 @@
 			for i := range dests {
 				entries = append(entries, Entry{Endpoint: fmt.Sprint("e", i), Dest: i, Weight: 10})
 			}
-			cfg := settings()
-			cfg.Fleet = 200
+			cfg := testSettings()
+			cfg.FleetSize = 200
 			s, now := New(cfg, 1), time.Hour
-			s.Step(now, []Event{list(entries...)})
+			s.Step(now, []Event{fullList(entries...)})
 			b.ReportAllocs()
 			n := 0
 			for b.Loop() {
 				now += 400 * ms
 				id, d := fmt.Sprint("m", n), n%dests
 				n++
-				s.Step(now, []Event{Arrived{ID: id, Dest: d, DropDead: now + 10*time.Second}})
+				s.Step(now, []Event{MessageArrived{ID: id, Dest: d, Deadline: now + 10*time.Second}})
 				now += 100 * ms
-				s.Step(now, []Event{Ended{ID: id, Endpoint: fmt.Sprint("e", d), Took: 100 * ms, Closed: true}})
+				s.Step(now, []Event{AttemptEnded{ID: id, Endpoint: fmt.Sprint("e", d), Took: 100 * ms, MessageDone: true}})
 			}
 		})
 	}
 }
 
 // With nothing held a sender asks for no wake, and what it keeps to walk is empty, however many it knows.
-func TestIdleSenderSleeps(t *testing.T) {
-	w := newStory(t, settings(), 1)
+func TestIdleSenderRequestsNoWake(t *testing.T) {
+	w := newScenario(t, testSettings(), 1)
 	var entries []Entry
 	for i := range 500 {
 		entries = append(entries, Entry{Endpoint: fmt.Sprint("e", i), Dest: i, Weight: 10})
 	}
-	w.step(0, list(entries...))
+	w.step(0, fullList(entries...))
 	for i := range 50 {
 		id := fmt.Sprint("m", i)
-		w.step(300*ms, w.arrive(id, 0, i))
-		w.step(100*ms, w.outcome(id, Pass, 0))
+		w.step(300*ms, w.newArrival(id, 0, i))
+		w.step(100*ms, w.outcome(id, Success, 0))
 	}
-	asked := len(w.wakes)
-	w.step(time.Minute, Rang{})
-	if len(w.wakes) != asked || len(w.s.active) != 0 || len(w.s.open) != 0 {
-		t.Errorf("%d wakes asked for while idle, %d destinations walked", len(w.wakes)-asked, len(w.s.active))
+	asked := len(w.wakeTimes)
+	w.step(time.Minute, WakeDue{})
+	if len(w.wakeTimes) != asked || len(w.sender.activeDestinations) != 0 || len(w.sender.openMessages) != 0 {
+		t.Errorf("%d wakes asked for while idle, %d destinations walked", len(w.wakeTimes)-asked, len(w.sender.activeDestinations))
 	}
 }
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -13,79 +13,79 @@
 
 const (
 	// Gate. Bounds of the response ratio are the paper's best, BBC 60-80.
-	gateUpper, gateLower = 80, 60
+	gateUpperRatio, gateLowerRatio = 80, 60
 	// The ratio bounds cannot act before a slow destination's messages expire, so shares of the deadline do.
-	deadlineShut, deadlineOpen = 0.5, 1.0 / 3
-	smoothing                  = 0.2               // weight of a sample when they come often
-	smoothSpan                 = 2 * time.Second   // after a silence this long a sample weighs more
-	baselineSpan               = 120 * time.Second // the baseline grows by a factor e in this time
+	gateUpperDeadlineShare, gateLowerDeadlineShare = 0.5, 1.0 / 3
+	smoothingFactor                                = 0.2               // weight of a sample when they come often
+	gateSmoothingTime                              = 2 * time.Second   // after a silence this long a sample weighs more
+	baselineRiseTime                               = 120 * time.Second // the baseline grows by a factor e in this time
 	// A failed attempt counts for so many aims at least: it reads ill, but holding through an outage beats
 	// refusing, so it must not shut the gate alone. The hold that follows does when it grows too long.
-	failCharge    = 1.0
-	floorResponse = 5 * time.Millisecond   // keeps ratios finite
-	gateTrial     = 500 * time.Millisecond // pause between trial messages of a shut, idle gate
+	failurePenaltyAims = 1.0
+	minResponseTime    = 5 * time.Millisecond   // keeps ratios finite
+	gateTrialInterval  = 500 * time.Millisecond // pause between trial messages of a shut, idle gate
 
 	// Health of a route.
-	failWeight = 0.05                    // weight of a call in the share of failures met everywhere
-	chanceRun  = 0.02                    // a run of failures less likely than this by that share is no luck
-	shutWait   = 2200 * time.Millisecond // a told wait longer than any limit's span means shut
-	trialFirst = 250 * time.Millisecond  // half-open trials: first pause,
-	shunFirst  = 1 * time.Second         // an endpoint without connections is left alone so long at first,
-	shunLast   = 10 * time.Second        // and at the longest
-	trialLast  = 1000 * time.Millisecond // and the longest, a fraction of the outages worth noticing
-	sickCount  = 3                       // failures in a row that make an outage where they are rare,
-	sickSpan   = 2 * time.Second         // one less if none passed for so long,
-	rareCalls  = 0.5                     // or where we have so few calls in that time
+	failureRateSmoothing    = 0.05                    // weight of a call in the share of failures met everywhere
+	maxRandomRunProbability = 0.02                    // a run of failures less likely than this by that share is no luck
+	minOutageRetryAfter     = 2200 * time.Millisecond // a told wait longer than any limit's span means shut
+	minTrialBackoff         = 250 * time.Millisecond  // half-open trials: first pause,
+	minEjectionTime         = 1 * time.Second         // an endpoint without connections is left alone so long at first,
+	maxEjectionTime         = 10 * time.Second        // and at the longest
+	maxTrialBackoff         = 1000 * time.Millisecond // and the longest, a fraction of the outages worth noticing
+	failuresToOpen          = 3                       // failures in a row that make an outage where they are rare,
+	sustainedFailureTime    = 2 * time.Second         // one less if none passed for so long,
+	rareCallCount           = 0.5                     // or where we have so few calls in that time
 	// Rule four counts the load of knowing senders; a tenth less than all of it leaves room for chance.
-	knowingShare = 0.9
+	evenColdShare = 0.9
 	// Of its own demand a sender takes less, for a busy destination may be asked for more than it can do.
-	demandShare = 0.4
-	roughWeight = 1.5 // a rough weight may be this many times too high
+	demandColdShare = 0.4
+	maxWeightError  = 1.5 // a rough weight may be this many times too high
 
 	// Connections.
-	crowdedSpan = 30 * time.Second // idle connections of a kind are given back so long after a sign
-	tableWeight = 0.1              // of full tables: by a smoothed share, weighing a call so much,
-	crowdedSign = 0.4              // so many more calls are refused over new connections than over kept ones
+	connTableFullTime   = 30 * time.Second // idle connections of a kind are given back so long after a sign
+	connTableSmoothing  = 0.1              // of full tables: by a smoothed share, weighing a call so much,
+	connTableFullExcess = 0.4              // so many more calls are refused over new connections than over kept ones
 
 	// Slots.
-	slowFactor = 5                      // a call older than so many usual times makes its destination slow
-	slowLeast  = 700 * time.Millisecond // but not before this, or noise would
-	slotSpan   = 2 * time.Second        // slot time fades from memory in this span
-	sendCharge = 10 * time.Millisecond  // slot time booked at once, so that sends of one moment take turns
-	slowShare  = 0.4                    // share of the slots that all slow destinations together may hold
+	slowCallFactor       = 5                      // a call older than so many usual times makes its destination slow
+	minSlowCallTime      = 700 * time.Millisecond // but not before this, or noise would
+	slotUseDecayTime     = 2 * time.Second        // slot time fades from memory in this span
+	slotChargePerCall    = 10 * time.Millisecond  // slot time booked at once, so that sends of one moment take turns
+	maxImpairedSlotShare = 0.4                    // share of the slots that all slow destinations together may hold
 
 	// Pacing.
-	partCut     = 0.5                    // factor on this sender's part at a refusal over the limit
-	partGrow    = 0.25                   // growth a second while calls pass, of the part or an even share
-	demandSpan  = 10 * time.Second       // this sender's own demand is what arrived of late
-	burstSpan   = 0.25                   // seconds of pace that may go at once
-	refusedRest = 120 * time.Millisecond // first rest after a refusal that told no wait
+	shareCutFactor       = 0.5                    // factor on this sender's part at a refusal over the limit
+	shareGrowthPerSecond = 0.25                   // growth a second while calls pass, of the part or an even share
+	demandDecayTime      = 10 * time.Second       // this sender's own demand is what arrived of late
+	burstSeconds         = 0.25                   // seconds of pace that may go at once
+	minRefusalBackoff    = 120 * time.Millisecond // first rest after a refusal that told no wait
 
 	// Attempts.
-	timeoutFactor = 6                      // time-out in usual times, where a repeat is allowed,
-	timeoutGrow   = 1.5                    // growing with each failure in a row, lest a slow one never pass
-	timeoutLeast  = 0.5                    // and this share of the aim at least: a repeat still fits in it,
-	timeoutAims   = 2.0                    // and at most so many aims
-	retryRest     = 100 * time.Millisecond // rest of a message after a failure, doubled each time
-	drawPower     = 2                      // odds of an endpoint fall with this power of its response
-	sweepEvery    = 10 * time.Millisecond  // wakes are this far apart at least,
-	pollEvery     = 30 * time.Millisecond  // and this far while something waits
-	endMargin     = 15 * time.Millisecond  // final answers are given this long before the deadline
+	timeoutLatencyFactor = 6                      // time-out in usual times, where a repeat is allowed,
+	timeoutFailureFactor = 1.5                    // growing with each failure in a row, lest a slow one never pass
+	minTimeoutAims       = 0.5                    // and this share of the aim at least: a repeat still fits in it,
+	maxTimeoutAims       = 2.0                    // and at most so many aims
+	minRetryBackoff      = 100 * time.Millisecond // rest of a message after a failure, doubled each time
+	pickLatencyExponent  = 2                      // odds of an endpoint fall with this power of its response
+	minWakeInterval      = 10 * time.Millisecond  // wakes are this far apart at least,
+	waitingPollInterval  = 30 * time.Millisecond  // and this far while something waits
+	answerMargin         = 15 * time.Millisecond  // final answers are given this long before the deadline
 )
 
 // New returns the decision maker of a delivery node that has just started.
 func New(cfg Settings, seed uint64) *Sender {
 	source := rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)
 	s := &Sender{
-		cfg: cfg, source: source, rng: rand.New(source),
-		dests: map[int]*destination{}, eps: map[string]*endpoint{}, msgs: map[string]*message{},
-		lines: map[string][]*message{}, rests: map[string]time.Duration{}, sent: map[attempt]sending{},
-		tenants: make([]tenant, len(cfg.Tenants)), crowded: map[int]time.Duration{}, tables: map[int]table{},
-		out: map[string]bool{},
+		cfg: cfg, rngSource: source, rng: rand.New(source),
+		destinations: map[int]*destination{}, endpoints: map[string]*endpoint{}, messages: map[string]*message{},
+		keyQueues: map[string][]*message{}, keyBlockedUntil: map[string]time.Duration{}, inFlight: map[attempt]inFlightAttempt{},
+		tenants: make([]tenant, len(cfg.Tenants)), connTableFullUntil: map[int]time.Duration{}, connTables: map[int]connTableStats{},
+		disabledEndpoints: map[string]bool{},
 	}
-	s.cfg.Fleet = max(cfg.Fleet, 1)
-	if cfg.AskForList {
-		s.askAt = 1 // at once
+	s.cfg.FleetSize = max(cfg.FleetSize, 1)
+	if cfg.ListOnRequest {
+		s.listRequestAt = 1 // at once
 	}
 	return s
 }
@@ -96,127 +96,127 @@
 	// Lists and operators first: a drain acts in the step that told of it.
 	for _, e := range events {
 		switch e := e.(type) {
-		case Listed:
-			s.listed(e)
-		case Disabled:
-			s.setOut(e.Endpoint, true)
-		case Enabled:
-			s.setOut(e.Endpoint, false)
-		case Member:
-			s.met(e)
-		case Recalled:
-			s.recalled(e)
-		case Blind:
-			s.blind = e.On
+		case ListUpdate:
+			s.handleListUpdate(e)
+		case EndpointDisabled:
+			s.setDisabled(e.Endpoint, true)
+		case EndpointEnabled:
+			s.setDisabled(e.Endpoint, false)
+		case MemberChanged:
+			s.handleMemberChanged(e)
+		case MemoryRestored:
+			s.handleMemoryRestored(e)
+		case Suspended:
+			s.suspended = e.On
 		}
 	}
 	for _, e := range events {
 		switch e := e.(type) {
-		case Arrived:
-			s.arrived(e)
-		case Resumed:
-			s.resumed(e)
-		case Ended:
-			s.ended(e)
-		case Probed:
-			s.probed(e)
-		case Told:
-			s.told(e)
-		case Dropped:
-			if m := s.msgs[e.ID]; m != nil {
+		case MessageArrived:
+			s.handleArrived(e)
+		case MessageResumed:
+			s.handleResumed(e)
+		case AttemptEnded:
+			s.handleAttemptEnded(e)
+		case ProbeEnded:
+			s.handleProbeEnded(e)
+		case DatagramReceived:
+			s.handleDatagramReceived(e)
+		case MessageDropped:
+			if m := s.messages[e.ID]; m != nil {
 				s.finish(m, nil)
 			}
-		case Rang:
-			s.wakeAt = 0 // a rounded clock may ring a little before the time
-		case Leaving:
+		case WakeDue:
+			s.nextWakeAt = 0 // a rounded clock may ring a little before the time
+		case ShuttingDown:
 			s.leaving = true
-			s.handOver(e)
+			s.handOverLimits(e)
 		}
 	}
-	if s.askAt > 0 && now >= s.askAt {
-		s.askAt = 0
-		s.do(Watch{})
+	if s.listRequestAt > 0 && now >= s.listRequestAt {
+		s.listRequestAt = 0
+		s.emit(RequestList{})
 	}
-	s.expire()
-	if !s.leaving && !s.blind { // what is held goes on in the next life, or once it is known what holds
-		s.release()
-		if s.shared() {
-			if s.claims(); s.grant() {
-				s.release()
+	s.expireMessages()
+	if !s.leaving && !s.suspended { // what is held goes on in the next life, or once it is known what holds
+		s.sendWaiting()
+		if s.sharesLimits() {
+			if s.requestGrants(); s.issueGrants() {
+				s.sendWaiting()
 			}
 		}
 		s.preempt()
 	}
-	s.giveBack()
-	s.arm()
+	s.closeIdleConns()
+	s.scheduleWake()
 	return s.actions
 }
 
 // setOut takes an endpoint out or puts it back, whatever its health and the list. Who takes one out most
 // likely restarts it, so it is taken for cold on its return.
-func (s *Sender) setOut(id string, out bool) {
-	was := s.out[id]
-	if s.out[id] = true; !out {
-		delete(s.out, id)
+func (s *Sender) setDisabled(id string, disabled bool) {
+	wasDisabled := s.disabledEndpoints[id]
+	if s.disabledEndpoints[id] = true; !disabled {
+		delete(s.disabledEndpoints, id)
 	}
-	e := s.eps[id]
+	e := s.endpoints[id]
 	if e == nil {
 		return
 	}
-	if e.disabled = out; was && !out {
-		e.route.fails = 0
-		s.cool(e.route)
+	if e.disabled = disabled; wasDisabled && !disabled {
+		e.route.failures = 0
+		s.startRecovery(e.route)
 	}
 }
 
 // arrived admits a message or refuses it at once.
-func (s *Sender) arrived(e Arrived) {
-	if s.msgs[e.ID] != nil {
+func (s *Sender) handleArrived(e MessageArrived) {
+	if s.messages[e.ID] != nil {
 		return
 	}
-	m, d := s.take(e)
+	m, d := s.newMessage(e)
 	if !s.admit(d, m) {
-		s.finish(m, PushBack{ID: m.id, RetryAfter: s.retryAfter(d)})
+		s.finish(m, Refuse{ID: m.id, RetryAfter: s.retryAfter(d)})
 		return
 	}
-	s.hold(m, e.Key)
+	s.queueMessage(m, e.Key)
 }
 
 // resumed takes back a message from before a restart. It was admitted then, so no gate is asked; what may
 // have run already and may not be repeated ends here. A failure known from before may have been an outage's,
 // whose end this life did not see: the way back there is taken as cold.
-func (s *Sender) resumed(e Resumed) {
-	if s.msgs[e.ID] != nil {
+func (s *Sender) handleResumed(e MessageResumed) {
+	if s.messages[e.ID] != nil {
 		return
 	}
-	m, d := s.take(e.Arrived)
-	m.attempts, m.touched = e.Attempts, e.Touched && m.class.Effect != Safe
-	m.mayRun, m.zone, m.found = e.MayRun, e.Zone, true
-	late := m.touched && m.class.Effect == Keyed && s.now >= s.windowEnd(m)
-	if (m.touched && m.class.Effect == Unsafe) || late || s.spent(m) || s.now >= m.dropDead-endMargin {
+	m, d := s.newMessage(e.MessageArrived)
+	m.attempts, m.mayHaveRun = e.Attempts, e.MayHaveRun && m.class.Effect != Idempotent
+	m.firstRunSentAt, m.runZone, m.resumed = e.FirstRunSentAt, e.Zone, true
+	late := m.mayHaveRun && m.class.Effect == Deduplicated && s.now >= s.dedupWindowEnd(m)
+	if (m.mayHaveRun && m.class.Effect == AtMostOnce) || late || s.attemptsExhausted(m) || s.now >= m.deadline-answerMargin {
 		s.giveUp(m)
 		return
 	}
 	for _, ep := range d.endpoints {
 		if r := ep.route; e.Failed && !r.recovering() {
-			s.cool(r)
+			s.startRecovery(r)
 		}
 	}
-	s.hold(m, e.Key)
+	s.queueMessage(m, e.Key)
 }
 
 // admit asks the gate, at arrival. Beside the paper's ratio stand two departures: the deadline bounds, and
 // a share of the room for held messages, since one backlog must not turn everybody else's messages away.
 func (s *Sender) admit(d *destination, m *message) bool {
-	if s.cfg.MaxOpen > 0 && len(d.waiting) > s.cfg.MaxOpen-len(s.open) {
+	if s.cfg.MaxOpenMessages > 0 && len(d.waiting) > s.cfg.MaxOpenMessages-len(s.openMessages) {
 		return false
 	}
 	if d.gate.accepts(d.gate.average, seconds(m.class.Deadline)) {
 		return true
 	}
 	// Shut: with nobody held or out, a single trial message lets the ratio fall.
-	if len(d.waiting) == 0 && len(d.calls) == 0 && s.now-d.lastTrial >= gateTrial {
-		d.lastTrial = s.now
+	if len(d.waiting) == 0 && len(d.calls) == 0 && s.now-d.lastGateTrialAt >= gateTrialInterval {
+		d.lastGateTrialAt = s.now
 		return true
 	}
 	return false
@@ -224,95 +224,95 @@
 
 // accepts moves the gate between its bounds and tells whether it is open.
 func (g *gate) accepts(current, deadline float64) bool {
-	base := max(g.baseline, seconds(floorResponse))
-	upper, lower := gateUpper*base, gateLower*base
+	base := max(g.baseline, seconds(minResponseTime))
+	upper, lower := gateUpperRatio*base, gateLowerRatio*base
 	if deadline > 0 {
-		upper, lower = min(upper, deadlineShut*deadline), min(lower, deadlineOpen*deadline)
+		upper, lower = min(upper, gateUpperDeadlineShare*deadline), min(lower, gateLowerDeadlineShare*deadline)
 	}
-	g.shut = current > upper || (g.seen && g.shut && current >= lower)
+	g.shut = current > upper || (g.sampled && g.shut && current >= lower)
 	return !g.shut
 }
 
 // retryAfter asks a refused client to stay away for about as long as the backlog lasts.
 func (s *Sender) retryAfter(d *destination) time.Duration {
 	after := s.cfg.MaxRetryAfter
-	if d.gate.seen && !d.gate.shut {
-		after = min(after, span(d.gate.average))
+	if d.gate.sampled && !d.gate.shut {
+		after = min(after, duration(d.gate.average))
 	}
 	return after
 }
 
 // mayRefuse tells whether a refusal promises the truth, that coming again is harmless.
-func (s *Sender) mayRefuse(m *message) bool {
-	if m.class.Effect == Safe || (m.out == 0 && !m.touched) {
+func (s *Sender) refusalIsSafe(m *message) bool {
+	if m.class.Effect == Idempotent || (m.inFlight == 0 && !m.mayHaveRun) {
 		return true
 	}
-	return m.class.Effect == Keyed && m.touched && m.class.GroupAll && s.now <= s.windowEnd(m)
+	return m.class.Effect == Deduplicated && m.mayHaveRun && m.class.AllEndpointsDeduplicate && s.now <= s.dedupWindowEnd(m)
 }
 
 // giveUp ends a message as its effect allows.
 func (s *Sender) giveUp(m *message) {
-	if s.mayRefuse(m) {
-		s.finish(m, PushBack{ID: m.id, RetryAfter: s.retryAfter(m.dest)})
+	if s.refusalIsSafe(m) {
+		s.finish(m, Refuse{ID: m.id, RetryAfter: s.retryAfter(m.dest)})
 	} else {
 		s.finish(m, Fail{ID: m.id})
 	}
 }
 
 // expire gives every open message its end in time, and sweeps out the ended.
-func (s *Sender) expire() {
-	s.open = slices.DeleteFunc(s.open, func(m *message) bool {
+func (s *Sender) expireMessages() {
+	s.openMessages = slices.DeleteFunc(s.openMessages, func(m *message) bool {
 		switch {
-		case m.over:
-		case s.now >= m.dropDead-endMargin-s.cfg.Tick && m.out == 0, s.now >= m.dropDead:
+		case m.ended:
+		case s.now >= m.deadline-answerMargin-s.cfg.Tick && m.inFlight == 0, s.now >= m.deadline:
 			s.giveUp(m)
-		case m.touched && m.out == 0 && m.class.Effect == Keyed && s.now >= s.windowEnd(m)-2*pollEvery:
+		case m.mayHaveRun && m.inFlight == 0 && m.class.Effect == Deduplicated && s.now >= s.dedupWindowEnd(m)-2*waitingPollInterval:
 			s.giveUp(m) // soon it could neither be sent nor refused
 		}
-		return m.over
+		return m.ended
 	})
 }
 
 // ended takes the outcome of an attempt.
-func (s *Sender) ended(e Ended) {
+func (s *Sender) handleAttemptEnded(e AttemptEnded) {
 	key := attempt{e.ID, e.Attempt}
-	m, c := s.sent[key].m, s.sent[key].c
+	m, c := s.inFlight[key].message, s.inFlight[key].call
 	if c == nil {
 		return
 	}
-	delete(s.sent, key)
-	if c.left--; c.left == 0 {
-		s.hangEnd(c)
+	delete(s.inFlight, key)
+	if c.unfinished--; c.unfinished == 0 {
+		s.releaseSlot(c)
 	}
-	s.report(c.ep.route, e.Report)
-	s.judge(c, e)
-	if !s.stray(c, e) && c.left == 0 {
-		s.tellKeeper(c.ep, e.Outcome, e.Wait)
+	s.applyReport(c.endpoint.route, e.Report)
+	s.updateHealth(c, e)
+	if !s.isStaleConnReset(c, e) && c.unfinished == 0 {
+		s.reportCallEnd(c.endpoint, e.Outcome, e.RetryAfter)
 	}
-	m.out--
-	ran := e.Outcome == Fault || e.Outcome == TimedOut || e.Outcome == ConnReset || e.Outcome == Cancelled
-	if ran && m.class.Effect != Safe && (!m.touched || c.sentAt < m.mayRun) {
-		m.touched, m.mayRun, m.zone = true, c.sentAt, c.ep.zone
+	m.inFlight--
+	ran := e.Outcome == ServerError || e.Outcome == TimedOut || e.Outcome == ConnReset || e.Outcome == Cancelled
+	if ran && m.class.Effect != Idempotent && (!m.mayHaveRun || c.sentAt < m.firstRunSentAt) {
+		m.mayHaveRun, m.firstRunSentAt, m.runZone = true, c.sentAt, c.endpoint.zone
 	}
-	if ran && e.Outcome != Fault && m.key != "" {
-		s.rests[m.key] = max(s.rests[m.key], s.now+s.cfg.OrderSettle)
+	if ran && e.Outcome != ServerError && m.key != "" {
+		s.keyBlockedUntil[m.key] = max(s.keyBlockedUntil[m.key], s.now+s.cfg.OrderedPause)
 	}
-	if m.over {
+	if m.ended {
 		return // ended meanwhile; its turn and its key had to hear of the outcome all the same
 	}
-	stray := s.stray(c, e)
+	stray := s.isStaleConnReset(c, e)
 	if !stray {
-		s.sample(m, c, e.Outcome)
+		s.sampleGate(m, c, e.Outcome)
 	}
 	switch {
-	case e.Closed || e.Outcome == Pass:
+	case e.MessageDone || e.Outcome == Success:
 		s.finish(m, nil)
-	case m.out > 0: // another copy is out and may still pass
-	case s.now >= m.dropDead-endMargin, ran && m.class.Effect == Unsafe, s.spent(m):
+	case m.inFlight > 0: // another copy is out and may still pass
+	case s.now >= m.deadline-answerMargin, ran && m.class.Effect == AtMostOnce, s.attemptsExhausted(m):
 		s.giveUp(m)
 	default:
 		if !stray && (ran || e.Outcome == ConnectFailed) {
-			m.notBefore = s.now + retryRest<<min(m.attempts, 16)
+			m.notBefore = s.now + minRetryBackoff<<min(m.attempts, 16)
 		}
 		s.enqueue(m)
 	}
@@ -321,8 +321,8 @@
 // stray tells that a call was lost with its connection. An endpoint may close an idle one at any moment, and
 // a call that crosses the close is reset before it could be answered: no sign of an outage or of slowness.
 // If the endpoint is down, the next call, over a new connection, tells.
-func (s *Sender) stray(c *call, e Ended) bool {
-	return e.Outcome == ConnReset && e.Reused && seconds(e.Took) < c.ep.usual/2
+func (s *Sender) isStaleConnReset(c *call, e AttemptEnded) bool {
+	return e.Outcome == ConnReset && e.ReusedConn && seconds(e.Took) < c.endpoint.smoothedLatency/2
 }
 
 // sample is the one place that turns outcomes into gate samples. Whatever did not deliver is charged as slow,
@@ -331,114 +331,114 @@
 // through an outage only the time since the return counts (the call itself in any case): its hold says
 // nothing of what a new one would meet, and the old backlog kept the gate shut for messages that could be
 // in time.
-func (s *Sender) sample(m *message, c *call, o Outcome) {
-	sec := seconds(s.now - max(m.arrived, min(c.ep.route.coldFrom, c.sentAt)))
+func (s *Sender) sampleGate(m *message, c *call, o Outcome) {
+	sec := seconds(s.now - max(m.arrived, min(c.endpoint.route.recoveryStartedAt, c.sentAt)))
 	switch o {
-	case Pass:
+	case Success:
 	case NotSent, Cancelled:
 		return
 	case Rejected:
-		if !m.dest.troubled() {
+		if !m.dest.allCircuitsOpen() {
 			return
 		}
 		fallthrough
 	default:
-		sec = max(sec, failCharge*seconds(m.aim))
+		sec = max(sec, failurePenaltyAims*seconds(m.aim))
 	}
 	m.dest.gate.sample(s.now, sec)
 }
 
 // judge updates the health of an endpoint and its route from an outcome.
-func (s *Sender) judge(c *call, e Ended) {
-	ep, r, took := c.ep, c.ep.route, max(seconds(e.Took), seconds(floorResponse))
+func (s *Sender) updateHealth(c *call, e AttemptEnded) {
+	ep, r, took := c.endpoint, c.endpoint.route, max(seconds(e.Took), seconds(minResponseTime))
 	if c.trial {
-		r.trial = false
+		r.trialInFlight = false
 	}
-	if s.stray(c, e) {
+	if s.isStaleConnReset(c, e) {
 		return
 	}
-	if s.tableSample(ep.dest.kind, e) > crowdedSign {
-		s.crowded[ep.dest.kind] = s.now + crowdedSpan
+	if s.sampleConnTable(ep.dest.kind, e) > connTableFullExcess {
+		s.connTableFullUntil[ep.dest.kind] = s.now + connTableFullTime
 	}
 	switch e.Outcome {
-	case Pass:
-		ep.usual, ep.shunRest = ease(ep.usual, took), 0
-		ep.response = ease(ep.response, took)
-		if r.fails > 0 && r.harmless && !r.sick {
-			s.crowded[ep.dest.kind] = s.now + crowdedSpan // no connection, then a pass: a full table
+	case Success:
+		ep.smoothedLatency, ep.ejectionTime = smooth(ep.smoothedLatency, took), 0
+		ep.penalizedLatency = smooth(ep.penalizedLatency, took)
+		if r.failures > 0 && r.failureRanNothing && !r.circuitOpen {
+			s.connTableFullUntil[ep.dest.kind] = s.now + connTableFullTime // no connection, then a pass: a full table
 		}
-		s.passed(r)
+		s.recordSuccess(r)
 	case NotSent:
 	case Rejected:
 		// Refusals in a row rest longer each time, over a limit or shut. They are no outage by themselves:
 		// a large fleet meets three in a row at any busy limit.
-		if s.now-r.waitUntil > r.rest {
-			r.rest = refusedRest
+		if s.now-r.waitUntil > r.refusalBackoff {
+			r.refusalBackoff = minRefusalBackoff
 		} else if s.now >= r.waitUntil { // no fellow of the call that told of it
-			r.rest *= 2
+			r.refusalBackoff *= 2
 		}
-		if rest := r.rest; s.governed(ep.dest) {
-			r.waitUntil = max(r.waitUntil, s.now+e.Wait) // for the rest the keeper holds back grants
+		if backoff := r.refusalBackoff; s.needsGrant(ep.dest) {
+			r.waitUntil = max(r.waitUntil, s.now+e.RetryAfter) // for the rest the keeper holds back grants
 		} else {
-			r.waitUntil = max(r.waitUntil, s.now+max(e.Wait, rest))
+			r.waitUntil = max(r.waitUntil, s.now+max(e.RetryAfter, backoff))
 		}
-		ep.response = ease(ep.response, 2*max(ep.response, took))
+		ep.penalizedLatency = smooth(ep.penalizedLatency, 2*max(ep.penalizedLatency, took))
 		// Refused where there is no limit: a full queue, as of a destination that hangs.
-		stuck := r.reported && r.limit == 0
-		if shut := e.Wait > shutWait; shut || stuck || r.sick {
-			s.failure(ep.dest, r, shut, true)
-		} else if e.Wait > 0 || e.Reused || s.now >= s.crowded[ep.dest.kind] { // else a full table's
-			s.cut(ep.dest, r)
-			if c := &ep.dest.claim; c.heardAt < c.askedAt {
-				c.allowed *= allowanceCut
+		queueFull := r.reported && r.limit == 0
+		if outage := e.RetryAfter > minOutageRetryAfter; outage || queueFull || r.circuitOpen {
+			s.recordFailure(ep.dest, r, outage, true)
+		} else if e.RetryAfter > 0 || e.ReusedConn || s.now >= s.connTableFullUntil[ep.dest.kind] { // else a full table's
+			s.cutShare(ep.dest, r)
+			if c := &ep.dest.requester; c.answeredAt < c.requestedAt {
+				c.allowanceFactor *= allowanceCutFactor
 			}
 		}
 	default:
-		ep.response = ease(ep.response, max(2*ep.response, took, seconds(slowLeast)))
-		ep.dest.claim.failedAt = s.now
-		if e.Outcome == ConnectFailed && s.shun(ep) {
+		ep.penalizedLatency = smooth(ep.penalizedLatency, max(2*ep.penalizedLatency, took, seconds(minSlowCallTime)))
+		ep.dest.requester.lastFailureAt = s.now
+		if e.Outcome == ConnectFailed && s.eject(ep) {
 			return
 		}
-		s.failure(ep.dest, r, false, e.Outcome == ConnectFailed)
+		s.recordFailure(ep.dest, r, false, e.Outcome == ConnectFailed)
 	}
-	if c.left == 0 && e.Outcome != ConnectFailed && e.Outcome != NotSent {
-		s.rested = append(s.rested, ep)
+	if c.unfinished == 0 && e.Outcome != ConnectFailed && e.Outcome != NotSent {
+		s.idleCandidates = append(s.idleCandidates, ep)
 	}
 }
 
 // shun leaves an endpoint that takes no connection alone for a while, longer each time, and tells whether
 // others of its route are left: then it has most likely gone, the list is late, and the route is not struck.
-func (s *Sender) shun(ep *endpoint) (others bool) {
-	if s.now >= ep.shunUntil {
-		ep.shunRest = min(max(2*ep.shunRest, shunFirst), shunLast)
-		ep.shunUntil = s.now + ep.shunRest
+func (s *Sender) eject(ep *endpoint) (othersAvailable bool) {
+	if s.now >= ep.ejectedUntil {
+		ep.ejectionTime = min(max(2*ep.ejectionTime, minEjectionTime), maxEjectionTime)
+		ep.ejectedUntil = s.now + ep.ejectionTime
 	}
-	return s.othersOpen(ep)
+	return s.othersAvailable(ep)
 }
 
 // giveBack closes idle connections that stand in other senders' way: an endpoint's table may be small, idle
 // ones counted, and a large fleet fills it. It acts where the connection would be closed before its next use
 // anyway, and at a kind where tables seem full: that costs handshakes while the sign lasts, and what waits
 // for its pace or a rest waits without a connection. One that this step's calls take is no idle one.
-func (s *Sender) giveBack() {
-	for _, ep := range s.rested {
-		rare := s.cfg.ConnIdle > 0 && (ep.gap == 0 || ep.gap > seconds(s.cfg.ConnIdle))
-		if ep.sentAt < s.now && (rare && len(ep.dest.waiting) == 0 || s.now < s.crowded[ep.dest.kind]) {
-			s.do(HangUp{Endpoint: ep.id})
+func (s *Sender) closeIdleConns() {
+	for _, ep := range s.idleCandidates {
+		rarelyCalled := s.cfg.IdleConnTimeout > 0 && (ep.sendInterval == 0 || ep.sendInterval > seconds(s.cfg.IdleConnTimeout))
+		if ep.lastSentAt < s.now && (rarelyCalled && len(ep.dest.waiting) == 0 || s.now < s.connTableFullUntil[ep.dest.kind]) {
+			s.emit(CloseIdle{Endpoint: ep.id})
 		}
 	}
-	s.rested = s.rested[:0]
+	s.idleCandidates = s.idleCandidates[:0]
 }
 
 // cut lowers this sender's part of the limit at a refusal. It knows its part by its own demand: whatever it
 // was, it falls to that at once and is halved from there, for where refused calls use up the limit, a fleet
 // that goes on asking gets nothing. The next call comes at any moment of the new pace, lest all come at once.
-func (s *Sender) cut(d *destination, r *route) {
+func (s *Sender) cutShare(d *destination, r *route) {
 	if limit := s.limit(r); limit > 0 {
-		r.part = min(r.part, 2*d.rate(s.now)/limit)
+		r.limitShare = min(r.limitShare, 2*d.arrivalRate(s.now)/limit)
 	}
-	r.part = max(r.part*partCut, 0.5/float64(s.cfg.Fleet))
-	r.partAt, r.cutAt = s.now, s.now
+	r.limitShare = max(r.limitShare*shareCutFactor, 0.5/float64(s.cfg.FleetSize))
+	r.limitShareAt, r.lastCutAt = s.now, s.now
 	r.tokens = min(r.tokens, s.rng.Float64())
 }
 
@@ -448,78 +448,78 @@
 // lossy path of our own does not make all destinations look struck. Only calls that follow a pass there count
 // in that share, or an outage would raise the bar for itself. Routes apart of one destination add up their
 // runs, for an outage mostly takes them all and each sees few calls.
-func (s *Sender) failure(d *destination, r *route, sure, harmless bool) {
-	r.harmless, r.partAt = harmless, s.now
-	r.fails++
-	if !r.sick {
-		if r.fails == 1 {
-			r.failedAt = s.now
-			s.failing += failWeight * (1 - s.failing)
-		}
-		least := float64(sickCount)
-		if s.now-r.failedAt >= sickSpan || (!r.whole && d.rate(s.now)*seconds(sickSpan) < rareCalls) {
-			least--
-		}
-		run := max(least, math.Log(chanceRun)/math.Log(min(max(s.failing, 0.01), 0.7)))
-		fails := r.fails
-		for _, mate := range d.endpoints {
-			if !r.whole && mate.route != r {
-				fails += mate.route.fails
+func (s *Sender) recordFailure(d *destination, r *route, certain, ranNothing bool) {
+	r.failureRanNothing, r.limitShareAt = ranNothing, s.now
+	r.failures++
+	if !r.circuitOpen {
+		if r.failures == 1 {
+			r.firstFailureAt = s.now
+			s.failureRate += failureRateSmoothing * (1 - s.failureRate)
+		}
+		minRun := float64(failuresToOpen)
+		if s.now-r.firstFailureAt >= sustainedFailureTime || (!r.fleetWide && d.arrivalRate(s.now)*seconds(sustainedFailureTime) < rareCallCount) {
+			minRun--
+		}
+		neededRun := max(minRun, math.Log(maxRandomRunProbability)/math.Log(min(max(s.failureRate, 0.01), 0.7)))
+		failures := r.failures
+		for _, other := range d.endpoints {
+			if !r.fleetWide && other.route != r {
+				failures += other.route.failures
 			}
 		}
-		if sure || float64(fails) >= run {
-			s.strike(r)
+		if certain || float64(failures) >= neededRun {
+			s.openCircuit(r)
 		}
-	} else if s.now >= r.trialAt {
-		if !r.whole { // one tries for all
-			r.backoff = min(2*r.backoff, trialLast)
+	} else if s.now >= r.nextTrialAt {
+		if !r.fleetWide { // one tries for all
+			r.trialBackoff = min(2*r.trialBackoff, maxTrialBackoff)
 		}
-		r.trialAt = s.now + r.backoff/2 + time.Duration(s.rng.Int64N(int64(r.backoff)))
+		r.nextTrialAt = s.now + r.trialBackoff/2 + time.Duration(s.rng.Int64N(int64(r.trialBackoff)))
 	}
 }
 
 // strike opens an outage. The allowance starts anywhere below one call, or the senders of a large fleet, most
 // of which hold a single message, would all try at the same age of the outage.
-func (s *Sender) strike(r *route) {
+func (s *Sender) openCircuit(r *route) {
 	if !r.recovering() {
-		r.struckAt, r.demand = s.now, 1
-		r.tokens, r.tokensAt = s.rng.Float64(), s.now
+		r.outageStartedAt, r.demandSinceOutage = s.now, 1
+		r.tokens, r.refilledAt = s.rng.Float64(), s.now
 	}
-	r.sick, r.backoff, r.coldFrom = true, trialFirst, 0
-	r.trialAt = s.now + r.backoff
+	r.circuitOpen, r.trialBackoff, r.recoveryStartedAt = true, minTrialBackoff, 0
+	r.nextTrialAt = s.now + r.trialBackoff
 }
 
 // cool takes a route for just back from an outage.
-func (s *Sender) cool(r *route) {
-	s.strike(r)
-	r.sick, r.coldFrom = false, s.now
+func (s *Sender) startRecovery(r *route) {
+	s.openCircuit(r)
+	r.circuitOpen, r.recoveryStartedAt = false, s.now
 }
 
 // passed notes a delivered call: the end of an outage, a step of the recovery, or plain health.
-func (s *Sender) passed(r *route) {
-	if !r.sick && r.fails == 0 {
-		s.failing *= 1 - failWeight
+func (s *Sender) recordSuccess(r *route) {
+	if !r.circuitOpen && r.failures == 0 {
+		s.failureRate *= 1 - failureRateSmoothing
 	}
-	r.rest, r.fails = 0, 0
-	if gap := seconds(s.now - r.passedAt); gap > 1 {
-		r.busiest = max(r.busiest, r.passed/gap)
-		r.passed, r.passedAt = 0, s.now
+	r.refusalBackoff, r.failures = 0, 0
+	if gap := seconds(s.now - r.windowStartedAt); gap > 1 {
+		r.peakRate = max(r.peakRate, r.windowSuccesses/gap)
+		r.windowSuccesses, r.windowStartedAt = 0, s.now
 	}
-	r.passed++
+	r.windowSuccesses++
 	// A rare sender's part would never come back in steps of a second; it grows by its whole pause where the
 	// destination tells that there is room.
-	most := max(1, r.left*seconds(demandSpan))
-	grow := partGrow
-	if r.whole && r.full < fullCut/4 { // not too much, it seems: who took a limit over soon has all of it
-		grow = takeOverGrow
+	maxSpan := max(1, r.limitLeft*seconds(demandDecayTime))
+	growth := shareGrowthPerSecond
+	if r.fleetWide && r.refusedShare < fleetRefusalThreshold/4 { // not too much, it seems: who took a limit over soon has all of it
+		growth = takeoverGrowthPerSecond
 	}
-	r.part = min(1, r.part+grow*max(r.part, s.even(r))*min(most, seconds(s.now-r.partAt)))
-	r.partAt = s.now
+	r.limitShare = min(1, r.limitShare+growth*max(r.limitShare, s.evenShare(r))*min(maxSpan, seconds(s.now-r.limitShareAt)))
+	r.limitShareAt = s.now
 	switch {
-	case r.sick:
-		r.sick, r.coldFrom = false, s.now
-	case r.coldFrom > 0 && s.now-r.coldFrom > s.cfg.WarmWithin:
-		r.coldFrom = 0
+	case r.circuitOpen:
+		r.circuitOpen, r.recoveryStartedAt = false, s.now
+	case r.recoveryStartedAt > 0 && s.now-r.recoveryStartedAt > s.cfg.WarmUpTime:
+		r.recoveryStartedAt = 0
 	}
 }
 
@@ -528,75 +528,75 @@
 	switch {
 	case r.limit > 0:
 		return r.limit
-	case r.weight > 0 && s.cfg.RoughWeights:
-		return r.weight / roughWeight
+	case r.weight > 0 && s.cfg.ApproximateWeights:
+		return r.weight / maxWeightError
 	case r.weight > 0:
 		return r.weight
 	}
-	return max(r.busiest, 1)
+	return max(r.peakRate, 1)
 }
 
 // pace is how many calls a second this sender may send on the route, and whether it is so bound. Of the cold
 // budget it takes what its own demand since the outage began calls for: over all senders that sums up to what
 // the destination is asked for, which a warm one can do. An even share starves the few senders of a large
 // fleet that hold messages, and wastes what the others leave.
-func (s *Sender) pace(r *route) (rate float64, bound bool) {
-	if r.recovering() && s.cfg.Fall > 0 && s.cfg.FallMultiple > 0 {
-		share := s.cfg.ColdFrom
-		if r.coldFrom > 0 && s.cfg.WarmWithin > 0 {
-			share += (1 - share) * min(1, seconds(s.now-r.coldFrom)/seconds(s.cfg.WarmWithin))
-		}
-		even := s.capacity(r) * s.even(r)
-		own := r.demand / max(seconds(s.now-r.struckAt), seconds(s.cfg.Fall))
-		part := max(knowingShare*even, demandShare*min(own, s.capacity(r)))
-		rate = s.cfg.FallMultiple * share * part
-		if r.whole {
-			rate = min(rate*s.sure(r), r.part*s.capacity(r)) * s.here()
+func (s *Sender) callRate(r *route) (rate float64, limited bool) {
+	if r.recovering() && s.cfg.OverloadDuration > 0 && s.cfg.OverloadMultiple > 0 {
+		capacityShare := s.cfg.ColdCapacity
+		if r.recoveryStartedAt > 0 && s.cfg.WarmUpTime > 0 {
+			capacityShare += (1 - capacityShare) * min(1, seconds(s.now-r.recoveryStartedAt)/seconds(s.cfg.WarmUpTime))
+		}
+		evenRate := s.capacity(r) * s.evenShare(r)
+		ownDemand := r.demandSinceOutage / max(seconds(s.now-r.outageStartedAt), seconds(s.cfg.OverloadDuration))
+		budget := max(evenColdShare*evenRate, demandColdShare*min(ownDemand, s.capacity(r)))
+		rate = s.cfg.OverloadMultiple * capacityShare * budget
+		if r.fleetWide {
+			rate = min(rate*s.coldBudgetShare(r), r.limitShare*s.capacity(r)) * s.reachableShare()
 		}
 		return rate, true
 	}
 	limit := s.limit(r)
-	if r.whole {
-		limit *= s.here()
+	if r.fleetWide {
+		limit *= s.reachableShare()
 	}
-	if limit == 0 && r.whole && s.cfg.Cautious {
-		limit = max(slowStartAt, slowStart*r.best(s.now))
+	if limit == 0 && r.fleetWide && s.cfg.ColdStart {
+		limit = max(slowStartRate, slowStartFactor*r.bestRate(s.now))
 	}
-	return r.part * limit, limit > 0
+	return r.limitShare * limit, limit > 0
 }
 
 // refill brings the token bucket up to now. On the way back from an outage nothing is saved up for a burst.
 func (s *Sender) refill(r *route) {
-	rate, bound := s.pace(r)
-	if !bound {
-		r.tokens, r.tokensAt = 1, s.now
+	rate, limited := s.callRate(r)
+	if !limited {
+		r.tokens, r.refilledAt = 1, s.now
 		return
 	}
-	most := max(1, burstSpan*rate)
+	maxTokens := max(1, burstSeconds*rate)
 	if r.recovering() {
-		most = 1
-		if r.whole {
-			most = max(1, wholeSpan*rate) // wakes are too far apart for one call at a time of a whole fleet
+		maxTokens = 1
+		if r.fleetWide {
+			maxTokens = max(1, fleetRecoveryBurstSeconds*rate) // wakes are too far apart for one call at a time of a whole fleet
 		}
 	}
-	r.tokens = min(r.tokens+rate*seconds(s.now-r.tokensAt), most)
-	r.tokensAt = s.now
+	r.tokens = min(r.tokens+rate*seconds(s.now-r.refilledAt), maxTokens)
+	r.refilledAt = s.now
 }
 
 // lame tells that a destination is slow, or that at each of its routes the last call failed. With few slots,
 // first tries at silent destinations held them all.
-func (s *Sender) lame(d *destination) bool {
+func (s *Sender) isImpaired(d *destination) bool {
 	for _, e := range d.endpoints {
-		if e.usable() && e.route.fails == 0 {
-			return s.slow(d)
+		if e.usable() && e.route.failures == 0 {
+			return s.isSlow(d)
 		}
 	}
 	return true
 }
 
 // heldBack tells that lame destinations, of which this is one, hold their share of the slots.
-func (s *Sender) heldBack(d *destination) bool {
-	return s.lame(d) && s.cfg.Slots > 0 && float64(s.lameHeld()) >= max(1, slowShare*float64(s.cfg.Slots))
+func (s *Sender) atImpairedSlotCap(d *destination) bool {
+	return s.isImpaired(d) && s.cfg.Slots > 0 && float64(s.impairedSlots()) >= max(1, maxImpairedSlotShare*float64(s.cfg.Slots))
 }
 
 // preempt calls off calls that are out far longer than usual while no slot is free: silence, be it a few
@@ -604,45 +604,45 @@
 // repeated goes first and at once; one that may not, only while slow destinations hold more than their share
 // of the slots, for it ends failed. Called-off work may be wasted; a full node would lose far more.
 func (s *Sender) preempt() {
-	if !s.cfg.MayCancel || s.cfg.Slots <= 0 || s.busy < s.cfg.Slots {
+	if !s.cfg.MayCancel || s.cfg.Slots <= 0 || s.callsInFlight < s.cfg.Slots {
 		return
 	}
-	held, oldest, late := 0, (*call)(nil), 0.0
-	for _, d := range s.active {
-		slow := s.slow(d)
+	slowCalls, victim, mostOverdue := 0, (*call)(nil), 0.0
+	for _, d := range s.activeDestinations {
+		slow := s.isSlow(d)
 		for _, c := range d.calls {
-			if c.called {
+			if c.cancelRequested {
 				return // its slot is about to come back
 			}
 			if slow {
-				held++
+				slowCalls++
 			}
-			patience := max(slowFactor*c.ep.usual, seconds(slowLeast))
-			patience *= math.Pow(timeoutGrow, float64(c.ep.route.fails))
-			over := seconds(s.now-c.sentAt) / patience
-			if (c.repeatable && over > 1) || (!c.repeatable && slow && oldest == nil) {
-				if oldest == nil || (c.repeatable && (!oldest.repeatable || over > late)) {
-					oldest, late = c, over
+			patience := max(slowCallFactor*c.endpoint.smoothedLatency, seconds(minSlowCallTime))
+			patience *= math.Pow(timeoutFailureFactor, float64(c.endpoint.route.failures))
+			overdue := seconds(s.now-c.sentAt) / patience
+			if (c.repeatable && overdue > 1) || (!c.repeatable && slow && victim == nil) {
+				if victim == nil || (c.repeatable && (!victim.repeatable || overdue > mostOverdue)) {
+					victim, mostOverdue = c, overdue
 				}
 			}
 		}
 	}
-	if oldest == nil || (!oldest.repeatable && float64(held) <= slowShare*float64(s.cfg.Slots)) {
+	if victim == nil || (!victim.repeatable && float64(slowCalls) <= maxImpairedSlotShare*float64(s.cfg.Slots)) {
 		return
 	}
-	oldest.called = true
-	for _, a := range oldest.sends {
-		if s.sent[a].c == oldest {
-			s.do(Cancel{ID: a.id, Attempt: a.n})
+	victim.cancelRequested = true
+	for _, a := range victim.attempts {
+		if s.inFlight[a].call == victim {
+			s.emit(Cancel{ID: a.id, Attempt: a.number})
 		}
 	}
 }
 
 // release fills free slots: the waiting destination that had the least slot time of late comes first, so that
 // one whose calls last long does not get as many slots as a fast one.
-func (s *Sender) release() {
-	s.active = slices.DeleteFunc(s.active, func(d *destination) bool {
-		d.spend(s.now)
+func (s *Sender) sendWaiting() {
+	s.activeDestinations = slices.DeleteFunc(s.activeDestinations, func(d *destination) bool {
+		d.decaySlotUse(s.now)
 		d.active = len(d.waiting)+len(d.calls) > 0
 		return !d.active
 	})
@@ -650,14 +650,14 @@
 		var best *destination
 		var bestMsg *message
 		var bestEp *endpoint
-		if s.cfg.Slots > 0 && s.busy >= s.cfg.Slots {
+		if s.cfg.Slots > 0 && s.callsInFlight >= s.cfg.Slots {
 			return
 		}
-		for _, d := range s.active {
-			if len(d.waiting) == 0 || (best != nil && d.used >= best.used) {
+		for _, d := range s.activeDestinations {
+			if len(d.waiting) == 0 || (best != nil && d.slotUse >= best.slotUse) {
 				continue
 			}
-			if m, ep := s.next(d); m != nil {
+			if m, ep := s.nextMessage(d); m != nil {
 				best, bestMsg, bestEp = d, m, ep
 			}
 		}
@@ -671,26 +671,26 @@
 // next finds the message a destination would release now, and its endpoint. The order is that of arrival,
 // unless the queue is so long that waiting costs worth: then the one that loses most by waiting as long
 // as the oldest has waited goes first.
-func (s *Sender) next(d *destination) (*message, *endpoint) {
-	if s.heldBack(d) {
+func (s *Sender) nextMessage(d *destination) (*message, *endpoint) {
+	if s.atImpairedSlotCap(d) {
 		return nil, nil
 	}
-	open := false
+	anyOpen := false
 	for _, e := range d.endpoints {
 		s.refill(e.route)
-		open = open || s.routeOpen(e)
+		anyOpen = anyOpen || s.routeAllows(e)
 	}
-	if !open {
+	if !anyOpen {
 		return nil, nil
 	}
 	horizon := s.now - d.waiting[0].arrived
 	var best *message
 	var bestEp *endpoint
-	most := -1.0
+	maxLoss := -1.0
 	for _, m := range d.waiting {
-		if loss := s.loss(m, horizon); loss > most {
-			if ep := s.draw(m, s.check); ep != nil {
-				best, bestEp, most = m, ep, loss
+		if loss := s.worthLoss(m, horizon); loss > maxLoss {
+			if ep := s.pickEndpoint(m, s.maySend); ep != nil {
+				best, bestEp, maxLoss = m, ep, loss
 			}
 		}
 	}
@@ -699,90 +699,92 @@
 
 // loss is the worth that a message loses by waiting for another span. What a restart found untried comes
 // before all others, in order of arrival: by its worth alone it would wait to its end.
-func (s *Sender) loss(m *message, wait time.Duration) float64 {
-	if m.found && m.attempts == 0 {
+func (s *Sender) worthLoss(m *message, delay time.Duration) float64 {
+	if m.resumed && m.attempts == 0 {
 		return math.MaxFloat64
 	}
-	usual := time.Duration(0)
+	latency := time.Duration(0)
 	if e := m.dest.endpoints; len(e) > 0 {
-		usual = span(e[0].usual)
+		latency = duration(e[0].smoothedLatency)
 	}
-	return s.value(m, s.now+usual) - s.value(m, s.now+usual+wait)
+	return s.worthAt(m, s.now+latency) - s.worthAt(m, s.now+latency+delay)
 }
 
 // draw picks an endpoint at random among those that pass a check, odds falling with smoothed latency.
-func (s *Sender) draw(m *message, check func(*message, *endpoint) bool) *endpoint {
+func (s *Sender) pickEndpoint(m *message, check func(*message, *endpoint) bool) *endpoint {
 	total := 0.0
-	var fit []*endpoint
+	var candidates []*endpoint
 	var odds []float64
 	for _, e := range m.dest.endpoints {
 		if check(m, e) {
-			if shunned := s.now < e.shunUntil; shunned && len(fit) > 0 && s.now >= fit[0].shunUntil {
+			if shunned := s.now < e.ejectedUntil; shunned && len(candidates) > 0 && s.now >= candidates[0].ejectedUntil {
 				continue
-			} else if !shunned && len(fit) > 0 && s.now < fit[0].shunUntil {
-				fit, odds, total = nil, nil, 0 // whoever takes connections comes before those that don't
+			} else if !shunned && len(candidates) > 0 && s.now < candidates[0].ejectedUntil {
+				candidates, odds, total = nil, nil, 0 // whoever takes connections comes before those that don't
 			}
-			o := math.Pow(max(e.response, seconds(floorResponse)), -drawPower)
-			fit, odds, total = append(fit, e), append(odds, o), total+o
+			o := math.Pow(max(e.penalizedLatency, seconds(minResponseTime)), -pickLatencyExponent)
+			candidates, odds, total = append(candidates, e), append(odds, o), total+o
 		}
 	}
-	if len(fit) == 0 {
+	if len(candidates) == 0 {
 		return nil
 	}
 	x := s.rng.Float64() * total
-	for i, e := range fit {
+	for i, e := range candidates {
 		if x -= odds[i]; x < 0 {
 			return e
 		}
 	}
-	return fit[len(fit)-1]
+	return candidates[len(candidates)-1]
 }
 
 // routeOpen is the part of the check that hangs on the endpoint alone: operators, drain, wait,
 // health, budget and pace.
-func (s *Sender) routeOpen(e *endpoint) bool {
+func (s *Sender) routeAllows(e *endpoint) bool {
 	r := e.route
 	if !e.usable() || s.now < r.waitUntil {
 		return false
 	}
-	if s.governed(e.dest) {
-		return s.granted(e)
+	if s.needsGrant(e.dest) {
+		return s.hasGrant(e)
 	}
-	if r.tokens < 1 || s.shared() && !s.onAllowance(e) {
+	if r.tokens < 1 || s.sharesLimits() && !s.withinAllowance(e) {
 		return false
 	}
-	return !r.sick || (!r.trial && s.now >= r.trialAt)
+	return !r.circuitOpen || (!r.trialInFlight && s.now >= r.nextTrialAt)
 }
 
 // check is the one gate before every send; no path goes round it.
-func (s *Sender) check(m *message, e *endpoint) bool { return s.routeOpen(e) && s.fits(m, e) }
+func (s *Sender) maySend(m *message, e *endpoint) bool {
+	return s.routeAllows(e) && s.messageAllows(m, e)
+}
 
 // fits is the part of the check that hangs on the message.
-func (s *Sender) fits(m *message, e *endpoint) bool {
-	if m.over || m.out > 0 || s.now < m.notBefore || s.spent(m) {
+func (s *Sender) messageAllows(m *message, e *endpoint) bool {
+	if m.ended || m.inFlight > 0 || s.now < m.notBefore || s.attemptsExhausted(m) {
 		return false
 	}
-	if s.cfg.Slots > 0 && s.busy >= s.cfg.Slots || s.now >= m.dropDead-endMargin-2*s.cfg.Tick {
+	if s.cfg.Slots > 0 && s.callsInFlight >= s.cfg.Slots || s.now >= m.deadline-answerMargin-2*s.cfg.Tick {
 		return false
 	}
 	switch m.class.Effect {
-	case Unsafe:
+	case AtMostOnce:
 		// On a sick route an unsafe message risks an unsure end, unless failures there prove that
 		// nothing ran; with most of its time gone it has less to lose.
-		spent := s.now-m.arrived > (m.dropDead-m.arrived)/2
-		if m.touched || (e.route.sick && !e.route.harmless && !spent) {
+		pastHalf := s.now-m.arrived > (m.deadline-m.arrived)/2
+		if m.mayHaveRun || (e.route.circuitOpen && !e.route.failureRanNothing && !pastHalf) {
 			return false
 		}
-	case Keyed:
-		if m.touched && (s.now > s.windowEnd(m) || (!m.class.GroupAll && e.zone != m.zone)) {
+	case Deduplicated:
+		if m.mayHaveRun && (s.now > s.dedupWindowEnd(m) || (!m.class.AllEndpointsDeduplicate && e.zone != m.runZone)) {
 			return false
 		}
 	}
 	if m.key != "" {
-		s.trimLine(m.key)
+		s.trimKeyQueue(m.key)
 		// Whoever had the turn before may try again without a rest.
-		line := s.lines[m.key]
-		if (s.now < s.rests[m.key] && m.attempts == 0) || (len(line) > 0 && line[0] != m) {
+		queue := s.keyQueues[m.key]
+		if (s.now < s.keyBlockedUntil[m.key] && m.attempts == 0) || (len(queue) > 0 && queue[0] != m) {
 			return false
 		}
 	}
@@ -792,62 +794,62 @@
 // send sends a message and, where the kind allows, more of the destination's waiting ones in the same call.
 func (s *Sender) send(d *destination, m *message, e *endpoint) {
 	r := e.route
-	c := &call{ep: e, sentAt: s.now, trial: r.sick, repeatable: true}
-	r.trial = r.trial || c.trial
+	c := &call{endpoint: e, sentAt: s.now, trial: r.circuitOpen, repeatable: true}
+	r.trialInFlight = r.trialInFlight || c.trial
 	group := []*message{m}
 	for _, o := range d.waiting {
-		if len(group) >= s.batch(d) || c.trial {
+		if len(group) >= s.maxBatch(d) || c.trial {
 			break
 		}
-		if o != m && s.check(o, e) {
+		if o != m && s.maySend(o, e) {
 			group = append(group, o)
 		}
 	}
 	for _, o := range group {
 		d.dequeue(o)
 		a := attempt{o.id, o.attempts}
-		s.sent[a], c.sends = sending{o, c}, append(c.sends, a)
+		s.inFlight[a], c.attempts = inFlightAttempt{o, c}, append(c.attempts, a)
 		o.attempts++
-		o.out++
-		c.left++
-		c.repeatable = c.repeatable && o.class.Effect != Unsafe
-		s.do(Send{ID: o.id, Endpoint: e.id, NotPast: s.timeout(o, e), BeginBy: s.beginBy(o)})
+		o.inFlight++
+		c.unfinished++
+		c.repeatable = c.repeatable && o.class.Effect != AtMostOnce
+		s.emit(Send{ID: o.id, Endpoint: e.id, AbandonAt: s.timeout(o, e), LatestStart: s.latestStart(o)})
 	}
-	if s.governed(d) {
-		s.useGrant(e)
+	if s.needsGrant(d) {
+		s.consumeGrant(e)
 	} else {
 		r.tokens--
-		d.claim.tokens--
+		d.requester.allowanceTokens--
 	}
-	if e.sentAt > 0 {
-		e.gap = ease(e.gap, seconds(s.now-e.sentAt))
+	if e.lastSentAt > 0 {
+		e.sendInterval = smooth(e.sendInterval, seconds(s.now-e.lastSentAt))
 	}
-	e.sentAt = s.now
-	s.busy++
+	e.lastSentAt = s.now
+	s.callsInFlight++
 	d.calls = append(d.calls, c)
-	d.used += seconds(sendCharge)
+	d.slotUse += seconds(slotChargePerCall)
 }
 
 // timeout is the clock time at which an attempt is abandoned. An unsafe message cannot be tried again, so it
 // is given all its time.
 func (s *Sender) timeout(m *message, e *endpoint) time.Duration {
-	last := m.dropDead - endMargin/2
-	if m.class.Effect == Unsafe {
+	last := m.deadline - answerMargin/2
+	if m.class.Effect == AtMostOnce {
 		return last
 	}
 	aim := seconds(m.aim)
-	t := max(timeoutFactor*e.usual, timeoutLeast*aim) * math.Pow(timeoutGrow, float64(e.route.fails))
-	if e.usual == 0 {
+	t := max(timeoutLatencyFactor*e.smoothedLatency, minTimeoutAims*aim) * math.Pow(timeoutFailureFactor, float64(e.route.failures))
+	if e.smoothedLatency == 0 {
 		t = aim
 	}
-	t = min(t, timeoutAims*aim)
-	return min(last, s.now+span(t))
+	t = min(t, maxTimeoutAims*aim)
+	return min(last, s.now+duration(t))
 }
 
 // probed takes the result of a probe as it takes that of a call.
-func (s *Sender) probed(e Probed) {
-	if ep := s.eps[e.Endpoint]; ep != nil {
-		s.report(ep.route, e.Report)
-		s.judge(&call{ep: ep, trial: true}, Ended{Outcome: e.Outcome, Took: e.Took})
+func (s *Sender) handleProbeEnded(e ProbeEnded) {
+	if ep := s.endpoints[e.Endpoint]; ep != nil {
+		s.applyReport(ep.route, e.Report)
+		s.updateHealth(&call{endpoint: ep, trial: true}, AttemptEnded{Outcome: e.Outcome, Took: e.Took})
 	}
 }
--- a/choice/fleet.go
+++ b/choice/fleet.go
@@ -15,118 +15,118 @@
 // asks are said again, and a sender that hears from no keeper goes on alone, by its own pace.
 
 const (
-	keeperRanks   = 4                      // senders that are tried as a keeper, one after another
-	wholeSpan     = 0.05                   // seconds of the fleet's pace that may go at once after an outage
-	askAgain      = 150 * time.Millisecond // an ask is said again after this,
-	askKept       = 400 * time.Millisecond // and after this if it was answered
-	onTheWay      = 100 * time.Millisecond // a grant has come by then, or is lost
-	askMisses     = 3                      // and a keeper that has not answered so many is taken for gone
-	askedLast     = time.Second            // an ask not said again for so long is forgotten
-	seekEvery     = time.Second            // who is alone or with a later keeper tries another so often
-	grantLast     = 200 * time.Millisecond // a grant that is not used is given back
-	trialLost     = 2 * time.Second        // a trial of which nothing is heard for so long is taken for lost
-	fleetCut      = 0.7                    // factor on the pace of all at refusals over the limit,
-	lostRest      = 2 * time.Second        // who got no connection comes after the others for so long
-	lostSign      = 500 * time.Millisecond // an outage lets nobody else's call pass for so long
-	fullWeight    = 0.1                    // weight of a call in the share of refusals over the limit,
-	fullCut       = 0.2                    // which tells that the pace is too high: a few come at any pace
-	fleetCutEvery = 250 * time.Millisecond // once for those of calls that were out together
-	fleetFloor    = 0.05                   // least share of the limit that all together try
-	fleetRestMost = time.Second            // longest rest of all after refusals in a row
-	splitLast     = 30 * time.Second       // who is gone without a word may call on elsewhere so long
-	takeOver      = 0.5                    // part of the limit that a keeper begins with
-	takeOverGrow  = 1.0                    // growth a second of it, while next to nothing is refused
-	memorySpan    = 30 * time.Second       // what an earlier process had learnt fades in this
-	silentLast    = 600 * time.Millisecond // a keeper without an answer for so long is silent
-	allowanceFade = 10 * time.Second       // in which an allowance goes from what was granted to an even part
-	allowanceCut  = 0.5                    // factor on it at a refusal over the limit,
-	allowanceGrow = 0.05                   // and what comes back a second
-	foundGrow     = 0.1                    // share by which a limit that was found is tried higher, a second
-	slowStartAt   = 5.0                    // calls a second that a fleet begins with where no limit is told,
-	slowStart     = 2.0                    // and times its best second from there, until some are refused
+	coordinatorRanks          = 4                      // senders that are tried as a keeper, one after another
+	fleetRecoveryBurstSeconds = 0.05                   // seconds of the fleet's pace that may go at once after an outage
+	requestRetryInterval      = 150 * time.Millisecond // an ask is said again after this,
+	requestRefreshInterval    = 400 * time.Millisecond // and after this if it was answered
+	maxGrantTransitTime       = 100 * time.Millisecond // a grant has come by then, or is lost
+	maxMissedRequests         = 3                      // and a keeper that has not answered so many is taken for gone
+	requestTTL                = time.Second            // an ask not said again for so long is forgotten
+	coordinatorSeekInterval   = time.Second            // who is alone or with a later keeper tries another so often
+	grantTTL                  = 200 * time.Millisecond // a grant that is not used is given back
+	fleetTrialTimeout         = 2 * time.Second        // a trial of which nothing is heard for so long is taken for lost
+	fleetShareCutFactor       = 0.7                    // factor on the pace of all at refusals over the limit,
+	connectFailureDeferral    = 2 * time.Second        // who got no connection comes after the others for so long
+	recentSuccessTime         = 500 * time.Millisecond // an outage lets nobody else's call pass for so long
+	fleetRefusalSmoothing     = 0.1                    // weight of a call in the share of refusals over the limit,
+	fleetRefusalThreshold     = 0.2                    // which tells that the pace is too high: a few come at any pace
+	fleetCutInterval          = 250 * time.Millisecond // once for those of calls that were out together
+	minFleetShare             = 0.05                   // least share of the limit that all together try
+	maxFleetRefusalBackoff    = time.Second            // longest rest of all after refusals in a row
+	partitionTimeout          = 30 * time.Second       // who is gone without a word may call on elsewhere so long
+	takeoverShare             = 0.5                    // part of the limit that a keeper begins with
+	takeoverGrowthPerSecond   = 1.0                    // growth a second of it, while next to nothing is refused
+	memoryDecayTime           = 30 * time.Second       // what an earlier process had learnt fades in this
+	coordinatorSilenceTimeout = 600 * time.Millisecond // a keeper without an answer for so long is silent
+	allowanceDecayTime        = 10 * time.Second       // in which an allowance goes from what was granted to an even part
+	allowanceCutFactor        = 0.5                    // factor on it at a refusal over the limit,
+	allowanceGrowthPerSecond  = 0.05                   // and what comes back a second
+	estimateGrowthPerSecond   = 0.1                    // share by which a limit that was found is tried higher, a second
+	slowStartRate             = 5.0                    // calls a second that a fleet begins with where no limit is told,
+	slowStartFactor           = 2.0                    // and times its best second from there, until some are refused
 )
 
 // met takes what membership tells of another sender. Who asked one that is gone asks the next at once.
-func (s *Sender) met(e Member) {
-	s.meet(e)
-	for _, d := range s.order {
-		if c, asked := &d.claim, s.keeper(d, d.claim.rank); s.rankAnew(d, c.rank) != asked {
-			c.rank, c.misses, c.wanted, c.alone = 0, 0, 0, false
+func (s *Sender) handleMemberChanged(e MemberChanged) {
+	s.updateMembers(e)
+	for _, d := range s.destinationOrder {
+		if c, former := &d.requester, s.coordinator(d, d.requester.rank); s.rankCoordinators(d, c.rank) != former {
+			c.rank, c.missedRequests, c.pendingCalls, c.uncoordinated = 0, 0, 0, false
 		}
 	}
 }
 
 // here is the part of a limit for those who are seen. The others may be cut off, and take theirs there.
-func (s *Sender) here() float64 {
-	lost := 0
-	for _, at := range s.lost {
-		if s.now-at < splitLast {
-			lost++
+func (s *Sender) reachableShare() float64 {
+	unreachable := 0
+	for _, at := range s.lostMembers {
+		if s.now-at < partitionTimeout {
+			unreachable++
 		}
 	}
-	return 1 - float64(lost)/float64(s.cfg.Fleet)
+	return 1 - float64(unreachable)/float64(s.cfg.FleetSize)
 }
 
 // beginAt is the part of a limit with which this sender begins to keep it. Those before it in rank may keep
 // it still, and not be heard by all: so each rank begins with half of the one before, and all that believe
 // themselves keeper begin with less than twice the limit together. Passes make it grow.
-func (s *Sender) beginAt(d *destination) float64 {
+func (s *Sender) initialFleetShare(d *destination) float64 {
 	part := 1.0
-	if s.lost != nil {
-		part = takeOver
+	if s.lostMembers != nil {
+		part = takeoverShare
 	}
-	for rank := 0; rank < keeperRanks && s.keeper(d, rank) != s.cfg.Number; rank++ {
-		part *= takeOver
+	for rank := 0; rank < coordinatorRanks && s.coordinator(d, rank) != s.cfg.Number; rank++ {
+		part *= takeoverShare
 	}
 	return part
 }
 
 // claims asks for what the waiting messages could use now.
-func (s *Sender) claims() {
-	for _, d := range s.active {
-		c := &d.claim
-		s.giveBackGrants(d)
-		if c.alone || c.rank > 0 {
-			s.seek(d)
+func (s *Sender) requestGrants() {
+	for _, d := range s.activeDestinations {
+		c := &d.requester
+		s.returnExpiredGrants(d)
+		if c.uncoordinated || c.rank > 0 {
+			s.seekCoordinator(d)
 		}
-		if c.alone {
+		if c.uncoordinated {
 			continue
 		}
-		n, urgency, route := s.wanted(d)
-		again, unheard := askKept, c.heardAt < c.askedAt
-		if unheard {
-			again = askAgain
+		demand, urgency, route := s.grantDemand(d)
+		interval, unanswered := requestRefreshInterval, c.answeredAt < c.requestedAt
+		if unanswered {
+			interval = requestRetryInterval
 		}
-		if n -= len(c.grants); n <= 0 || (n <= c.wanted && s.now-c.askedAt < again) {
+		if demand -= len(c.grants); demand <= 0 || (demand <= c.pendingCalls && s.now-c.requestedAt < interval) {
 			continue
 		}
-		if c.wanted > 0 && unheard && s.now-c.askedAt >= again {
-			s.missed(d)
+		if c.pendingCalls > 0 && unanswered && s.now-c.requestedAt >= interval {
+			s.countMissedRequest(d)
 		}
-		if !c.alone {
-			c.wanted = n
-			if unheard && s.now-c.silentAt >= silentLast {
-				s.warn(d, s.keeper(d, c.rank))
+		if !c.uncoordinated {
+			c.pendingCalls = demand
+			if unanswered && s.now-c.unansweredSince >= coordinatorSilenceTimeout {
+				s.reportOutages(d, s.coordinator(d, c.rank))
 			}
-			s.ask(d, s.keeper(d, c.rank), n, urgency, route)
+			s.sendRequest(d, s.coordinator(d, c.rank), demand, urgency, route)
 		}
 	}
 }
 
 // wanted counts the messages that could go out if they were granted, the worth of the best of them as a share
 // of the best there is, and the route that is drawn for it.
-func (s *Sender) wanted(d *destination) (n int, urgency float64, route uint16) {
-	if s.heldBack(d) {
+func (s *Sender) grantDemand(d *destination) (n int, urgency float64, route uint16) {
+	if s.atImpairedSlotCap(d) {
 		return
 	}
 	for _, m := range d.waiting {
-		if s.cfg.Slots > 0 && n >= s.cfg.Slots-s.busy {
+		if s.cfg.Slots > 0 && n >= s.cfg.Slots-s.callsInFlight {
 			break
 		}
-		if e := s.draw(m, s.askable); e != nil {
+		if e := s.pickEndpoint(m, s.allowsRequest); e != nil {
 			n++
-			if u := m.worth / s.mostWorth(); u > urgency {
-				urgency, route = u, s.mark(e)
+			if u := m.worth / s.maxClassWorth(); u > urgency {
+				urgency, route = u, s.routeID(e)
 			}
 		}
 	}
@@ -135,14 +135,14 @@
 
 // missed counts an ask without an answer: a silent keeper is given up for the next, and after the last of
 // them the sender goes on alone, on its allowance.
-func (s *Sender) missed(d *destination) {
-	c := &d.claim
-	if c.misses++; c.misses < askMisses {
+func (s *Sender) countMissedRequest(d *destination) {
+	c := &d.requester
+	if c.missedRequests++; c.missedRequests < maxMissedRequests {
 		return
 	}
-	c.misses, c.wanted = 0, 0
-	if c.rank++; c.rank >= len(d.keepers) {
-		c.rank, c.alone = 0, true
+	c.missedRequests, c.pendingCalls = 0, 0
+	if c.rank++; c.rank >= len(d.coordinators) {
+		c.rank, c.uncoordinated = 0, true
 	}
 }
 
@@ -152,172 +152,172 @@
 // to an even part of the limit. So those who hear nobody stay about within the limit together, whatever each
 // of them believes; a keeper that some do hear grants these no more than the limit, and both together are
 // under twice that, until the refusals cut both.
-func (s *Sender) allowance(d *destination) (arrival, second float64) {
-	c := &d.claim
+func (s *Sender) allowance(d *destination) (perArrival, perSecond float64) {
+	c := &d.requester
 	for i, e := range d.endpoints {
-		if e.usable() && (i == 0 || s.apart(d)) {
-			second += s.limit(e.route) / float64(s.cfg.Fleet)
+		if e.usable() && (i == 0 || s.hasSeparateRoutes(d)) {
+			perSecond += s.limit(e.route) / float64(s.cfg.FleetSize)
 		}
 	}
-	kept := math.Exp(-seconds(s.now-c.heardAt) / seconds(allowanceFade))
-	if second > 0 {
-		arrival, second = c.allowed*kept*c.share, second*c.allowed*(1-kept)
+	grantWeight := math.Exp(-seconds(s.now-c.answeredAt) / seconds(allowanceDecayTime))
+	if perSecond > 0 {
+		perArrival, perSecond = c.allowanceFactor*grantWeight*c.grantedShare, perSecond*c.allowanceFactor*(1-grantWeight)
 	} else { // nobody has told a limit: refusals alone bind
-		arrival, second = c.allowed, c.allowed*d.rate(s.now)
+		perArrival, perSecond = c.allowanceFactor, c.allowanceFactor*d.arrivalRate(s.now)
 	}
-	if at := max(c.failedAt, s.newSince(c)); at > 0 && s.now-at < s.cfg.WarmWithin { // it may be back cold
-		arrival, second = arrival*s.cfg.ColdFrom, second*s.cfg.ColdFrom
+	if coldSince := max(c.lastFailureAt, s.uncoordinatedSince(c)); coldSince > 0 && s.now-coldSince < s.cfg.WarmUpTime { // it may be back cold
+		perArrival, perSecond = perArrival*s.cfg.ColdCapacity, perSecond*s.cfg.ColdCapacity
 	}
-	return arrival, second
+	return perArrival, perSecond
 }
 
 // onAllowance tells that the destination's keeper has been silent for so long that a call may go out without
 // it, or that there is none. While one may still come, nothing goes out on the way back from an outage: the
 // cold budget is its.
-func (s *Sender) onAllowance(e *endpoint) bool {
-	c, r := &e.dest.claim, e.route
-	heard := c.heardAt >= c.askedAt || s.now-c.silentAt < silentLast
-	if !c.alone && (heard || r.recovering() || r.fails > 0) {
+func (s *Sender) withinAllowance(e *endpoint) bool {
+	c, r := &e.dest.requester, e.route
+	coordinatorAnswers := c.answeredAt >= c.requestedAt || s.now-c.unansweredSince < coordinatorSilenceTimeout
+	if !c.uncoordinated && (coordinatorAnswers || r.recovering() || r.failures > 0) {
 		return false
 	}
-	passed := seconds(max(s.now-c.tokensAt, 0))
-	_, second := s.allowance(e.dest)
-	c.allowed = min(1, c.allowed+allowanceGrow*passed*max(c.allowed, 1/float64(s.cfg.Fleet)))
-	c.tokens = min(c.tokens+second*passed, max(c.tokens, 1))
-	c.tokensAt = max(c.tokensAt, s.now)
-	return c.tokens >= 1
+	elapsed := seconds(max(s.now-c.allowanceTokensAt, 0))
+	_, perSecond := s.allowance(e.dest)
+	c.allowanceFactor = min(1, c.allowanceFactor+allowanceGrowthPerSecond*elapsed*max(c.allowanceFactor, 1/float64(s.cfg.FleetSize)))
+	c.allowanceTokens = min(c.allowanceTokens+perSecond*elapsed, max(c.allowanceTokens, 1))
+	c.allowanceTokensAt = max(c.allowanceTokensAt, s.now)
+	return c.allowanceTokens >= 1
 }
 
 // seek asks an earlier keeper, or when alone each in turn, whether it is there.
-func (s *Sender) seek(d *destination) {
-	c := &d.claim
-	if s.now-c.soughtAt < seekEvery {
+func (s *Sender) seekCoordinator(d *destination) {
+	c := &d.requester
+	if s.now-c.lastSeekAt < coordinatorSeekInterval {
 		return
 	}
-	c.soughtAt = s.now
+	c.lastSeekAt = s.now
 	rank := 0
-	if c.turn++; c.alone && c.turn%2 == 0 { // the first in between: all should come back to the same
-		rank = c.turn / 2 % max(len(d.keepers), 1)
+	if c.seekTurn++; c.uncoordinated && c.seekTurn%2 == 0 { // the first in between: all should come back to the same
+		rank = c.seekTurn / 2 % max(len(d.coordinators), 1)
 	}
-	s.warn(d, s.keeper(d, rank))
-	s.ask(d, s.keeper(d, rank), 0, 0, 0)
+	s.reportOutages(d, s.coordinator(d, rank))
+	s.sendRequest(d, s.coordinator(d, rank), 0, 0, 0)
 }
 
 // tellKeeper reports a call's end to whoever keeps the destination's limit.
-func (s *Sender) tellKeeper(ep *endpoint, o Outcome, wait time.Duration) {
-	if o == ConnectFailed && s.othersOpen(ep) {
+func (s *Sender) reportCallEnd(ep *endpoint, o Outcome, wait time.Duration) {
+	if o == ConnectFailed && s.othersAvailable(ep) {
 		o = NotSent // of that endpoint alone
 	}
-	if s.governed(ep.dest) && !s.blind { // what it knows may be long past
-		s.note(s.keeper(ep.dest, ep.dest.claim.rank), note{
-			kind: noteEnd, dest: ep.dest.id, route: s.mark(ep), outcome: o, wait: wait,
+	if s.needsGrant(ep.dest) && !s.suspended { // what it knows may be long past
+		s.sendDatagram(s.coordinator(ep.dest, ep.dest.requester.rank), datagram{
+			kind: datagramCallEnd, dest: ep.dest.id, route: s.routeID(ep), outcome: o, wait: wait,
 		})
 	}
 }
 
 // grantedBy takes a keeper's answer, which may grant nothing yet. What is not needed then is given back.
-func (s *Sender) grantedBy(d *destination, from int, n note) {
-	c := &d.claim
-	for rank := range keeperRanks {
-		if rank >= s.cfg.Fleet || s.keeper(d, rank) != from || (!c.alone && rank > c.rank) {
+func (s *Sender) handleGrant(d *destination, from int, n datagram) {
+	c := &d.requester
+	for rank := range coordinatorRanks {
+		if rank >= s.cfg.FleetSize || s.coordinator(d, rank) != from || (!c.uncoordinated && rank > c.rank) {
 			continue
 		}
-		if c.alone || rank < c.rank {
-			c.alone, c.rank, c.wanted = false, rank, 0
+		if c.uncoordinated || rank < c.rank {
+			c.uncoordinated, c.rank, c.pendingCalls = false, rank, 0
 		}
-		c.heardAt, c.misses = s.now, 0
-		if n.count > 0 && c.fresh(n.seq) {
-			c.got, c.gotAt = c.grantRate(s.now)*seconds(demandSpan)+1, s.now
-			c.grants = append(c.grants, grant{n.route, s.now + grantLast})
-			c.wanted = max(c.wanted-1, 0)
+		c.answeredAt, c.missedRequests = s.now, 0
+		if n.count > 0 && c.isNewGrant(n.seq) {
+			c.recentGrants, c.recentGrantsAt = c.grantRate(s.now)*seconds(demandDecayTime)+1, s.now
+			c.grants = append(c.grants, grant{n.route, s.now + grantTTL})
+			c.pendingCalls = max(c.pendingCalls-1, 0)
 		}
 	}
 }
 
 // asked takes an ask, as the keeper.
-func (s *Sender) asked(d *destination, from int, n note) {
+func (s *Sender) handleRequest(d *destination, from int, n datagram) {
 	if !slices.ContainsFunc(d.endpoints, (*endpoint).usable) {
 		return // of a destination that is not known here others can tell more
 	}
 	if from != s.cfg.Number {
-		if s.now-d.othersAt > askedLast { // they may come from another keeper, or from none
+		if s.now-d.lastPeerRequestAt > requestTTL { // they may come from another keeper, or from none
 			for _, e := range d.endpoints {
-				f := s.fleet(e)
-				f.part = min(f.part, s.beginAt(d))
+				f := s.fleetRoute(e)
+				f.limitShare = min(f.limitShare, s.initialFleetShare(d))
 			}
 		}
-		d.othersAt = s.now
+		d.lastPeerRequestAt = s.now
 	}
-	w := d.wants.want(from, n.seq-1, s.rng)
-	if !newer(n.seq, w.seq) {
+	w := d.requests.requestOf(from, n.seq-1, s.rng)
+	if !isNewer(n.seq, w.seq) {
 		return
 	}
-	if w.n == 0 {
+	if w.calls == 0 {
 		w.since = s.now
 	}
-	w.seq, w.n, w.urgency, w.route = n.seq, n.count, n.urgency, n.route
-	if s.now-w.grantAt < onTheWay { // the ask does not know of what has crossed it
-		w.n -= min(w.n, int(w.grantSeq-n.seen))
+	w.seq, w.calls, w.urgency, w.route = n.seq, n.count, n.urgency, n.route
+	if s.now-w.lastGrantAt < maxGrantTransitTime { // the ask does not know of what has crossed it
+		w.calls -= min(w.calls, int(w.lastGrantSeq-n.lastGrantSeq))
 	}
-	d.wants.asked(w, s.now)
-	if !d.kept {
-		d.kept = true
-		s.kept = append(s.kept, d)
+	d.requests.refresh(w, s.now)
+	if !d.coordinated {
+		d.coordinated = true
+		s.coordinated = append(s.coordinated, d)
 	}
 }
 
 // grant grants what the destinations kept here have room for, and answers all that asked. It tells whether
 // something was granted to this sender itself.
-func (s *Sender) grant() (own bool) {
-	s.dropWants()
-	for _, d := range s.kept {
-		for w := d.wants.first(s.now); w != nil; w = d.wants.first(s.now) {
-			e := s.fleetRoom(d, w.route)
+func (s *Sender) issueGrants() (toSelf bool) {
+	s.expireRequests()
+	for _, d := range s.coordinated {
+		for w := d.requests.first(s.now); w != nil; w = d.requests.first(s.now) {
+			e := s.endpointWithRoom(d, w.route)
 			if e == nil {
 				break
 			}
-			f := e.route.fleet
-			if f.tokens--; f.sick {
-				f.trial, f.triedAt = true, s.now
+			f := e.route.fleetRoute
+			if f.tokens--; f.circuitOpen {
+				f.trialInFlight, f.lastTrialAt = true, s.now
 			}
-			w.n--
-			w.owed = false
-			w.grantSeq++
-			w.grantAt = s.now
-			d.wants.moved(w, s.now)
-			own = own || w.from == s.cfg.Number
-			s.note(w.from, note{kind: noteGrant, dest: d.id, route: s.mark(e), seq: w.grantSeq, count: 1})
+			w.calls--
+			w.answerOwed = false
+			w.lastGrantSeq++
+			w.lastGrantAt = s.now
+			d.requests.reposition(w, s.now)
+			toSelf = toSelf || w.from == s.cfg.Number
+			s.sendDatagram(w.from, datagram{kind: datagramGrant, dest: d.id, route: s.routeID(e), seq: w.lastGrantSeq, count: 1})
 		}
-		d.wants.answer(func(w *want) {
-			s.note(w.from, note{kind: noteGrant, dest: d.id, seq: w.grantSeq})
+		d.requests.answerPending(func(w *grantRequest) {
+			s.sendDatagram(w.from, datagram{kind: datagramGrant, dest: d.id, seq: w.lastGrantSeq})
 		})
 	}
-	return own
+	return toSelf
 }
 
 // before tells who is granted a call first: whose message is worth most, and of these the one that has waited
 // longest. Who got no connection of late comes last: its list may be old, and then its calls and trials tell
 // nothing.
-func (w *want) before(o *want) bool {
-	return cmp.Or(cmp.Compare(o.urgency, w.urgency), cmp.Compare(w.since, o.since), w.number-o.number) < 0
+func (w *grantRequest) before(o *grantRequest) bool {
+	return cmp.Or(cmp.Compare(o.urgency, w.urgency), cmp.Compare(w.since, o.since), w.firstSeenOrder-o.firstSeenOrder) < 0
 }
 
 // fleetRoom is an endpoint whose route takes another call of the fleet now: one of the route that was drawn
 // by who asks, or else of that with most room.
-func (s *Sender) fleetRoom(d *destination, drawn uint16) (best *endpoint) {
+func (s *Sender) endpointWithRoom(d *destination, preferred uint16) (best *endpoint) {
 	for _, e := range d.endpoints {
-		f := s.fleet(e)
+		f := s.fleetRoute(e)
 		s.refill(f)
-		if f.trial && s.now >= f.triedAt+trialLost {
-			f.trial = false
+		if f.trialInFlight && s.now >= f.lastTrialAt+fleetTrialTimeout {
+			f.trialInFlight = false
 		}
-		if !e.usable() || s.now < f.waitUntil || f.tokens < 1 || (f.sick && (f.trial || s.now < f.trialAt)) {
+		if !e.usable() || s.now < f.waitUntil || f.tokens < 1 || (f.circuitOpen && (f.trialInFlight || s.now < f.nextTrialAt)) {
 			continue
 		}
-		if s.mark(e) == drawn {
+		if s.routeID(e) == preferred {
 			return e
 		}
-		if best == nil || f.tokens > best.route.fleet.tokens {
+		if best == nil || f.tokens > best.route.fleetRoute.tokens {
 			best = e
 		}
 	}
@@ -326,85 +326,85 @@
 
 // found is what is taken as the limit of a route that tells none and has refused: what it passed in its best
 // second, and more with time. Senders that can't tell one another anything find each its own.
-func (s *Sender) found(r *route) float64 {
-	if r.cutAt == 0 || r.reported || (!r.whole && s.shared()) {
+func (s *Sender) estimatedLimit(r *route) float64 {
+	if r.lastCutAt == 0 || r.reported || (!r.fleetWide && s.sharesLimits()) {
 		return 0
 	}
-	return r.best(s.now) * (1 + foundGrow*seconds(s.now-r.cutAt))
+	return r.bestRate(s.now) * (1 + estimateGrowthPerSecond*seconds(s.now-r.lastCutAt))
 }
 
 // begin takes a route whose limit is told for cold where nothing is remembered of it: partners may start too.
-func (s *Sender) begin(e *endpoint, f *route) {
-	if s.cfg.Cautious && s.limit(f) > 0 && s.now-e.dest.claim.beganAt < s.cfg.WarmWithin {
-		s.cool(f)
-		f.part *= takeOver // those of other ranks may not be heard, and begin as well
+func (s *Sender) startCold(e *endpoint, f *route) {
+	if s.cfg.ColdStart && s.limit(f) > 0 && s.now-e.dest.requester.firstSeenAt < s.cfg.WarmUpTime {
+		s.startRecovery(f)
+		f.limitShare *= takeoverShare // those of other ranks may not be heard, and begin as well
 	}
 }
 
 // fleetStruck takes an outage that another sender has met while it heard no keeper, as the keeper: those who
 // come back all at once must not be granted what a cold destination can't do. Others who get through know
 // better.
-func (s *Sender) fleetStruck(e *endpoint, sick bool, age time.Duration) {
-	f := s.fleet(e)
-	if f.recovering() || age > s.cfg.WarmWithin || (f.deliveredAt > 0 && s.now-f.deliveredAt < lostSign) {
+func (s *Sender) handleOutage(e *endpoint, open bool, age time.Duration) {
+	f := s.fleetRoute(e)
+	if f.recovering() || age > s.cfg.WarmUpTime || (f.lastSuccessAt > 0 && s.now-f.lastSuccessAt < recentSuccessTime) {
 		return
 	}
-	s.cool(f)
-	if f.coldFrom = max(s.now-age, 1); sick {
-		s.strike(f)
+	s.startRecovery(f)
+	if f.recoveryStartedAt = max(s.now-age, 1); open {
+		s.openCircuit(f)
 	}
 }
 
 // recallRoute takes over what an earlier process knew of a route: the part of its limit that it kept, and an
 // outage, for the destination may be back cold by now, or has been cold for longer.
-func (s *Sender) recallRoute(e *endpoint, k RememberedRoute, age time.Duration, trust float64) {
-	known := e.route
-	if k.Part > 0 && s.shared() && s.keeper(e.dest, 0) == s.cfg.Number {
-		known = s.fleet(e)
-		known.part, known.partAt = 1-trust*(1-min(k.Part, 1)), s.now
-	}
-	since, warm := k.Cold+age, s.cfg.WarmWithin
-	if (k.Sick && age < warm || k.Cold > 0 && since < warm) && !known.recovering() {
-		s.cool(known)
-		if !k.Sick {
-			known.coldFrom = max(s.now-since, 1)
+func (s *Sender) restoreRoute(e *endpoint, remembered RememberedRoute, age time.Duration, trust float64) {
+	r := e.route
+	if remembered.LimitShare > 0 && s.sharesLimits() && s.coordinator(e.dest, 0) == s.cfg.Number {
+		r = s.fleetRoute(e)
+		r.limitShare, r.limitShareAt = 1-trust*(1-min(remembered.LimitShare, 1)), s.now
+	}
+	coldFor, warmUp := remembered.ColdFor+age, s.cfg.WarmUpTime
+	if (remembered.CircuitOpen && age < warmUp || remembered.ColdFor > 0 && coldFor < warmUp) && !r.recovering() {
+		s.startRecovery(r)
+		if !remembered.CircuitOpen {
+			r.recoveryStartedAt = max(s.now-coldFor, 1)
 		}
 	}
 }
 
 // fleetHeard takes the end of any sender's call, as the keeper.
-func (s *Sender) fleetHeard(e *endpoint, from int, o Outcome, wait time.Duration) {
-	f := s.fleet(e)
-	f.trial = false
-	if w := e.dest.wants.of[from]; w != nil && (o == ConnectFailed || o == Pass) {
-		if w.lostUntil = 0; o == ConnectFailed {
-			w.lostUntil = s.now + lostRest
+func (s *Sender) handleCallEnd(e *endpoint, from int, o Outcome, wait time.Duration) {
+	f := s.fleetRoute(e)
+	f.trialInFlight = false
+	if w := e.dest.requests.byNode[from]; w != nil && (o == ConnectFailed || o == Success) {
+		if w.deferredUntil = 0; o == ConnectFailed {
+			w.deferredUntil = s.now + connectFailureDeferral
 		}
-		e.dest.wants.moved(w, s.now)
+		e.dest.requests.reposition(w, s.now)
 	}
-	if o == ConnectFailed && s.now-f.deliveredAt < lostSign && f.deliveredAt > 0 {
+	if o == ConnectFailed && s.now-f.lastSuccessAt < recentSuccessTime && f.lastSuccessAt > 0 {
 		return // others get through: who does not has an old list
 	}
-	switch shut := wait > shutWait; {
+	switch outage := wait > minOutageRetryAfter; {
 	case o == NotSent: // it was not made, or not taken: the destination has room for another
 		f.tokens++
 	case o == Cancelled:
-	case o == Pass:
-		s.passed(f)
-		f.full *= 1 - fullWeight
-		f.deliveredAt = s.now
-	case o == Rejected && !shut && !f.sick:
-		f.full += fullWeight * (1 - f.full)
-		if f.full > fullCut && s.now-f.cutAt >= fleetCutEvery {
-			f.cutAt, f.partAt = s.now, s.now
-			f.part = max(fleetFloor, f.part*fleetCut)
+	case o == Success:
+		s.recordSuccess(f)
+		f.refusedShare *= 1 - fleetRefusalSmoothing
+		f.lastSuccessAt = s.now
+	case o == Rejected && !outage && !f.circuitOpen:
+		f.refusedShare += fleetRefusalSmoothing * (1 - f.refusedShare)
+		if f.refusedShare > fleetRefusalThreshold && s.now-f.lastCutAt >= fleetCutInterval {
+			f.lastCutAt, f.limitShareAt = s.now, s.now
+			f.limitShare = max(minFleetShare, f.limitShare*fleetShareCutFactor)
 			f.tokens = min(f.tokens, 0)
-			if f.rest > 0 {
-				f.waitUntil = s.now + f.rest
+			if f.refusalBackoff > 0 {
+				f.waitUntil = s.now + f.refusalBackoff
 			}
-			f.rest = min(max(2*f.rest, refusedRest), fleetRestMost)
+			f.refusalBackoff = min(max(2*f.refusalBackoff, minRefusalBackoff), maxFleetRefusalBackoff)
 		}
 	default:
-		s.failure(e.dest, f, shut, o == Rejected || o == ConnectFailed)
+		s.recordFailure(e.dest, f, outage, o == Rejected || o == ConnectFailed)
 	}
 }
--- a/choice/memory.go
+++ b/choice/memory.go
@@ -6,7 +6,7 @@
 )
 
 // maxRemembered bounds what a sender remembers of destinations; those that were mentioned first come first.
-const maxRemembered = 1024
+const maxRememberedDests = 1024
 
 // Memory is what a sender has learnt and a new process of its node begins with. Times are ages when it was written.
 type Memory struct {
@@ -22,36 +22,37 @@
 
 // RememberedRoute is a route in a Memory: an endpoint, or all of a destination that share one.
 type RememberedRoute struct {
-	Endpoint        string // one of it
-	Response, Usual float64
-	Part            float64       // of the limit, as a keeper knows it; 0 if it keeps none
-	Sick            bool          // struck
-	Cold            time.Duration // or back for so long; 0 for neither
+	Endpoint         string        // one of it
+	PenalizedLatency float64       `json:"Response"`
+	SmoothedLatency  float64       `json:"Usual"`
+	LimitShare       float64       `json:"Part"` // of the limit, as a keeper knows it; 0 if it keeps none
+	CircuitOpen      bool          `json:"Sick"` // struck
+	ColdFor          time.Duration `json:"Cold"` // or back for so long; 0 for neither
 }
 
 // Remember is what a new process of this node should begin with.
 func (s *Sender) Remember() Memory {
 	var m Memory
-	for _, d := range s.order {
-		if len(m.Dests) == maxRemembered {
+	for _, d := range s.destinationOrder {
+		if len(m.Dests) == maxRememberedDests {
 			break
 		}
-		r := RememberedDest{ID: d.id}
-		if d.gate.seen {
-			r.Average, r.Baseline = rounded(d.gate.average), rounded(d.gate.baseline)
+		dest := RememberedDest{ID: d.id}
+		if d.gate.sampled {
+			dest.Average, dest.Baseline = rounded(d.gate.average), rounded(d.gate.baseline)
 		}
 		for _, e := range d.endpoints {
-			one := RememberedRoute{Endpoint: e.id, Response: rounded(e.response), Usual: rounded(e.usual), Sick: e.route.sick}
-			known := e.route
-			if f := known.fleet; f != nil {
-				known, one.Part, one.Sick = f, rounded(f.part), f.sick
+			remembered := RememberedRoute{Endpoint: e.id, PenalizedLatency: rounded(e.penalizedLatency), SmoothedLatency: rounded(e.smoothedLatency), CircuitOpen: e.route.circuitOpen}
+			r := e.route
+			if f := r.fleetRoute; f != nil {
+				r, remembered.LimitShare, remembered.CircuitOpen = f, rounded(f.limitShare), f.circuitOpen
 			}
-			if known.coldFrom > 0 {
-				one.Cold = max(s.now-known.coldFrom, 1)
+			if r.recoveryStartedAt > 0 {
+				remembered.ColdFor = max(s.now-r.recoveryStartedAt, 1)
 			}
-			r.Routes = append(r.Routes, one)
+			dest.Routes = append(dest.Routes, remembered)
 		}
-		m.Dests = append(m.Dests, r)
+		m.Dests = append(m.Dests, dest)
 	}
 	return m
 }
@@ -67,25 +68,25 @@
 
 // recalled takes what an earlier process of the node has learnt, the older the less of it. What this one has learnt
 // itself stays.
-func (s *Sender) recalled(e Recalled) {
-	trust := math.Exp(-seconds(e.Age) / seconds(memorySpan))
+func (s *Sender) handleMemoryRestored(e MemoryRestored) {
+	trust := math.Exp(-seconds(e.Age) / seconds(memoryDecayTime))
 	for _, r := range e.Dests {
-		d := s.dests[r.ID]
+		d := s.destinations[r.ID]
 		if d == nil || e.Age < 0 {
 			continue
 		}
-		if !d.gate.seen && r.Average > 0 && r.Baseline > 0 {
-			d.gate = gate{average: r.Baseline + trust*max(r.Average-r.Baseline, 0), baseline: r.Baseline, at: s.now, seen: true}
+		if !d.gate.sampled && r.Average > 0 && r.Baseline > 0 {
+			d.gate = gate{average: r.Baseline + trust*max(r.Average-r.Baseline, 0), baseline: r.Baseline, sampledAt: s.now, sampled: true}
 		}
-		for _, k := range r.Routes {
-			ep := s.eps[k.Endpoint]
+		for _, remembered := range r.Routes {
+			ep := s.endpoints[remembered.Endpoint]
 			if ep == nil || ep.dest != d {
 				continue
 			}
-			if ep.usual == 0 && k.Usual > 0 {
-				ep.usual, ep.response = k.Usual, k.Usual+trust*max(k.Response-k.Usual, 0)
+			if ep.smoothedLatency == 0 && remembered.SmoothedLatency > 0 {
+				ep.smoothedLatency, ep.penalizedLatency = remembered.SmoothedLatency, remembered.SmoothedLatency+trust*max(remembered.PenalizedLatency-remembered.SmoothedLatency, 0)
 			}
-			s.recallRoute(ep, k, e.Age, trust)
+			s.restoreRoute(ep, remembered, e.Age, trust)
 		}
 	}
 }
--- a/choice/memory_test.go
+++ b/choice/memory_test.go
@@ -6,37 +6,37 @@
 )
 
 // A new process begins with what the one before had learnt, the older the less; an outage that it knew of is met as cold.
-func TestWhatWasLearntIsTrustedLessWithItsAge(t *testing.T) {
-	w := newFleet(t, 40, true)
+func TestRestoredMemoryLosesWeightWithAge(t *testing.T) {
+	w := newFleetSim(t, 40, true)
 	w.run(10*time.Second, fleetLimit)
-	first := w.senders[0].keeper(w.senders[0].dests[0], 0)
+	first := w.senders[0].coordinator(w.senders[0].destinations[0], 0)
 	old := w.senders[first]
 	m := old.Remember()
-	if len(m.Dests) != 1 || m.Dests[0].Routes[0].Usual <= 0 || m.Dests[0].Average <= 0 {
+	if len(m.Dests) != 1 || m.Dests[0].Routes[0].SmoothedLatency <= 0 || m.Dests[0].Average <= 0 {
 		t.Fatalf("%+v", m)
 	}
-	m.Dests[0].Routes[0].Part = 0.5
+	m.Dests[0].Routes[0].LimitShare = 0.5
 	m.Dests = append(m.Dests, RememberedDest{ID: 99, Routes: []RememberedRoute{{Endpoint: "nobody"}}})
 	begin := func(m Memory, age time.Duration) (*Sender, *endpoint) {
 		cfg := w.cfg
 		cfg.Number = first
 		s := New(cfg, 1)
-		s.Step(w.now, []Event{list(Entry{Endpoint: "p", Weight: fleetLimit}), Recalled{m, age}})
-		return s, s.eps["p"]
+		s.Step(w.now, []Event{fullList(Entry{Endpoint: "p", Weight: fleetLimit}), MemoryRestored{m, age}})
+		return s, s.endpoints["p"]
 	}
 	young, ep := begin(m, time.Second)
-	if ep.usual != m.Dests[0].Routes[0].Usual || !ep.dest.gate.seen || ep.route.recovering() {
-		t.Errorf("usual %v, gate %+v", ep.usual, ep.dest.gate)
+	if ep.smoothedLatency != m.Dests[0].Routes[0].SmoothedLatency || !ep.dest.gate.sampled || ep.route.recovering() {
+		t.Errorf("usual %v, gate %+v", ep.smoothedLatency, ep.dest.gate)
 	}
 	aged, far := begin(m, 5*time.Minute)
-	if a, b := young.fleet(ep).part, aged.fleet(far).part; a > 0.55 || b < 0.95 {
+	if a, b := young.fleetRoute(ep).limitShare, aged.fleetRoute(far).limitShare; a > 0.55 || b < 0.95 {
 		t.Errorf("after a second %v of the limit, after five minutes %v", a, b)
 	}
-	m.Dests[0].Routes[0].Sick = true
-	if _, ep := begin(m, time.Second); !ep.route.fleet.recovering() {
+	m.Dests[0].Routes[0].CircuitOpen = true
+	if _, ep := begin(m, time.Second); !ep.route.fleetRoute.recovering() {
 		t.Error("an outage is forgotten")
 	}
-	if _, ep := begin(m, -time.Second); ep.usual != 0 {
+	if _, ep := begin(m, -time.Second); ep.smoothedLatency != 0 {
 		t.Error("what comes from the future is believed")
 	}
 }
--- a/choice/byhand_test.go
+++ b/choice/operator_test.go
@@ -10,7 +10,7 @@
 func TestDisabledEndpointGetsNothing(t *testing.T) {
 	a := Entry{Endpoint: "a", Dest: 0, Weight: 10}
 	b := Entry{Endpoint: "b", Dest: 1, Weight: 10}
-	s := New(settings(), 1)
+	s := New(testSettings(), 1)
 	now := time.Hour
 	sends := func(events ...Event) (n int) {
 		t.Helper()
@@ -22,7 +22,7 @@
 		}
 		return n
 	}
-	if n := sends(list(a, b), Arrived{ID: "m0", DropDead: now + time.Minute}); n != 1 {
+	if n := sends(fullList(a, b), MessageArrived{ID: "m0", Deadline: now + time.Minute}); n != 1 {
 		t.Fatal("the endpoint is not used at all")
 	}
 	if _, avoided := s.Pool(); avoided != 0 {
@@ -32,27 +32,27 @@
 		name   string
 		events []Event
 	}{
-		{"told", []Event{Disabled{"a"}, Arrived{ID: "m1", DropDead: now + time.Minute}}},
-		{"told twice", []Event{Disabled{"a"}}},
-		{"a success", []Event{Ended{ID: "m0", Endpoint: "a", Outcome: Pass, Closed: true, Took: ms}}},
-		{"dropped from the list", []Event{list(b)}},
-		{"listed again", []Event{list(a, b)}},
-		{"listed by a change", []Event{Listed{Entries: []Entry{a}}, Arrived{ID: "m2", DropDead: now + time.Minute}}},
+		{"told", []Event{EndpointDisabled{"a"}, MessageArrived{ID: "m1", Deadline: now + time.Minute}}},
+		{"told twice", []Event{EndpointDisabled{"a"}}},
+		{"a success", []Event{AttemptEnded{ID: "m0", Endpoint: "a", Outcome: Success, MessageDone: true, Took: ms}}},
+		{"dropped from the list", []Event{fullList(b)}},
+		{"listed again", []Event{fullList(a, b)}},
+		{"listed by a change", []Event{ListUpdate{Entries: []Entry{a}}, MessageArrived{ID: "m2", Deadline: now + time.Minute}}},
 	} {
 		if n := sends(c.events...); n != 0 {
 			t.Errorf("%s: %d sends", c.name, n)
 		}
 	}
-	sends(list(a, b))
+	sends(fullList(a, b))
 	if size, avoided := s.Pool(); size != 2 || avoided != 1 {
 		t.Errorf("the pool is %d, %d avoided", size, avoided)
 	}
-	n := sends(Enabled{"a"})
+	n := sends(EndpointEnabled{"a"})
 	for range 3 {
-		n += sends(Rang{})
+		n += sends(WakeDue{})
 	}
-	if n == 0 || !s.eps["a"].route.recovering() || s.eps["a"].route.sick {
-		t.Errorf("put back: %d sends, recovering %v", n, s.eps["a"].route.recovering())
+	if n == 0 || !s.endpoints["a"].route.recovering() || s.endpoints["a"].route.circuitOpen {
+		t.Errorf("put back: %d sends, recovering %v", n, s.endpoints["a"].route.recovering())
 	}
 	if _, avoided := s.Pool(); avoided != 0 {
 		t.Errorf("%d avoided", avoided)
@@ -61,21 +61,21 @@
 
 // Told before any list has named it, as after a restart, it holds as well; putting back one that was never out
 // costs nothing.
-func TestDisabledBeforeTheList(t *testing.T) {
+func TestDisabledBeforeListed(t *testing.T) {
 	for _, out := range []bool{true, false} {
-		s := New(settings(), 1)
-		told := Event(Enabled{"a"})
+		s := New(testSettings(), 1)
+		told := Event(EndpointEnabled{"a"})
 		if out {
-			told = Disabled{"a"}
+			told = EndpointDisabled{"a"}
 		}
 		s.Step(time.Hour, []Event{told})
 		sent := false
-		for _, a := range s.Step(time.Hour+ms, []Event{one(), Arrived{ID: "m", DropDead: 2 * time.Hour}}) {
+		for _, a := range s.Step(time.Hour+ms, []Event{oneEndpoint(), MessageArrived{ID: "m", Deadline: 2 * time.Hour}}) {
 			_, ok := a.(Send)
 			sent = sent || ok
 		}
-		if sent == out || s.eps["a"].route.recovering() {
-			t.Errorf("out %v: sent %v, recovering %v", out, sent, s.eps["a"].route.recovering())
+		if sent == out || s.endpoints["a"].route.recovering() {
+			t.Errorf("out %v: sent %v, recovering %v", out, sent, s.endpoints["a"].route.recovering())
 		}
 	}
 }
--- a/choice/pieces_test.go
+++ b/choice/partition_test.go
@@ -9,27 +9,27 @@
 
 // piecesOf plays a fleet that comes apart for six seconds, and returns the calls that passed and were refused before,
 // in the cut and in the three seconds after it.
-func piecesOf(t *testing.T, senders int, seed uint64, tell bool, cut func(from, to int) bool) (calls [3][2]int) {
-	w := newFleet(t, senders, tell)
+func callsAroundPartition(t *testing.T, senders int, seed uint64, tell bool, cut func(from, to int) bool) (calls [3][2]int) {
+	w := newFleetSim(t, senders, tell)
 	w.rng = rand.New(rand.NewPCG(seed, 7))
-	w.spans = true
+	w.windowedLimit = true
 	phase := func(i int, span time.Duration) {
-		w.passed, w.full = 0, 0
+		w.passed, w.refused = 0, 0
 		w.run(span, 1.3*fleetLimit)
-		calls[i] = [2]int{w.passed, w.full}
+		calls[i] = [2]int{w.passed, w.refused}
 	}
 	w.run(6*time.Second, 1.3*fleetLimit) // it learns
 	phase(0, 3*time.Second)
-	w.cut = cut
+	w.blocked = cut
 	phase(1, 6*time.Second)
-	w.cut = nil
+	w.blocked = nil
 	phase(2, 3*time.Second)
 	return calls
 }
 
 // While nobody hears anybody, what the senders make on their allowances adds up to the limit, whatever the fleet's size:
 // it is used, and it is not passed by more than a part.
-func TestAllowancesAddUp(t *testing.T) {
+func TestAllowancesAddUpToLimit(t *testing.T) {
 	all := func(from, to int) bool { return true }
 	halves := func(from, to int) bool { return from%2 != to%2 }
 	oneWay := func(from, to int) bool { return from%2 == 0 && to%2 == 1 }
@@ -38,7 +38,7 @@
 			var sum [3][2]int
 			const seeds = 5
 			for seed := range uint64(seeds) {
-				for i, c := range piecesOf(t, size, seed, true, cut) {
+				for i, c := range callsAroundPartition(t, size, seed, true, cut) {
 					sum[i][0], sum[i][1] = sum[i][0]+c[0], sum[i][1]+c[1]
 				}
 			}
@@ -59,16 +59,16 @@
 }
 
 // Ranks of keepers that all believe themselves the one begin with less than twice the limit together.
-func TestKeepersBeginWithinABound(t *testing.T) {
+func TestInitialFleetSharesStayBelowTwiceLimit(t *testing.T) {
 	for _, fleet := range []int{2, 5, 80} {
 		sum := 0.0
 		for i := range fleet {
-			cfg := settings()
-			cfg.Fleet, cfg.MayTell, cfg.Number = fleet, true, i
+			cfg := testSettings()
+			cfg.FleetSize, cfg.PeerDatagrams, cfg.Number = fleet, true, i
 			s := New(cfg, 1)
-			s.Step(time.Hour, []Event{list(Entry{Endpoint: "p", Weight: fleetLimit})})
-			if d := s.dests[0]; s.keeper(d, 0) == i || s.keeper(d, 1) == i || s.keeper(d, 2) == i || s.keeper(d, 3) == i {
-				sum += s.fleet(d.endpoints[0]).part
+			s.Step(time.Hour, []Event{fullList(Entry{Endpoint: "p", Weight: fleetLimit})})
+			if d := s.destinations[0]; s.coordinator(d, 0) == i || s.coordinator(d, 1) == i || s.coordinator(d, 2) == i || s.coordinator(d, 3) == i {
+				sum += s.fleetRoute(d.endpoints[0]).limitShare
 			}
 		}
 		if sum >= 2 {
@@ -79,28 +79,28 @@
 
 // What a sender met while it heard nobody its keeper hears first: a destination that is back cold is not met with the
 // whole fleet's pace.
-func TestAKeeperHearsOfOutagesThatItMissed(t *testing.T) {
+func TestCoordinatorLearnsOfMissedOutages(t *testing.T) {
 	for _, size := range []int{20, 80} {
-		w := newFleet(t, size, true)
+		w := newFleetSim(t, size, true)
 		w.run(5*time.Second, fleetLimit)
-		w.cut = func(from, to int) bool { return true }
+		w.blocked = func(from, to int) bool { return true }
 		w.down = true
 		w.run(6*time.Second, fleetLimit)
-		w.cut, w.down, w.passed, w.full = nil, false, 0, 0
+		w.blocked, w.down, w.passed, w.refused = nil, false, 0, 0
 		w.run(time.Second, fleetLimit)
 		// A second of the cold budget, and what was on its way.
-		if most := int(3*w.cfg.FallMultiple*w.cfg.ColdFrom*fleetLimit) + 2; w.passed+w.full > most {
-			t.Errorf("%d senders: %d calls in the first second of the return, over %d", size, w.passed+w.full, most)
+		if most := int(3*w.cfg.OverloadMultiple*w.cfg.ColdCapacity*fleetLimit) + 2; w.passed+w.refused > most {
+			t.Errorf("%d senders: %d calls in the first second of the return, over %d", size, w.passed+w.refused, most)
 		}
 	}
 }
 
-func TestColdNotesAreRead(t *testing.T) {
-	for _, n := range []note{
-		{kind: noteCold, dest: 7, route: 9, count: 0},
-		{kind: noteCold, dest: 7, route: 9, count: 1, wait: 4321 * time.Millisecond},
+func TestOutageDatagramRoundTrip(t *testing.T) {
+	for _, n := range []datagram{
+		{kind: datagramOutage, dest: 7, route: 9, count: 0},
+		{kind: datagramOutage, dest: 7, route: 9, count: 1, wait: 4321 * time.Millisecond},
 	} {
-		if got, ok := decodeNote(n.encode()); !ok || fmt.Sprint(got) != fmt.Sprint(n) {
+		if got, ok := decodeDatagram(n.encode()); !ok || fmt.Sprint(got) != fmt.Sprint(n) {
 			t.Errorf("%+v comes as %+v, %v", n, got, ok)
 		}
 	}
--- a/choice/cold_test.go
+++ b/choice/recovery_test.go
@@ -10,20 +10,20 @@
 
 // fall is a span in which a partner that is back cold got more calls than it bears: N in a span of Fall, N being what the
 // settings allow it then, and 2 x root of N + 2 by chance.
-type fall struct {
-	calls, knowing int // knowing are those of senders that had met the outage
-	bears          float64
+type overload struct {
+	calls, byAware int // knowing are those of senders that had met the outage
+	tolerated      float64
 }
 
 // broken tells that the fall breaks the rule: over two thirds of it came from who knew.
-func (f fall) broken() bool { return 3*f.knowing > 2*f.calls }
+func (f overload) violatesRule() bool { return 3*f.byAware > 2*f.calls }
 
 // coldSum plays an outage, and returns the falls of the partner after its return.
-func coldSum(w *fleetWorld, limit float64, restart int) (falls []fall) {
+func overloadsAfterOutage(w *fleetSim, limit float64, restart int) (falls []overload) {
 	load := 1.2 * limit
 	w.run(8*time.Second, load)
 	w.down = true
-	clear(w.met)
+	clear(w.sawOutage)
 	w.run(6*time.Second, load)
 	back := w.now
 	w.down, w.calls = false, nil
@@ -33,24 +33,24 @@
 			next++
 			memory := w.senders[i].Remember()
 			w.start(i)
-			w.step(i, Recalled{Memory: memory, Age: 600 * ms})
+			w.step(i, MemoryRestored{Memory: memory, Age: 600 * ms})
 		}
-		w.run(w.cfg.WarmWithin/20, load)
+		w.run(w.cfg.WarmUpTime/20, load)
 	}
 	share := func(at time.Duration) float64 {
-		return w.cfg.ColdFrom + (1-w.cfg.ColdFrom)*min(1, seconds(at-back)/seconds(w.cfg.WarmWithin))
+		return w.cfg.ColdCapacity + (1-w.cfg.ColdCapacity)*min(1, seconds(at-back)/seconds(w.cfg.WarmUpTime))
 	}
 	for i, first := range w.calls {
-		bears := w.cfg.FallMultiple * limit * seconds(w.cfg.Fall) * (share(first.at) + share(first.at+w.cfg.Fall)) / 2
-		f := fall{bears: bears + 2*math.Sqrt(bears) + 2}
+		bears := w.cfg.OverloadMultiple * limit * seconds(w.cfg.OverloadDuration) * (share(first.at) + share(first.at+w.cfg.OverloadDuration)) / 2
+		f := overload{tolerated: bears + 2*math.Sqrt(bears) + 2}
 		for _, c := range w.calls[i:] {
-			if c.at < first.at+w.cfg.Fall {
-				if f.calls++; w.met[c.by] {
-					f.knowing++
+			if c.at < first.at+w.cfg.OverloadDuration {
+				if f.calls++; w.sawOutage[c.sender] {
+					f.byAware++
 				}
 			}
 		}
-		if float64(f.calls) > f.bears {
+		if float64(f.calls) > f.tolerated {
 			falls = append(falls, f)
 		}
 	}
@@ -58,16 +58,16 @@
 }
 
 // sparesACold plays coldSum and holds it to the rule.
-func sparesACold(t *testing.T, size int, limit float64, tell bool, lose float64, restart int) {
-	w := newFleet(t, size, tell)
-	w.rng, w.lose, w.limit, w.weight = rand.New(rand.NewPCG(uint64(size), 7)), lose, limit, limit
+func checkRecoveryLoad(t *testing.T, size int, limit float64, tell bool, lose float64, restart int) {
+	w := newFleetSim(t, size, tell)
+	w.rng, w.lossRate, w.limit, w.weight = rand.New(rand.NewPCG(uint64(size), 7)), lose, limit, limit
 	for i := range w.senders {
 		w.start(i)
 	}
-	falls := coldSum(w, limit, restart)
+	falls := overloadsAfterOutage(w, limit, restart)
 	if len(falls) > 0 {
-		t.Logf("%d spans over what is borne, the first with %d calls, %d of them by who knew, of %.0f", len(falls), falls[0].calls, falls[0].knowing, falls[0].bears)
-		if falls[0].broken() { // what has fallen stays down: only the first counts
+		t.Logf("%d spans over what is borne, the first with %d calls, %d of them by who knew, of %.0f", len(falls), falls[0].calls, falls[0].byAware, falls[0].tolerated)
+		if falls[0].violatesRule() { // what has fallen stays down: only the first counts
 			t.Error("over two thirds of a fall came from senders that knew of the outage")
 		}
 	}
@@ -79,7 +79,7 @@
 // What all senders together send a partner that is back cold stays under what it bears, whatever the fleet's size, with or
 // without notes, with half of them lost, and while senders begin anew; or else a third of it and more comes from senders
 // that can't know of the outage.
-func TestTheSumOfAFleetSparesAColdPartner(t *testing.T) {
+func TestFleetDoesNotOverloadRecoveringDestination(t *testing.T) {
 	for _, size := range []int{1, 2, 9, 30, 300, 1024} {
 		for _, limit := range []float64{5, 20, 100} {
 			for name, c := range map[string]struct {
@@ -98,7 +98,7 @@
 				}
 				t.Run(fmt.Sprintf("%d senders, limit %v, %s", size, limit, name), func(t *testing.T) {
 					t.Parallel()
-					sparesACold(t, size, limit, c.tell, c.lose, c.restart)
+					checkRecoveryLoad(t, size, limit, c.tell, c.lose, c.restart)
 				})
 			}
 		}
--- /dev/null
+++ b/choice/requestqueue_test.go
@@ -0,0 +1,120 @@
+package choice
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// plainLine is who comes first by looking through all, as it was before there was a heap.
+func headByScan(wants []*grantRequest, now time.Duration) (best *grantRequest) {
+	for _, w := range wants {
+		if best != nil && w.calls > 0 && (now < w.deferredUntil) != (now < best.deferredUntil) {
+			if now < best.deferredUntil {
+				best = w
+			}
+			continue
+		}
+		if w.calls > 0 && (best == nil || w.urgency > best.urgency || (w.urgency == best.urgency && w.since < best.since)) {
+			best = w
+		}
+	}
+	return best
+}
+
+// Whatever is asked, granted, lost and dropped in whatever order: the line has the same first, the same members and the same
+// debts as looking through all, and its heaps stay whole.
+func TestRequestQueueMatchesLinearScan(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		var l requestQueue
+		var plain []*grantRequest
+		rng := rand.New(rand.NewPCG(1, 1))
+		now := time.Second
+		for range rapid.IntRange(1, 150).Draw(t, "steps") {
+			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "pause")) * ms
+			switch rapid.IntRange(0, 4).Draw(t, "what") {
+			case 0, 1:
+				from := rapid.IntRange(0, 12).Draw(t, "from")
+				w := l.requestOf(from, 0, rng)
+				if !slices.Contains(plain, w) {
+					plain = append(plain, w)
+				}
+				if w.calls == 0 {
+					w.since = now
+				}
+				w.calls, w.urgency = rapid.IntRange(0, 3).Draw(t, "n"), uint8(rapid.IntRange(0, 2).Draw(t, "urgency"))
+				l.refresh(w, now)
+			case 2:
+				if w := l.first(now); w != nil {
+					w.calls--
+					w.answerOwed = false
+					l.reposition(w, now)
+				}
+			case 3:
+				if w := l.byNode[rapid.IntRange(0, 12).Draw(t, "lost")]; w != nil {
+					w.deferredUntil = now + time.Duration(rapid.IntRange(-1, 1).Draw(t, "until"))*connectFailureDeferral
+					l.reposition(w, now)
+				}
+			case 4:
+				plain = slices.DeleteFunc(plain, func(w *grantRequest) bool { return now-w.refreshedAt >= requestTTL })
+				if l.expire(now-requestTTL) != (len(plain) == 0) {
+					t.Fatalf("%d are left", len(plain))
+				}
+			}
+			if got, want := l.first(now), headByScan(plain, now); got != want {
+				t.Fatalf("first is %+v, and should be %+v", got, want)
+			}
+			if len(l.byNode) != len(plain) {
+				t.Fatalf("%d in the line, %d should be", len(l.byNode), len(plain))
+			}
+			for _, h := range []requestHeap{l.ready, l.deferred} {
+				for i, w := range h {
+					if w.heapIndex != i || w.calls <= 0 || l.byNode[w.from] != w {
+						t.Fatalf("%+v at %d", w, i)
+					}
+				}
+			}
+		}
+		var owed, answered int
+		for _, w := range plain {
+			if w.answerOwed {
+				owed++
+			}
+		}
+		l.answerPending(func(*grantRequest) { answered++ })
+		if owed != answered {
+			t.Fatalf("%d are owed an answer, %d get one", owed, answered)
+		}
+	})
+}
+
+// BenchmarkKeeper is what an ask and its grant cost a keeper of whom so many ask.
+func BenchmarkRequestQueue(b *testing.B) {
+	for _, senders := range []int{30, 300, 3000, 30000} {
+		b.Run(fmt.Sprint(senders), func(b *testing.B) {
+			var l requestQueue
+			now := time.Second
+			rng := rand.New(rand.NewPCG(1, 1))
+			for i := range senders {
+				w := l.requestOf(i, 0, rng)
+				w.calls, w.urgency, w.since = 1, uint8(i%3), now
+				l.refresh(w, now)
+			}
+			for i := 0; b.Loop(); i++ {
+				now += time.Millisecond
+				w := l.first(now)
+				w.calls--
+				l.reposition(w, now)
+				w = l.requestOf(i%senders, 0, rng)
+				w.calls, w.since = 1, now
+				l.refresh(w, now)
+				l.answerPending(func(*grantRequest) {})
+				l.expire(now - requestTTL*time.Duration(senders))
+			}
+		})
+	}
+}
--- a/choice/resume_test.go
+++ b/choice/resume_test.go
@@ -8,50 +8,50 @@
 )
 
 // What a restart hands back is decided by what may have run, as it would have been without the restart.
-func TestResumed(t *testing.T) {
+func TestResumedMessagesRespectEffect(t *testing.T) {
 	const now = time.Hour
-	cfg := settings()
+	cfg := testSettings()
 	classOf := func(e Effect) int {
 		for i, c := range cfg.Classes {
-			if c.Effect == e && !c.Ordered && (e != Keyed || c.GroupAll) {
+			if c.Effect == e && !c.Ordered && (e != Deduplicated || c.AllEndpointsDeduplicate) {
 				return i
 			}
 		}
 		t.Fatalf("no class of effect %d", e)
 		return 0
 	}
-	safe, keyed, unsafe := classOf(Safe), classOf(Keyed), classOf(Unsafe)
-	window := cfg.Classes[keyed].Window
+	safe, keyed, unsafe := classOf(Idempotent), classOf(Deduplicated), classOf(AtMostOnce)
+	window := cfg.Classes[keyed].DedupWindow
 	for _, c := range []struct {
 		name  string
 		class int
 		left  time.Duration
-		e     Resumed
+		e     MessageResumed
 		want  string
 	}{
-		{"safe, held", safe, 5 * time.Second, Resumed{}, "send"},
-		{"safe, may have run", safe, 5 * time.Second, Resumed{Attempts: 1, Touched: true, MayRun: now - time.Second}, "send"},
-		{"keyed, inside its window", keyed, 5 * time.Second, Resumed{Attempts: 1, Touched: true, MayRun: now - window/2}, "send"},
-		{"keyed, past its window", keyed, 5 * time.Second, Resumed{Attempts: 1, Touched: true, MayRun: now - window}, "fail"},
-		{"unsafe, held", unsafe, 5 * time.Second, Resumed{}, "send"},
-		{"unsafe, never ran", unsafe, 5 * time.Second, Resumed{Attempts: 1}, "send"},
-		{"unsafe, may have run", unsafe, 5 * time.Second, Resumed{Attempts: 1, Touched: true, MayRun: now - time.Second}, "fail"},
-		{"of a class that is not known, held", 99, 5 * time.Second, Resumed{}, "send"},
-		{"of a class that is not known, may have run", 99, 5 * time.Second, Resumed{Attempts: 1, Touched: true, MayRun: now - time.Second}, "fail"},
-		{"out of time", safe, -time.Second, Resumed{}, "push back"},
-		{"unsafe, out of time, may have run", unsafe, -time.Second, Resumed{Attempts: 1, Touched: true, MayRun: now - time.Second}, "fail"},
-		{"out of attempts", safe, 5 * time.Second, Resumed{Attempts: cfg.MaxAttempts}, "push back"},
+		{"safe, held", safe, 5 * time.Second, MessageResumed{}, "send"},
+		{"safe, may have run", safe, 5 * time.Second, MessageResumed{Attempts: 1, MayHaveRun: true, FirstRunSentAt: now - time.Second}, "send"},
+		{"keyed, inside its window", keyed, 5 * time.Second, MessageResumed{Attempts: 1, MayHaveRun: true, FirstRunSentAt: now - window/2}, "send"},
+		{"keyed, past its window", keyed, 5 * time.Second, MessageResumed{Attempts: 1, MayHaveRun: true, FirstRunSentAt: now - window}, "fail"},
+		{"unsafe, held", unsafe, 5 * time.Second, MessageResumed{}, "send"},
+		{"unsafe, never ran", unsafe, 5 * time.Second, MessageResumed{Attempts: 1}, "send"},
+		{"unsafe, may have run", unsafe, 5 * time.Second, MessageResumed{Attempts: 1, MayHaveRun: true, FirstRunSentAt: now - time.Second}, "fail"},
+		{"of a class that is not known, held", 99, 5 * time.Second, MessageResumed{}, "send"},
+		{"of a class that is not known, may have run", 99, 5 * time.Second, MessageResumed{Attempts: 1, MayHaveRun: true, FirstRunSentAt: now - time.Second}, "fail"},
+		{"out of time", safe, -time.Second, MessageResumed{}, "push back"},
+		{"unsafe, out of time, may have run", unsafe, -time.Second, MessageResumed{Attempts: 1, MayHaveRun: true, FirstRunSentAt: now - time.Second}, "fail"},
+		{"out of attempts", safe, 5 * time.Second, MessageResumed{Attempts: cfg.MaxAttempts}, "push back"},
 	} {
 		s := New(cfg, 1)
-		c.e.Arrived = Arrived{ID: "m", Class: c.class, DropDead: now + c.left}
+		c.e.MessageArrived = MessageArrived{ID: "m", Class: c.class, Deadline: now + c.left}
 		got := ""
-		for _, a := range s.Step(now, []Event{one(), c.e}) {
+		for _, a := range s.Step(now, []Event{oneEndpoint(), c.e}) {
 			switch a := a.(type) {
 			case Send:
 				got += "send"
 			case Fail:
 				got += "fail"
-			case PushBack:
+			case Refuse:
 				got += "push back"
 				if a.RetryAfter <= 0 {
 					t.Errorf("%s: no time to come back", c.name)
@@ -65,14 +65,14 @@
 }
 
 // A backlog that has failed before the restart comes back at the pace of a cold destination, not at once.
-func TestResumedBacklogComesBackGently(t *testing.T) {
+func TestResumedBacklogStartsAtColdRate(t *testing.T) {
 	for _, failed := range []bool{false, true} {
-		cfg := settings()
+		cfg := testSettings()
 		s := New(cfg, 1)
-		events := []Event{one()}
+		events := []Event{oneEndpoint()}
 		for _, id := range []string{"a", "b", "c"} {
-			events = append(events, Resumed{
-				Arrived: Arrived{ID: id, DropDead: time.Hour + 5*time.Second}, Attempts: 1, Failed: failed,
+			events = append(events, MessageResumed{
+				MessageArrived: MessageArrived{ID: id, Deadline: time.Hour + 5*time.Second}, Attempts: 1, Failed: failed,
 			})
 		}
 		sends := 0
@@ -81,24 +81,24 @@
 				sends++
 			}
 		}
-		if r := s.eps["a"].route; r.recovering() != failed || (failed && sends > 1) || (!failed && sends == 0) {
+		if r := s.endpoints["a"].route; r.recovering() != failed || (failed && sends > 1) || (!failed && sends == 0) {
 			t.Errorf("failed %v: recovering %v, %d sends", failed, r.recovering(), sends)
 		}
 	}
 }
 
 // Leaving stops new sends and nothing else: the gate and the ends go on.
-func TestLeaving(t *testing.T) {
-	s := New(settings(), 1)
-	s.Step(time.Hour, []Event{one(), Leaving{}})
-	for _, a := range s.Step(time.Hour+ms, []Event{Arrived{ID: "m", DropDead: time.Hour + time.Second}}) {
+func TestShuttingDownSendsNothingNew(t *testing.T) {
+	s := New(testSettings(), 1)
+	s.Step(time.Hour, []Event{oneEndpoint(), ShuttingDown{}})
+	for _, a := range s.Step(time.Hour+ms, []Event{MessageArrived{ID: "m", Deadline: time.Hour + time.Second}}) {
 		if _, ok := a.(Send); ok {
 			t.Error("sent while leaving")
 		}
 	}
 	ended := false
-	for _, a := range s.Step(time.Hour+time.Second, []Event{Rang{}}) {
-		if p, ok := a.(PushBack); ok && p.ID == "m" {
+	for _, a := range s.Step(time.Hour+time.Second, []Event{WakeDue{}}) {
+		if p, ok := a.(Refuse); ok && p.ID == "m" {
 			ended = true
 		}
 	}
@@ -109,14 +109,14 @@
 
 // What a restart finds untried is tried, though newer messages that are worth more keep coming to a destination which takes
 // fewer than come: it was taken on, and would wait to its end behind them.
-func TestWhatARestartFindsIsTried(t *testing.T) {
-	cfg := settings()
+func TestResumedUntriedMessagesAreNotStarved(t *testing.T) {
+	cfg := testSettings()
 	s, now := New(cfg, 1), time.Hour
-	s.Step(now, []Event{list(Entry{Endpoint: "a", Dest: 0, Weight: 8})}) // of which a half is this sender's at most
+	s.Step(now, []Event{fullList(Entry{Endpoint: "a", Dest: 0, Weight: 8})}) // of which a half is this sender's at most
 	const found, limit = 20, 4
 	var events []Event
 	for i := range found {
-		events = append(events, Resumed{Arrived: Arrived{ID: fmt.Sprint("found", i), Class: 0, DropDead: now + 9*time.Second}})
+		events = append(events, MessageResumed{MessageArrived: MessageArrived{ID: fmt.Sprint("found", i), Class: 0, Deadline: now + 9*time.Second}})
 	}
 	tried, gaveUp, taken, window := 0, 0, 0, now
 	for n := 0; now < time.Hour+9*time.Second; n++ {
@@ -124,23 +124,23 @@
 			window, taken = now, 0
 		}
 		if n%5 == 0 { // ten a second
-			events = append(events, Arrived{ID: fmt.Sprint("new", n), Class: 2, DropDead: now + 10*time.Second})
+			events = append(events, MessageArrived{ID: fmt.Sprint("new", n), Class: 2, Deadline: now + 10*time.Second})
 		}
-		actions := s.Step(now, append(events, Rang{Tag: "sweep"}))
+		actions := s.Step(now, append(events, WakeDue{Tag: "sweep"}))
 		events = nil
 		for _, a := range actions {
 			switch a := a.(type) {
 			case Send:
-				o := Pass
+				o := Success
 				if taken++; taken > limit {
 					o = Rejected
 				}
-				if strings.HasPrefix(a.ID, "found") && o == Pass {
+				if strings.HasPrefix(a.ID, "found") && o == Success {
 					tried++
 				}
-				m := s.msgs[a.ID]
-				events = append(events, Ended{ID: a.ID, Attempt: m.attempts - 1, Endpoint: a.Endpoint, Outcome: o, Took: 20 * ms, Closed: o == Pass})
-			case PushBack:
+				m := s.messages[a.ID]
+				events = append(events, AttemptEnded{ID: a.ID, Attempt: m.attempts - 1, Endpoint: a.Endpoint, Outcome: o, Took: 20 * ms, MessageDone: o == Success})
+			case Refuse:
 				if strings.HasPrefix(a.ID, "found") {
 					gaveUp++
 				}
--- a/choice/settings_test.go
+++ b/choice/settings_test.go
@@ -9,17 +9,17 @@
 
 // Whatever a figure of the settings is within its bounds, be it missing, shorter than a call or endless, every rule holds
 // and each message has its end.
-func TestOddSettings(t *testing.T) {
+func TestExtremeSettingsKeepRules(t *testing.T) {
 	odd := func(name string, set func(*Settings) reflect.Value) {
 		values := []any{time.Duration(0), time.Millisecond, 60 * time.Millisecond, 15 * time.Second, 0, 1, 1 << 20, 0.0, 1.0, 100.0}
 		for _, v := range values {
-			cfg := settings()
+			cfg := testSettings()
 			if f := set(&cfg); f.Type() != reflect.TypeOf(v) {
 				continue
 			}
 			t.Run(fmt.Sprint(name, "=", v), func(t *testing.T) {
 				t.Parallel()
-				changedStory(t, 1, 120, 5, func(s *Settings) { // it is carried over now and then
+				runRandomEventsWith(t, 1, 120, 5, func(s *Settings) { // it is carried over now and then
 					for i := range s.Classes {
 						s.Classes[i].Aim, s.Classes[i].Deadline = 500*ms, 1500*ms // so that a story is short
 					}
@@ -49,7 +49,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(2) {
-				changedStory(t, seed, 150, 0, change)
+				runRandomEventsWith(t, seed, 150, 0, change)
 			}
 		})
 	}
--- /dev/null
+++ b/choice/snapshot.go
@@ -0,0 +1,328 @@
+package choice
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+)
+
+// A Sender's state can be carried to another process of the same node, which then decides as this one would have.
+// Each bare struct names its fields once, in fields, for both ways. What a newer version adds is left zero when an
+// older one has written the state, and the other way round it is ignored.
+
+var errInvalidSnapshot = errors.New("choice: a carried state that does not hold together")
+
+// fielder names its fields, with pointers to them.
+type fieldLister interface{ fields() map[string]any }
+
+func (g *gate) fields() map[string]any {
+	return map[string]any{"average": &g.average, "baseline": &g.baseline, "at": &g.sampledAt, "seen": &g.sampled, "shut": &g.shut}
+}
+
+func (r *route) fields() map[string]any {
+	return map[string]any{
+		"waitUntil": &r.waitUntil, "limit": &r.limit, "reported": &r.reported, "left": &r.limitLeft, "weight": &r.weight,
+		"part": &r.limitShare, "partAt": &r.limitShareAt, "tokens": &r.tokens, "tokensAt": &r.refilledAt, "fails": &r.failures,
+		"failedAt": &r.firstFailureAt, "rest": &r.refusalBackoff, "sick": &r.circuitOpen, "harmless": &r.failureRanNothing, "trialAt": &r.nextTrialAt,
+		"backoff": &r.trialBackoff, "trial": &r.trialInFlight, "coldFrom": &r.recoveryStartedAt, "struckAt": &r.outageStartedAt, "demand": &r.demandSinceOutage,
+		"busiest": &r.peakRate, "passed": &r.windowSuccesses, "passedAt": &r.windowStartedAt, "cutAt": &r.lastCutAt,
+	}
+}
+
+func (d *destination) fields() map[string]any {
+	return map[string]any{
+		"kind": &d.kind, "used": &d.slotUse, "usedAt": &d.slotUseAt, "lastTrial": &d.lastGateTrialAt, "came": &d.recentArrivals, "cameAt": &d.recentArrivalsAt,
+	}
+}
+
+func (e *endpoint) fields() map[string]any {
+	return map[string]any{
+		"id": &e.id, "zone": &e.zone, "ready": &e.ready, "listed": &e.listed, "disabled": &e.disabled,
+		"response": &e.penalizedLatency, "usual": &e.smoothedLatency, "sentAt": &e.lastSentAt, "gap": &e.sendInterval, "shunRest": &e.ejectionTime, "shunUntil": &e.ejectedUntil,
+	}
+}
+
+func (m *message) fields() map[string]any {
+	return map[string]any{
+		"id": &m.id, "key": &m.key, "worth": &m.worth, "arrived": &m.arrived, "born": &m.handedInAt, "aim": &m.aim,
+		"dropDead": &m.deadline, "attempts": &m.attempts, "out": &m.inFlight, "mayRun": &m.firstRunSentAt, "touched": &m.mayHaveRun,
+		"zone": &m.runZone, "notBefore": &m.notBefore, "over": &m.ended, "found": &m.resumed,
+	}
+}
+
+func (c *call) fields() map[string]any {
+	return map[string]any{
+		"sentAt": &c.sentAt, "left": &c.unfinished, "trial": &c.trial, "called": &c.cancelRequested, "repeatable": &c.repeatable,
+	}
+}
+
+func (t *tenant) fields() map[string]any {
+	return map[string]any{"tokens": &t.tokens, "at": &t.refilledAt}
+}
+
+// fields of the sender are those that are no structure of their own.
+func (s *Sender) fields() map[string]any {
+	return map[string]any{
+		"now": &s.now, "rests": &s.keyBlockedUntil, "crowded": &s.connTableFullUntil, "tables": &s.connTables, "busy": &s.callsInFlight, "wakeAt": &s.nextWakeAt, "asking": &s.listRetryBackoff,
+		"askAt": &s.listRequestAt, "out": &s.disabledEndpoints, "failing": &s.failureRate,
+	}
+}
+
+// plain is the carried form of a struct's fields.
+type rawFields map[string]json.RawMessage
+
+// pack reads the fields of a struct; the first error stays.
+func marshalFields(f fieldLister, fail *error) rawFields {
+	p := rawFields{}
+	for name, at := range f.fields() {
+		raw, err := json.Marshal(at)
+		if err != nil && *fail == nil {
+			*fail = fmt.Errorf("choice: %s: %w", name, err)
+		}
+		p[name] = raw
+	}
+	return p
+}
+
+// unpack sets them.
+func (p rawFields) unmarshal(f fieldLister, fail *error) {
+	for name, at := range f.fields() {
+		if raw, ok := p[name]; ok {
+			if err := json.Unmarshal(raw, at); err != nil && *fail == nil {
+				*fail = fmt.Errorf("choice: %s: %w", name, err)
+			}
+		}
+	}
+}
+
+// The carried form. Messages and destinations are named by their places in the lists.
+type (
+	snapshot struct {
+		Sender   rawFields
+		Random   []byte
+		Tenants  []rawFields
+		Dests    []snapshotDest
+		Messages []snapshotMessage
+		Open     []int
+		Lines    map[string][]int
+		Active   []int
+	}
+	snapshotDest struct {
+		ID        int
+		Fields    rawFields
+		Gate      rawFields
+		Route     rawFields
+		Endpoints []snapshotEndpoint
+		Waiting   []int
+		Calls     []snapshotCall
+	}
+	snapshotEndpoint struct {
+		Fields  rawFields
+		Route   rawFields // of its own; without one it shares the destination's
+		Current bool      // it is what its id stands for now
+	}
+	snapshotMessage struct {
+		Fields rawFields
+		Class  int // -1 for none that the settings have
+		Dest   int
+		Held   bool // it has no end yet
+	}
+	snapshotCall struct {
+		Fields   rawFields
+		Endpoint int // place among the destination's
+		Sends    []snapshotSend
+	}
+	snapshotSend struct {
+		ID      string
+		N       int
+		Pending bool // it has no outcome yet
+		Message int
+	}
+)
+
+// Carry writes down all that the sender knows between two steps.
+func (s *Sender) Snapshot() ([]byte, error) {
+	var fail error
+	c := snapshot{Sender: marshalFields(s, &fail), Lines: map[string][]int{}}
+	var err error
+	if c.Random, err = s.rngSource.MarshalBinary(); err != nil {
+		return nil, fmt.Errorf("choice: %w", err)
+	}
+	for i := range s.tenants {
+		c.Tenants = append(c.Tenants, marshalFields(&s.tenants[i], &fail))
+	}
+	dests := map[*destination]int{}
+	for i, d := range s.destinationOrder {
+		dests[d] = i
+	}
+	places := map[*message]int{}
+	place := func(m *message) int {
+		if i, ok := places[m]; ok {
+			return i
+		}
+		class := -1
+		for i := range s.cfg.Classes {
+			if m.class == &s.cfg.Classes[i] {
+				class = i
+			}
+		}
+		places[m] = len(c.Messages)
+		c.Messages = append(c.Messages, snapshotMessage{marshalFields(m, &fail), class, dests[m.dest], s.messages[m.id] == m})
+		return places[m]
+	}
+	all := func(ms []*message) []int {
+		var out []int
+		for _, m := range ms {
+			out = append(out, place(m))
+		}
+		return out
+	}
+	ids := map[*destination]int{}
+	for id, d := range s.destinations {
+		ids[d] = id
+	}
+	for _, d := range s.destinationOrder {
+		cd := snapshotDest{
+			ID: ids[d], Fields: marshalFields(d, &fail), Gate: marshalFields(&d.gate, &fail), Route: marshalFields(d.sharedRoute, &fail), Waiting: all(d.waiting),
+		}
+		for _, e := range d.endpoints {
+			ce := snapshotEndpoint{Fields: marshalFields(e, &fail), Current: s.endpoints[e.id] == e}
+			if e.route != d.sharedRoute {
+				ce.Route = marshalFields(e.route, &fail)
+			}
+			cd.Endpoints = append(cd.Endpoints, ce)
+		}
+		for _, k := range d.calls {
+			ck := snapshotCall{Fields: marshalFields(k, &fail), Endpoint: slices.Index(d.endpoints, k.endpoint)}
+			for _, a := range k.attempts {
+				cs := snapshotSend{ID: a.id, N: a.number}
+				if out := s.inFlight[a]; out.call == k {
+					cs.Pending, cs.Message = true, place(out.message)
+				}
+				ck.Sends = append(ck.Sends, cs)
+			}
+			cd.Calls = append(cd.Calls, ck)
+		}
+		c.Dests = append(c.Dests, cd)
+	}
+	c.Open = all(s.openMessages)
+	for _, key := range slices.Sorted(maps.Keys(s.keyQueues)) {
+		c.Lines[key] = all(s.keyQueues[key])
+	}
+	for _, d := range s.activeDestinations {
+		c.Active = append(c.Active, dests[d])
+	}
+	if fail != nil {
+		return nil, fail
+	}
+	return json.Marshal(c)
+}
+
+// Carried returns a sender that goes on from what another process of the node carried over. The clock must go on
+// as well, and every attempt that was out there must have its outcome told here.
+func Restore(cfg Settings, seed uint64, raw []byte) (*Sender, error) {
+	var c snapshot
+	if err := json.Unmarshal(raw, &c); err != nil {
+		return nil, fmt.Errorf("choice: %w", err)
+	}
+	s := New(cfg, seed)
+	var fail error
+	c.Sender.unmarshal(s, &fail)
+	if err := s.rngSource.UnmarshalBinary(c.Random); err != nil {
+		return nil, fmt.Errorf("choice: %w", err)
+	}
+	for i := range min(len(c.Tenants), len(s.tenants)) {
+		c.Tenants[i].unmarshal(&s.tenants[i], &fail)
+	}
+	for _, cd := range c.Dests {
+		d := s.destination(cd.ID)
+		cd.Fields.unmarshal(d, &fail)
+		cd.Gate.unmarshal(&d.gate, &fail)
+		cd.Route.unmarshal(d.sharedRoute, &fail)
+		for _, ce := range cd.Endpoints {
+			e := &endpoint{dest: d, route: d.sharedRoute}
+			ce.Fields.unmarshal(e, &fail)
+			if ce.Route != nil {
+				e.route = newRoute()
+				ce.Route.unmarshal(e.route, &fail)
+			}
+			d.endpoints = append(d.endpoints, e)
+			if ce.Current {
+				s.endpoints[e.id] = e
+			}
+		}
+	}
+	if len(s.destinationOrder) != len(c.Dests) {
+		return nil, errInvalidSnapshot
+	}
+	messages := make([]*message, 0, len(c.Messages))
+	for _, cm := range c.Messages {
+		if cm.Dest < 0 || cm.Dest >= len(s.destinationOrder) {
+			return nil, errInvalidSnapshot
+		}
+		m := &message{class: &Class{}, dest: s.destinationOrder[cm.Dest]}
+		if cm.Class >= 0 && cm.Class < len(s.cfg.Classes) {
+			m.class = &s.cfg.Classes[cm.Class]
+		}
+		cm.Fields.unmarshal(m, &fail)
+		messages = append(messages, m)
+		if cm.Held {
+			s.messages[m.id] = m
+		}
+	}
+	all := func(places []int) (out []*message) {
+		for _, i := range places {
+			if i < 0 || i >= len(messages) {
+				fail = errors.Join(fail, errInvalidSnapshot)
+				continue
+			}
+			out = append(out, messages[i])
+		}
+		return out
+	}
+	for i, cd := range c.Dests {
+		d := s.destinationOrder[i]
+		d.waiting = all(cd.Waiting)
+		for _, m := range d.waiting {
+			m.queued = true
+		}
+		for _, ck := range cd.Calls {
+			if ck.Endpoint < 0 || ck.Endpoint >= len(d.endpoints) {
+				return nil, errInvalidSnapshot
+			}
+			k := &call{endpoint: d.endpoints[ck.Endpoint]}
+			ck.Fields.unmarshal(k, &fail)
+			for _, cs := range ck.Sends {
+				a := attempt{cs.ID, cs.N}
+				k.attempts = append(k.attempts, a)
+				if cs.Pending {
+					for _, m := range all([]int{cs.Message}) {
+						s.inFlight[a] = inFlightAttempt{m, k}
+					}
+				}
+			}
+			d.calls = append(d.calls, k)
+		}
+	}
+	s.openMessages = all(c.Open)
+	for key, places := range c.Lines {
+		s.keyQueues[key] = all(places)
+	}
+	for _, i := range c.Active {
+		if i < 0 || i >= len(s.destinationOrder) {
+			return nil, errInvalidSnapshot
+		}
+		s.destinationOrder[i].active = true
+		s.activeDestinations = append(s.activeDestinations, s.destinationOrder[i])
+	}
+	return s, fail
+}
+
+// WakeAt is the clock time of the wake that is still to come, 0 for none.
+func (s *Sender) NextWakeAt() time.Duration { return s.nextWakeAt }
+
+// Held lists the messages that have no final answer yet.
+func (s *Sender) OpenMessageIDs() []string { return slices.Sorted(maps.Keys(s.messages)) }
--- a/choice/state.go
+++ b/choice/state.go
@@ -10,266 +10,267 @@
 
 // Sender decides for one delivery node.
 type Sender struct {
-	cfg     Settings
-	source  *rand.PCG
-	rng     *rand.Rand // on source
-	now     time.Duration
-	dests   map[int]*destination
-	order   []*destination // in order of first mention, so that nothing hangs on map order
-	eps     map[string]*endpoint
-	msgs    map[string]*message
-	open    []*message // in order of arrival; ended ones are swept out
-	lines   map[string][]*message
-	rests   map[string]time.Duration // keys at rest until then
-	crowded map[int]time.Duration    // connection tables of a kind seem full until then
-	tables  map[int]table            // by kind of destination
-	rested  []*endpoint              // whose connections may be idle since this step
-	tenants []tenant
-	busy    int                   // calls out
-	sent    map[attempt]sending   // attempts without an outcome
-	active  []*destination        // with messages waiting or calls out; swept in release
-	kept    []*destination        // whose limits this sender keeps for others, while they ask
-	gone    map[int]bool          // senders that membership says are gone,
-	lost    map[int]time.Duration // and since when those are that did not say so; nil without membership
-	wakeAt  time.Duration         // the earliest wake asked for
-	asking  time.Duration         // pause before the list is asked for again
-	askAt   time.Duration
-	leaving bool
-	blind   bool            // Blind holds
-	out     map[string]bool // endpoints that operators have taken out
-	failing float64         // smoothed share of failures at routes not known to be struck
-	actions []Action
+	cfg                Settings
+	rngSource          *rand.PCG
+	rng                *rand.Rand // on source
+	now                time.Duration
+	destinations       map[int]*destination
+	destinationOrder   []*destination // in order of first mention, so that nothing hangs on map order
+	endpoints          map[string]*endpoint
+	messages           map[string]*message
+	openMessages       []*message // in order of arrival; ended ones are swept out
+	keyQueues          map[string][]*message
+	keyBlockedUntil    map[string]time.Duration // keys at rest until then
+	connTableFullUntil map[int]time.Duration    // connection tables of a kind seem full until then
+	connTables         map[int]connTableStats   // by kind of destination
+	idleCandidates     []*endpoint              // whose connections may be idle since this step
+	tenants            []tenant
+	callsInFlight      int                         // calls out
+	inFlight           map[attempt]inFlightAttempt // attempts without an outcome
+	activeDestinations []*destination              // with messages waiting or calls out; swept in release
+	coordinated        []*destination              // whose limits this sender keeps for others, while they ask
+	goneMembers        map[int]bool                // senders that membership says are gone,
+	lostMembers        map[int]time.Duration       // and since when those are that did not say so; nil without membership
+	nextWakeAt         time.Duration               // the earliest wake asked for
+	listRetryBackoff   time.Duration               // pause before the list is asked for again
+	listRequestAt      time.Duration
+	leaving            bool
+	suspended          bool            // Blind holds
+	disabledEndpoints  map[string]bool // endpoints that operators have taken out
+	failureRate        float64         // smoothed share of failures at routes not known to be struck
+	actions            []Action
 }
 
 // table is what calls tell of the connection tables of a kind: the smoothed shares of those refused with no wait told,
 // New over connections that were opened for them and Kept over those that had stood idle, of which one has been Seen.
-type table struct {
-	New, Kept float64
-	Seen      bool
+type connTableStats struct {
+	NewRefused    float64 `json:"New"`
+	ReusedRefused float64 `json:"Kept"`
+	ReusedSeen    bool    `json:"Seen"`
 }
 
 type tenant struct {
-	tokens float64
-	at     time.Duration
+	tokens     float64
+	refilledAt time.Duration
 }
 
 // destination is one partner: its gate, endpoints and waiting messages.
 type destination struct {
-	id        int
-	gate      gate
-	kind      int
-	shared    *route // of all endpoints, unless they are routes apart
-	endpoints []*endpoint
-	waiting   []*message // in order of arrival
-	used      float64    // slot time it had of late, in seconds
-	usedAt    time.Duration
-	calls     []*call // out, oldest first
-	lastTrial time.Duration
-	came      float64 // messages that came of late, fading
-	cameAt    time.Duration
-	claim     claim
-	keepers   []int         // senders that keep its limit, the first before the others
-	wants     line          // of senders that ask this one
-	othersAt  time.Duration // last ask of another sender
-	kept      bool          // stands in the sender's list of those
-	active    bool          // stands in the sender's list of those with something to do
+	id                int
+	gate              gate
+	kind              int
+	sharedRoute       *route // of all endpoints, unless they are routes apart
+	endpoints         []*endpoint
+	waiting           []*message // in order of arrival
+	slotUse           float64    // slot time it had of late, in seconds
+	slotUseAt         time.Duration
+	calls             []*call // out, oldest first
+	lastGateTrialAt   time.Duration
+	recentArrivals    float64 // messages that came of late, fading
+	recentArrivalsAt  time.Duration
+	requester         grantRequester
+	coordinators      []int         // senders that keep its limit, the first before the others
+	requests          requestQueue  // of senders that ask this one
+	lastPeerRequestAt time.Duration // last ask of another sender
+	coordinated       bool          // stands in the sender's list of those
+	active            bool          // stands in the sender's list of those with something to do
 }
 
 // claim is what a sender has asked and got of a destination's keeper.
-type claim struct {
-	rank       int  // of the keeper that is asked
-	alone      bool // none answers
-	seq        uint16
-	wanted     int // calls asked for and not granted yet
-	askedAt    time.Duration
-	heardAt    time.Duration
-	misses     int // asks in a row without an answer
-	soughtAt   time.Duration
-	turn       int    // of the keepers that are sought
-	grantSeq   uint16 // the furthest grant that has come
-	grantsSeen uint64 // which of those before it have
-	grants     []grant
-	silentAt   time.Duration // first ask since the keeper was last heard
-	got        float64       // grants that came of late, fading as arrivals do,
-	gotAt      time.Duration
-	share      float64 // and their part of the arrivals when the keeper fell silent
-	tokens     float64 // of the allowance
-	tokensAt   time.Duration
-	allowed    float64       // factor on it: refusals cut it
-	failedAt   time.Duration // last call that failed there, but for refusals
-	beganAt    time.Duration // the destination was first heard of
+type grantRequester struct {
+	rank              int  // of the keeper that is asked
+	uncoordinated     bool // none answers
+	seq               uint16
+	pendingCalls      int // calls asked for and not granted yet
+	requestedAt       time.Duration
+	answeredAt        time.Duration
+	missedRequests    int // asks in a row without an answer
+	lastSeekAt        time.Duration
+	seekTurn          int    // of the keepers that are sought
+	lastGrantSeq      uint16 // the furthest grant that has come
+	grantsSeen        uint64 // which of those before it have
+	grants            []grant
+	unansweredSince   time.Duration // first ask since the keeper was last heard
+	recentGrants      float64       // grants that came of late, fading as arrivals do,
+	recentGrantsAt    time.Duration
+	grantedShare      float64 // and their part of the arrivals when the keeper fell silent
+	allowanceTokens   float64 // of the allowance
+	allowanceTokensAt time.Duration
+	allowanceFactor   float64       // factor on it: refusals cut it
+	lastFailureAt     time.Duration // last call that failed there, but for refusals
+	firstSeenAt       time.Duration // the destination was first heard of
 }
 
 // grant is leave for one call.
 type grant struct {
-	route uint16
-	until time.Duration
+	route     uint16
+	expiresAt time.Duration
 }
 
 // want is what a sender has asked of this one, the keeper.
-type want struct {
-	from      int
-	seq       uint16
-	n         int
-	urgency   uint8
-	route     uint16 // drawn by who asks
-	since     time.Duration
-	at        time.Duration // last said
-	owed      bool          // the ask has no answer yet
-	grantSeq  uint16
-	grantAt   time.Duration // last grant
-	lostUntil time.Duration // its calls got no connection of late
-	number    int           // in the order of who first asked
-	in        *wantHeap     // of its line; nil for none
-	place     int           // there
+type grantRequest struct {
+	from           int
+	seq            uint16
+	calls          int
+	urgency        uint8
+	route          uint16 // drawn by who asks
+	since          time.Duration
+	refreshedAt    time.Duration // last said
+	answerOwed     bool          // the ask has no answer yet
+	lastGrantSeq   uint16
+	lastGrantAt    time.Duration // last grant
+	deferredUntil  time.Duration // its calls got no connection of late
+	firstSeenOrder int           // in the order of who first asked
+	heap           *requestHeap  // of its line; nil for none
+	heapIndex      int           // there
 }
 
 // gate is the two-bound admission control of the paper, for one destination.
 type gate struct {
 	average, baseline float64 // seconds
-	at                time.Duration
-	seen, shut        bool
+	sampledAt         time.Duration
+	sampled, shut     bool
 }
 
 // route is what limits, waits and outages bind: a destination, or an endpoint that is a route apart.
 type route struct {
-	waitUntil   time.Duration // rule six
-	limit       float64       // calls a second as reported
-	reported    bool
-	left        float64 // share of it left at the last report
-	weight      float64
-	part        float64 // this sender's part of the limit
-	partAt      time.Duration
-	tokens      float64
-	tokensAt    time.Duration
-	fails       int           // failures in a row
-	failedAt    time.Duration // the first of them
-	rest        time.Duration // after the last of the refusals in a row
-	sick        bool
-	harmless    bool // the last failure proved that nothing ran
-	trialAt     time.Duration
-	backoff     time.Duration
-	trial       bool          // a trial is out
-	coldFrom    time.Duration // start of the recovery; 0 none
-	struckAt    time.Duration // start of the outage
-	demand      float64       // this sender's messages for the route since then
-	busiest     float64       // most calls passed in a second, for want of any limit
-	passed      float64
-	passedAt    time.Duration
-	triedAt     time.Duration // last trial, where it stands for all senders
-	deliveredAt time.Duration // last pass, there
-	full        float64       // smoothed share of calls refused over the limit, there
-	cutAt       time.Duration // last cut for refusals, where it stands for all senders
-	whole       bool          // it stands for the calls of all senders
-	begins      float64       // the part of its limit that its keeper began with, there
-	fleet       *route        // the same route as its keeper knows it
+	waitUntil         time.Duration // rule six
+	limit             float64       // calls a second as reported
+	reported          bool
+	limitLeft         float64 // share of it left at the last report
+	weight            float64
+	limitShare        float64 // this sender's part of the limit
+	limitShareAt      time.Duration
+	tokens            float64
+	refilledAt        time.Duration
+	failures          int           // failures in a row
+	firstFailureAt    time.Duration // the first of them
+	refusalBackoff    time.Duration // after the last of the refusals in a row
+	circuitOpen       bool
+	failureRanNothing bool // the last failure proved that nothing ran
+	nextTrialAt       time.Duration
+	trialBackoff      time.Duration
+	trialInFlight     bool          // a trial is out
+	recoveryStartedAt time.Duration // start of the recovery; 0 none
+	outageStartedAt   time.Duration // start of the outage
+	demandSinceOutage float64       // this sender's messages for the route since then
+	peakRate          float64       // most calls passed in a second, for want of any limit
+	windowSuccesses   float64
+	windowStartedAt   time.Duration
+	lastTrialAt       time.Duration // last trial, where it stands for all senders
+	lastSuccessAt     time.Duration // last pass, there
+	refusedShare      float64       // smoothed share of calls refused over the limit, there
+	lastCutAt         time.Duration // last cut for refusals, where it stands for all senders
+	fleetWide         bool          // it stands for the calls of all senders
+	initialShare      float64       // the part of its limit that its keeper began with, there
+	fleetRoute        *route        // the same route as its keeper knows it
 }
 
 type endpoint struct {
-	id                  string
-	zone                int
-	dest                *destination
-	route               *route
-	ready               bool
-	listed              bool          // it is in the list, ready or draining
-	disabled            bool          // operators have taken it out
-	response            float64       // smoothed seconds, failures counting slow
-	usual               float64       // smoothed seconds of passed calls
-	sentAt              time.Duration // last call
-	gap                 float64       // smoothed seconds between calls
-	shunRest, shunUntil time.Duration // it takes no connections
+	id                         string
+	zone                       int
+	dest                       *destination
+	route                      *route
+	ready                      bool
+	listed                     bool          // it is in the list, ready or draining
+	disabled                   bool          // operators have taken it out
+	penalizedLatency           float64       // smoothed seconds, failures counting slow
+	smoothedLatency            float64       // smoothed seconds of passed calls
+	lastSentAt                 time.Duration // last call
+	sendInterval               float64       // smoothed seconds between calls
+	ejectionTime, ejectedUntil time.Duration // it takes no connections
 }
 
 type message struct {
-	id        string
-	class     *Class
-	key       string
-	worth     float64
-	dest      *destination
-	arrived   time.Duration
-	born      time.Duration // first hand-in, as far as the deadline tells
-	aim       time.Duration
-	dropDead  time.Duration
-	attempts  int
-	out       int
-	mayRun    time.Duration // send time of the first attempt that may have run
-	touched   bool          // there is such an attempt
-	zone      int           // its endpoint's zone
-	notBefore time.Duration
-	waits     bool
-	over      bool
-	found     bool // at a restart
+	id             string
+	class          *Class
+	key            string
+	worth          float64
+	dest           *destination
+	arrived        time.Duration
+	handedInAt     time.Duration // first hand-in, as far as the deadline tells
+	aim            time.Duration
+	deadline       time.Duration
+	attempts       int
+	inFlight       int
+	firstRunSentAt time.Duration // send time of the first attempt that may have run
+	mayHaveRun     bool          // there is such an attempt
+	runZone        int           // its endpoint's zone
+	notBefore      time.Duration
+	queued         bool
+	ended          bool
+	resumed        bool // at a restart
 }
 
 // attempt names one Send.
 type attempt struct {
-	id string
-	n  int
+	id     string
+	number int
 }
 
 // sending is a message in a call.
-type sending struct {
-	m *message
-	c *call
+type inFlightAttempt struct {
+	message *message
+	call    *call
 }
 
 // call is one call at an endpoint, with one or several messages.
 type call struct {
-	ep         *endpoint
-	sentAt     time.Duration
-	left       int
-	trial      bool
-	sends      []attempt
-	called     bool // called off
-	repeatable bool // none of its messages is unsafe
+	endpoint        *endpoint
+	sentAt          time.Duration
+	unfinished      int
+	trial           bool
+	attempts        []attempt
+	cancelRequested bool // called off
+	repeatable      bool // none of its messages is unsafe
 }
 
 // do adds an action to the reply.
-func (s *Sender) do(a Action) { s.actions = append(s.actions, a) }
+func (s *Sender) emit(a Action) { s.actions = append(s.actions, a) }
 
 // seconds and span convert between durations and seconds.
 func seconds(t time.Duration) float64 { return t.Seconds() }
 
-func span(sec float64) time.Duration { return time.Duration(sec * float64(time.Second)) }
+func duration(sec float64) time.Duration { return time.Duration(sec * float64(time.Second)) }
 
 // destination returns the state of a destination, new if it was not mentioned before.
 func (s *Sender) destination(id int) *destination {
-	d := s.dests[id]
+	d := s.destinations[id]
 	if d == nil {
-		d = &destination{id: id, shared: newRoute(), claim: claim{allowed: 1, beganAt: s.now}}
-		if s.cfg.Cautious {
-			d.claim.tokensAt = s.now // not one call for each sender
+		d = &destination{id: id, sharedRoute: newRoute(), requester: grantRequester{allowanceFactor: 1, firstSeenAt: s.now}}
+		if s.cfg.ColdStart {
+			d.requester.allowanceTokensAt = s.now // not one call for each sender
 		}
-		s.dests[id] = d
-		s.order = append(s.order, d)
+		s.destinations[id] = d
+		s.destinationOrder = append(s.destinationOrder, d)
 	}
 	return d
 }
 
 // apart tells that the endpoints are routes of their own.
-func (s *Sender) apart(d *destination) bool {
-	return d.kind >= 0 && d.kind < len(s.cfg.Kinds) && s.cfg.Kinds[d.kind].Apart
+func (s *Sender) hasSeparateRoutes(d *destination) bool {
+	return d.kind >= 0 && d.kind < len(s.cfg.Kinds) && s.cfg.Kinds[d.kind].SeparateRoutes
 }
 
 // batch is the most messages in one call.
-func (s *Sender) batch(d *destination) int {
+func (s *Sender) maxBatch(d *destination) int {
 	if d.kind < 0 || d.kind >= len(s.cfg.Kinds) {
 		return 1
 	}
-	return max(s.cfg.Kinds[d.kind].Batch, 1)
+	return max(s.cfg.Kinds[d.kind].MaxBatch, 1)
 }
 
 // enqueue puts a message among its destination's waiting, in order of arrival.
 func (s *Sender) enqueue(m *message) {
-	if m.waits || m.over {
+	if m.queued || m.ended {
 		return
 	}
 	d := m.dest
 	if !d.active {
 		d.active = true
-		s.active = append(s.active, d)
+		s.activeDestinations = append(s.activeDestinations, d)
 	}
-	m.waits = true
+	m.queued = true
 	i := len(d.waiting)
 	for i > 0 && d.waiting[i-1].arrived > m.arrived {
 		i--
@@ -281,10 +282,10 @@
 
 // dequeue takes it out again.
 func (d *destination) dequeue(m *message) {
-	if !m.waits {
+	if !m.queued {
 		return
 	}
-	m.waits = false
+	m.queued = false
 	for i, w := range d.waiting {
 		if w == m {
 			d.waiting = append(d.waiting[:i], d.waiting[i+1:]...)
@@ -294,9 +295,9 @@
 }
 
 // hangEnd gives back the slot of a call all of whose messages have their outcomes.
-func (s *Sender) hangEnd(c *call) {
-	s.busy--
-	d := c.ep.dest
+func (s *Sender) releaseSlot(c *call) {
+	s.callsInFlight--
+	d := c.endpoint.dest
 	for i, o := range d.calls {
 		if o == c {
 			d.calls = append(d.calls[:i], d.calls[i+1:]...)
@@ -306,23 +307,23 @@
 }
 
 // trimLine drops ended messages from the head of a key's line; one with an attempt out still holds its turn.
-func (s *Sender) trimLine(key string) {
-	line := s.lines[key]
-	for len(line) > 0 && line[0].over && line[0].out == 0 {
-		line = line[1:]
+func (s *Sender) trimKeyQueue(key string) {
+	queue := s.keyQueues[key]
+	for len(queue) > 0 && queue[0].ended && queue[0].inFlight == 0 {
+		queue = queue[1:]
 	}
-	if s.lines[key] = line; len(line) == 0 {
-		delete(s.lines, key)
+	if s.keyQueues[key] = queue; len(queue) == 0 {
+		delete(s.keyQueues, key)
 	}
 }
 
 // Pool counts the listed endpoints, and those of them that are avoided: taken out by operators, or struck.
 func (s *Sender) Pool() (size, avoided int) {
-	for _, d := range s.order {
+	for _, d := range s.destinationOrder {
 		for _, e := range d.endpoints {
-			if e.listed && s.eps[e.id] == e {
+			if e.listed && s.endpoints[e.id] == e {
 				size++
-				if e.disabled || (e.ready && e.route.sick) {
+				if e.disabled || (e.ready && e.route.circuitOpen) {
 					avoided++
 				}
 			}
@@ -335,9 +336,9 @@
 func (e *endpoint) usable() bool { return e.ready && !e.disabled }
 
 // relist takes the entries of a list into the state. A whole list replaces the old one.
-func (s *Sender) relist(l Listed) {
+func (s *Sender) applyList(l ListUpdate) {
 	if l.Whole {
-		for _, d := range s.order {
+		for _, d := range s.destinationOrder {
 			for _, e := range d.endpoints {
 				e.ready, e.listed = false, false
 			}
@@ -345,57 +346,57 @@
 	}
 	for _, entry := range l.Entries {
 		d := s.destination(entry.Dest)
-		e := s.eps[entry.Endpoint]
+		e := s.endpoints[entry.Endpoint]
 		if e == nil || e.dest != d {
 			e = &endpoint{id: entry.Endpoint, zone: entry.Zone, dest: d}
-			e.disabled = s.out[e.id]
-			s.eps[entry.Endpoint] = e
+			e.disabled = s.disabledEndpoints[e.id]
+			s.endpoints[entry.Endpoint] = e
 			d.endpoints = append(d.endpoints, e)
 			d.kind = entry.Kind
-			if e.route = d.shared; s.apart(d) {
+			if e.route = d.sharedRoute; s.hasSeparateRoutes(d) {
 				e.route = newRoute()
 			}
 		}
-		e.ready, e.listed = entry.Phase == Ready, entry.Phase != Gone
-		if s.cfg.Weighted && entry.Weight > 0 {
+		e.ready, e.listed = entry.Phase == Ready, entry.Phase != Removed
+		if s.cfg.WeightIsRate && entry.Weight > 0 {
 			e.route.weight = entry.Weight
 		}
 	}
 }
 
-func newRoute() *route { return &route{part: 1, tokens: 1} }
+func newRoute() *route { return &route{limitShare: 1, tokens: 1} }
 
 // finish ends a message; a is nil when it is over without our doing.
 func (s *Sender) finish(m *message, a Action) {
-	if m.over {
+	if m.ended {
 		return
 	}
-	m.over = true
+	m.ended = true
 	m.dest.dequeue(m)
-	delete(s.msgs, m.id)
+	delete(s.messages, m.id)
 	if a != nil {
-		s.do(a)
+		s.emit(a)
 	}
 }
 
 // rate is how many messages a second came here for the destination of late.
-func (d *destination) rate(now time.Duration) float64 {
-	return d.came * math.Exp(-seconds(now-d.cameAt)/seconds(demandSpan)) / seconds(demandSpan)
+func (d *destination) arrivalRate(now time.Duration) float64 {
+	return d.recentArrivals * math.Exp(-seconds(now-d.recentArrivalsAt)/seconds(demandDecayTime)) / seconds(demandDecayTime)
 }
 
 // spend brings the slot time that the destination had of late up to now.
-func (d *destination) spend(now time.Duration) {
-	fade := math.Exp(-seconds(now-d.usedAt) / seconds(slotSpan))
-	d.used = d.used*fade + float64(len(d.calls))*seconds(slotSpan)*(1-fade)
-	d.usedAt = now
+func (d *destination) decaySlotUse(now time.Duration) {
+	fade := math.Exp(-seconds(now-d.slotUseAt) / seconds(slotUseDecayTime))
+	d.slotUse = d.slotUse*fade + float64(len(d.calls))*seconds(slotUseDecayTime)*(1-fade)
+	d.slotUseAt = now
 }
 
 // recovering tells that the route is struck, or not yet surely warm again.
-func (r *route) recovering() bool { return r.sick || r.coldFrom > 0 }
+func (r *route) recovering() bool { return r.circuitOpen || r.recoveryStartedAt > 0 }
 
-func (d *destination) troubled() bool {
+func (d *destination) allCircuitsOpen() bool {
 	for _, e := range d.endpoints {
-		if e.usable() && !e.route.sick {
+		if e.usable() && !e.route.circuitOpen {
 			return false
 		}
 	}
@@ -403,74 +404,74 @@
 }
 
 // report takes what an endpoint tells of its limit; odd values are skipped.
-func (s *Sender) report(r *route, rep Report) {
+func (s *Sender) applyReport(r *route, rep LimitReport) {
 	if rep.HasLimit && rep.Limit >= 0 && !math.IsInf(rep.Limit, 0) {
-		r.reported, r.limit, r.left = true, rep.Limit, 0
+		r.reported, r.limit, r.limitLeft = true, rep.Limit, 0
 		if rep.HasLeft && rep.Left > 0 {
-			r.left = min(rep.Left, 1)
+			r.limitLeft = min(rep.Left, 1)
 		}
 	}
 }
 
-func ease(old, sample float64) float64 {
+func smooth(old, sample float64) float64 {
 	if old == 0 {
 		return sample
 	}
-	return old + smoothing*(min(sample, 20*old)-old)
+	return old + smoothingFactor*(min(sample, 20*old)-old)
 }
 
 // keeper is the sender that keeps the destination's limit at a rank, the same for all senders that see the same others.
-func (s *Sender) keeper(d *destination, rank int) int {
-	if d.keepers == nil {
-		return s.rankAnew(d, rank)
+func (s *Sender) coordinator(d *destination, rank int) int {
+	if d.coordinators == nil {
+		return s.rankCoordinators(d, rank)
 	}
-	return d.keepers[min(rank, len(d.keepers)-1)]
+	return d.coordinators[min(rank, len(d.coordinators)-1)]
 }
 
 // rankAnew ranks those who may keep the destination's limit, and returns the one at a rank, or else the last.
-func (s *Sender) rankAnew(d *destination, rank int) int {
+func (s *Sender) rankCoordinators(d *destination, rank int) int {
 	type ranked struct {
 		mix    uint64
 		number int
 	}
-	var first []ranked // in one pass: fleets are large, and few are wanted
-	for i := range s.cfg.Fleet {
-		if x := mix(d.id, i); !s.gone[i] && (len(first) < keeperRanks || x < first[len(first)-1].mix) {
-			at, _ := slices.BinarySearchFunc(first, x, func(r ranked, x uint64) int { return cmp.Compare(r.mix, x) })
-			first = slices.Insert(first, at, ranked{x, i})
-			first = first[:min(len(first), keeperRanks)]
+	var lowest []ranked // in one pass: fleets are large, and few are wanted
+	for i := range s.cfg.FleetSize {
+		if x := rankHash(d.id, i); !s.goneMembers[i] && (len(lowest) < coordinatorRanks || x < lowest[len(lowest)-1].mix) {
+			at, _ := slices.BinarySearchFunc(lowest, x, func(r ranked, x uint64) int { return cmp.Compare(r.mix, x) })
+			lowest = slices.Insert(lowest, at, ranked{x, i})
+			lowest = lowest[:min(len(lowest), coordinatorRanks)]
 		}
 	}
-	d.keepers = nil
-	for _, r := range first {
-		d.keepers = append(d.keepers, r.number)
+	d.coordinators = nil
+	for _, r := range lowest {
+		d.coordinators = append(d.coordinators, r.number)
 	}
-	return d.keepers[min(rank, len(d.keepers)-1)]
+	return d.coordinators[min(rank, len(d.coordinators)-1)]
 }
 
 // meet notes which senders are gone, and since when those are that have not said so. Lost is nil without membership.
-func (s *Sender) meet(e Member) {
-	if s.lost == nil {
-		s.gone, s.lost = map[int]bool{}, map[int]time.Duration{}
+func (s *Sender) updateMembers(e MemberChanged) {
+	if s.lostMembers == nil {
+		s.goneMembers, s.lostMembers = map[int]bool{}, map[int]time.Duration{}
 	}
-	delete(s.gone, e.Number)
-	delete(s.lost, e.Number)
+	delete(s.goneMembers, e.Number)
+	delete(s.lostMembers, e.Number)
 	if e.Gone && e.Number != s.cfg.Number {
-		if s.gone[e.Number] = true; !e.Left {
-			s.lost[e.Number] = s.now
+		if s.goneMembers[e.Number] = true; !e.LeftCleanly {
+			s.lostMembers[e.Number] = s.now
 		}
 	}
 }
 
 // dropWants forgets asks that have not been said again, and destinations without any.
-func (s *Sender) dropWants() {
-	s.kept = slices.DeleteFunc(s.kept, func(d *destination) bool {
-		d.kept = !d.wants.drop(s.now - askedLast)
-		return !d.kept
+func (s *Sender) expireRequests() {
+	s.coordinated = slices.DeleteFunc(s.coordinated, func(d *destination) bool {
+		d.coordinated = !d.requests.expire(s.now - requestTTL)
+		return !d.coordinated
 	})
 }
 
-func (s *Sender) mostWorth() float64 {
+func (s *Sender) maxClassWorth() float64 {
 	most := 1e-9
 	for _, c := range s.cfg.Classes {
 		most = max(most, c.Worth)
@@ -479,74 +480,76 @@
 }
 
 // granted tells that there is a grant for the endpoint's route.
-func (s *Sender) granted(e *endpoint) bool {
-	has := func(g grant) bool { return g.route == s.mark(e) && s.now < g.until }
-	return slices.ContainsFunc(e.dest.claim.grants, has) || s.onAllowance(e)
+func (s *Sender) hasGrant(e *endpoint) bool {
+	has := func(g grant) bool { return g.route == s.routeID(e) && s.now < g.expiresAt }
+	return slices.ContainsFunc(e.dest.requester.grants, has) || s.withinAllowance(e)
 }
 
 // useGrant takes a grant away for a call.
-func (s *Sender) useGrant(e *endpoint) {
-	c := &e.dest.claim
-	if i := slices.IndexFunc(c.grants, func(g grant) bool { return g.route == s.mark(e) }); i >= 0 {
+func (s *Sender) consumeGrant(e *endpoint) {
+	c := &e.dest.requester
+	if i := slices.IndexFunc(c.grants, func(g grant) bool { return g.route == s.routeID(e) }); i >= 0 {
 		c.grants = slices.Delete(c.grants, i, i+1)
 	} else {
-		c.tokens--
+		c.allowanceTokens--
 	}
 }
 
 // othersOpen tells that other endpoints of its route take connections, as far as it is known.
-func (s *Sender) othersOpen(ep *endpoint) bool {
+func (s *Sender) othersAvailable(ep *endpoint) bool {
 	return slices.ContainsFunc(ep.dest.endpoints, func(o *endpoint) bool {
-		return o != ep && o.route == ep.route && o.usable() && s.now >= o.shunUntil
+		return o != ep && o.route == ep.route && o.usable() && s.now >= o.ejectedUntil
 	})
 }
 
 // take notes a new message and its demand on the destination.
-func (s *Sender) take(e Arrived) (*message, *destination) {
+func (s *Sender) newMessage(e MessageArrived) (*message, *destination) {
 	d := s.destination(e.Dest)
-	d.came, d.cameAt = d.rate(s.now)*seconds(demandSpan)+1, s.now
-	class := &Class{Effect: Unsafe} // of a class that is not known, as after a restart with other settings, nothing is repeated
+	d.recentArrivals, d.recentArrivalsAt = d.arrivalRate(s.now)*seconds(demandDecayTime)+1, s.now
+	class := &Class{Effect: AtMostOnce} // of a class that is not known, as after a restart with other settings, nothing is repeated
 	if e.Class >= 0 && e.Class < len(s.cfg.Classes) {
 		class = &s.cfg.Classes[e.Class]
 	}
 	m := &message{
-		id: e.ID, class: class, dest: d, arrived: s.now, dropDead: e.DropDead, worth: class.Worth,
-		born: e.DropDead - class.Deadline,
+		id: e.ID, class: class, dest: d, arrived: s.now, deadline: e.Deadline, worth: class.Worth,
+		handedInAt: e.Deadline - class.Deadline,
 	}
-	m.aim = min(class.Aim+span(class.AimStretch*seconds(e.Hint)), max(class.Deadline, class.Aim))
-	if !s.inShare(e.Tenant) {
-		m.worth *= s.cfg.OverShareWorth
+	m.aim = min(class.Aim+duration(class.AimStretch*seconds(e.Hint)), max(class.Deadline, class.Aim))
+	if !s.withinQuota(e.Tenant) {
+		m.worth *= s.cfg.OverQuotaWorth
 	}
-	s.msgs[m.id] = m
-	if s.shared() && (d.claim.alone || d.claim.heardAt < d.claim.askedAt) {
+	s.messages[m.id] = m
+	if s.sharesLimits() && (d.requester.uncoordinated || d.requester.answeredAt < d.requester.requestedAt) {
 		arrival, _ := s.allowance(d)
-		d.claim.tokens += arrival
+		d.requester.allowanceTokens += arrival
 	}
 	return m, d
 }
 
 // hold puts a message that was taken on among the waiting.
-func (s *Sender) hold(m *message, key string) {
-	s.open = append(s.open, m)
+func (s *Sender) queueMessage(m *message, key string) {
+	s.openMessages = append(s.openMessages, m)
 	if m.class.Ordered && key != "" {
 		m.key = key
-		s.lines[m.key] = append(s.lines[m.key], m)
+		s.keyQueues[m.key] = append(s.keyQueues[m.key], m)
 	}
 	s.enqueue(m)
 	for _, e := range m.dest.endpoints {
 		if e.route.recovering() {
-			e.route.demand += 1 / float64(len(m.dest.endpoints))
+			e.route.demandSinceOutage += 1 / float64(len(m.dest.endpoints))
 		}
 	}
 }
 
 // askable is the check before every send but for the grant.
-func (s *Sender) askable(m *message, e *endpoint) bool {
-	return s.fits(m, e) && e.usable() && s.now >= e.route.waitUntil
+func (s *Sender) allowsRequest(m *message, e *endpoint) bool {
+	return s.messageAllows(m, e) && e.usable() && s.now >= e.route.waitUntil
 }
 
 // shared tells that the senders share limits by notes at all.
-func (s *Sender) shared() bool { return s.cfg.MayTell && s.cfg.Fleet > 1 }
+func (s *Sender) sharesLimits() bool { return s.cfg.PeerDatagrams && s.cfg.FleetSize > 1 }
 
 // governed tells that calls to the destination wait for grants.
-func (s *Sender) governed(d *destination) bool { return s.shared() && !d.claim.alone }
+func (s *Sender) needsGrant(d *destination) bool {
+	return s.sharesLimits() && !d.requester.uncoordinated
+}
--- a/choice/alone_test.go
+++ b/choice/uncoordinated_test.go
@@ -8,20 +8,20 @@
 
 // Senders that can't tell one another anything, at a destination whose limit nobody tells and whose refused calls use
 // it up, come to what it takes: most of the limit is delivered, and few calls are wasted on refusals.
-func TestAnUntoldLimitIsFoundAlone(t *testing.T) {
+func TestUncoordinatedSendersEstimateLimit(t *testing.T) {
 	for _, c := range []struct {
 		fleet int
 		limit int // calls in a window of a second, of all senders
 		load  float64
 	}{{1, 3, 0.8}, {1, 3, 1.5}, {6, 6, 0.8}, {6, 6, 1.2}, {6, 6, 2}, {30, 20, 1.3}} {
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
-			cfg := settings()
-			cfg.Fleet, cfg.Weighted = c.fleet, false
-			var fleet []*story
+			cfg := testSettings()
+			cfg.FleetSize, cfg.WeightIsRate = c.fleet, false
+			var fleet []*scenario
 			for i := range c.fleet {
 				cfg.Number = i
-				w := newStory(t, cfg, uint64(i+1))
-				w.step(0, list(Entry{Endpoint: "a", Dest: 0}))
+				w := newScenario(t, cfg, uint64(i+1))
+				w.step(0, fullList(Entry{Endpoint: "a", Dest: 0}))
 				fleet = append(fleet, w)
 			}
 			calls, passed, window, taken, came := 0, 0, time.Duration(0), 0, 0.0
@@ -33,15 +33,15 @@
 				}
 				came += c.load * float64(c.limit) * seconds(20*ms)
 				for i, w := range fleet {
-					events := []Event{Rang{Tag: "sweep"}}
-					for _, a := range w.flights() {
+					events := []Event{WakeDue{Tag: "sweep"}}
+					for _, a := range w.sortedInFlight() {
 						if o, heard := due[i][a.id]; heard {
 							events = append(events, w.outcome(a.id, o, 0))
 						}
 					}
 					if came >= 1 && int(now/(20*ms))%c.fleet == i {
 						for ; came >= 1; came-- {
-							events = append(events, w.arrive(fmt.Sprint(now, came), 0, 0))
+							events = append(events, w.newArrival(fmt.Sprint(now, came), 0, 0))
 						}
 					}
 					before := len(w.sends)
@@ -49,7 +49,7 @@
 					due[i] = map[string]Outcome{}
 					for _, s := range w.sends[before:] {
 						if calls++; taken < c.limit {
-							due[i][s.ID] = Pass
+							due[i][s.ID] = Success
 							passed++
 						} else {
 							due[i][s.ID] = Rejected
--- a/cmd/harrierramp/constants_test.go
+++ b/cmd/harrierramp/constants_test.go
@@ -15,7 +15,7 @@
 
 // Formats and exit statuses bear on no time, count or share.
 var noFigures = map[string]string{
-	"choice":              "noteAsk noteGrant noteEnd noteHand noteCold noteSize",
+	"choice":              "datagramRequest datagramGrant datagramCallEnd datagramHandOver datagramOutage maxDatagramSize",
 	"internal/auditlog":   "Format checksumLen",
 	"internal/cli":        "exitFailed exitUsage epochShift",
 	"internal/journal":    "recordHeaderBytes",
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -36,21 +36,21 @@
 }
 
 // turn gathers the events of one batch, each instance's together, instances in order of appearance.
-type turn struct {
-	now    time.Duration
-	order  []string
-	events map[string][]choice.Event
+type batch struct {
+	now       time.Duration
+	nodeOrder []string
+	events    map[string][]choice.Event
 }
 
 func run(in io.Reader, out io.Writer) error {
 	h := newHost(out)
 	r := bufio.NewReaderSize(in, 1<<20)
-	var t *turn
+	var t *batch
 	for n := 1; ; n++ {
 		text, err := r.ReadBytes('\n')
 		if len(text) > 0 && text[0] != '\n' {
 			var fail error
-			if t, fail = h.line(t, text); fail != nil {
+			if t, fail = h.handleLine(t, text); fail != nil {
 				return fmt.Errorf("line %d: %w", n, fail)
 			}
 		}
@@ -67,7 +67,7 @@
 }
 
 // line takes one line of input and returns the batch that is open after it.
-func (h *host) line(t *turn, text []byte) (*turn, error) {
+func (h *host) handleLine(t *batch, text []byte) (*batch, error) {
 	l, err := wire.Parse(text)
 	if err != nil {
 		return t, err
@@ -76,53 +76,53 @@
 		if t != nil {
 			return t, errors.New("Turn inside a batch")
 		}
-		return &turn{now: wire.Time(l.SimTime), events: map[string][]choice.Event{}}, nil
+		return &batch{now: wire.FromMillis(l.Time), events: map[string][]choice.Event{}}, nil
 	}
 	if t == nil {
 		return t, fmt.Errorf("%s outside a batch", l.Type)
 	}
 	switch l.Type {
 	case "YourTurn":
-		for _, node := range t.order {
+		for _, node := range t.nodeOrder {
 			if h.nodes[node] != nil {
-				if err := h.step(t.now, node, t.events[node]); err != nil {
+				if err := h.stepNode(t.now, node, t.events[node]); err != nil {
 					return t, err
 				}
 			}
 		}
-		if _, err := fmt.Fprintln(h.out, wire.Done); err != nil {
+		if _, err := fmt.Fprintln(h.out, wire.DoneLine); err != nil {
 			return t, err
 		}
 		return nil, h.out.Flush()
 	case "Manifest":
 		entries, err := wire.Entries(l.Records)
 		if err != nil {
-			return t, fmt.Errorf("Manifest %d: %w", l.Slot, err)
+			return t, fmt.Errorf("Manifest %d: %w", l.ListNumber, err)
 		}
-		h.lists[l.Slot] = entries
+		h.lists[l.ListNumber] = entries
 		return t, nil
 	case "Born":
-		settings, err := wire.Settings(l.Conf)
+		settings, err := wire.Settings(l.Settings)
 		if err != nil {
 			return t, fmt.Errorf("Born %s: %w", l.Node, err)
 		}
-		seed, err := strconv.ParseUint(l.Nonce.String(), 10, 64)
+		seed, err := strconv.ParseUint(l.Seed.String(), 10, 64)
 		if err != nil {
-			signed, serr := strconv.ParseInt(l.Nonce.String(), 10, 64)
+			signed, serr := strconv.ParseInt(l.Seed.String(), 10, 64)
 			if serr != nil {
 				return t, fmt.Errorf("Born %s: nonce64: %w", l.Node, err)
 			}
 			seed = uint64(signed)
 		}
 		h.nodes[l.Node] = choice.New(settings, seed)
-		t.reset(l.Node)
+		t.resetNode(l.Node)
 		return t, nil
 	case "Down":
 		if h.nodes[l.Node] == nil {
 			return t, fmt.Errorf("Down for %q, which was never born", l.Node)
 		}
 		delete(h.nodes, l.Node)
-		t.reset(l.Node)
+		t.resetNode(l.Node)
 		return t, nil
 	}
 	if h.nodes[l.Node] == nil {
@@ -133,31 +133,31 @@
 		return t, fmt.Errorf("%s for %q: %w", l.Type, l.Node, err)
 	}
 	if ev != nil {
-		t.add(l.Node, ev)
+		t.addEvent(l.Node, ev)
 	}
 	return t, nil
 }
 
-func (t *turn) add(node string, ev choice.Event) {
+func (t *batch) addEvent(node string, ev choice.Event) {
 	if _, ok := t.events[node]; !ok {
-		t.order = append(t.order, node)
+		t.nodeOrder = append(t.nodeOrder, node)
 	}
 	t.events[node] = append(t.events[node], ev)
 }
 
 // reset forgets what an earlier life of the instance was told in this batch; it has its turn all the same.
-func (t *turn) reset(node string) {
+func (t *batch) resetNode(node string) {
 	if _, ok := t.events[node]; !ok {
-		t.order = append(t.order, node)
+		t.nodeOrder = append(t.nodeOrder, node)
 	}
 	t.events[node] = nil
 }
 
 // step runs one instance and writes its actions; a panic becomes a Broken line.
-func (h *host) step(now time.Duration, node string, events []choice.Event) (err error) {
+func (h *host) stepNode(now time.Duration, node string, events []choice.Event) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			_, err = fmt.Fprintf(h.out, "%s\n", wire.Broken(node, fmt.Sprint(p)))
+			_, err = fmt.Fprintf(h.out, "%s\n", wire.CrashLine(node, fmt.Sprint(p)))
 		}
 	}()
 	for _, a := range h.nodes[node].Step(now, events) {
--- a/cmd/wirehost/main_test.go
+++ b/cmd/wirehost/main_test.go
@@ -7,7 +7,7 @@
 	"harrierramp/choice"
 )
 
-const born = `{"event_type":"Turn","simTime":1000}
+const startBatch = `{"event_type":"Turn","simTime":1000}
 {"event_type":"Manifest","slot":0,"records":[{"endpoint":"endpoint-a","ownerNo":7,"phase":"healthy","heft":5}]}
 {"event_type":"Born","node":"node-0","nonce64":18446744073709551615,"conf":{"categories":[{"aim":1000,"deadline":5000,"effect":"idempotent","worth":1}]}}
 {"event_type":"Announce","node":"node-0","form":"stale_copy","gen":1,"slot":0}
@@ -16,7 +16,7 @@
 
 func TestConversation(t *testing.T) {
 	var out strings.Builder
-	err := run(strings.NewReader(born+`
+	err := run(strings.NewReader(startBatch+`
 {"event_type":"Turn","simTime":1005}
 {"event_type":"Query","node":"node-0","handle":"h","dropDead":6005,"farEnd":7}
 {"event_type":"YourTurn"}
@@ -34,15 +34,15 @@
 	}
 }
 
-func TestBadInput(t *testing.T) {
+func TestInvalidInputIsRejected(t *testing.T) {
 	turn := "{\"event_type\":\"Turn\",\"simTime\":1}\n"
 	for _, c := range []struct{ in, says string }{
 		{turn + "{oops\n", "line 2: malformed"},
 		{turn + `{"event_type":"Knock","node":"node-0"}` + "\n", "never born"},
-		{born + turn + `{"event_type":"Knock","node":"node-0"}` + "\n", `unknown event "Knock"`},
+		{startBatch + turn + `{"event_type":"Knock","node":"node-0"}` + "\n", `unknown event "Knock"`},
 		{turn + `{"event_type":"Ring","node":"node-9"}` + "\n", `Ring for "node-9", which was never born`},
 		{turn + `{"event_type":"Down","node":"node-9"}` + "\n", "never born"},
-		{born + turn + `{"event_type":"Announce","node":"node-0","form":"whole","slot":5}` + "\n", "list 5, which was never sent"},
+		{startBatch + turn + `{"event_type":"Announce","node":"node-0","form":"whole","slot":5}` + "\n", "list 5, which was never sent"},
 		{turn + turn, "Turn inside a batch"},
 		{`{"event_type":"YourTurn"}` + "\n", "outside a batch"},
 		{turn, "input ends inside a batch"},
@@ -57,11 +57,11 @@
 }
 
 // A panic of the decision code becomes a Broken line with its text, never silence.
-func TestPanicBecomesBroken(t *testing.T) {
+func TestPanicIsReportedAsBroken(t *testing.T) {
 	var out strings.Builder
 	h := newHost(&out)
 	h.nodes["node-0"] = (*choice.Sender)(nil)
-	if err := h.step(1, "node-0", nil); err != nil {
+	if err := h.stepNode(1, "node-0", nil); err != nil {
 		t.Fatal(err)
 	}
 	h.out.Flush()
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -33,7 +33,7 @@
 	Registry    *ListService    `json:"registry" toml:"registry" doc:"the project's own list service, in place of discovery"`
 	Membership  *Membership     `json:"membership" toml:"membership" doc:"nodes tell each other who is there"`
 	Audit       *Audit          `json:"audit" toml:"audit" doc:"nodes tell the list service what they act on"`
-	Delivery    wire.Conf       `json:"settings" toml:"delivery"`
+	Delivery    wire.Config     `json:"settings" toml:"delivery"`
 	KnownList   listwatch.List  `json:"known" toml:"-"` // the list as the node last held it
 	Settings    choice.Settings `json:"-" toml:"-"`     // Deployment, for the module
 	Names       wire.Names      `json:"-" toml:"-"`     // of Deployment
@@ -163,7 +163,7 @@
 	if m == nil {
 		return nil
 	}
-	if c.PeerListen == "" || len(c.Peers) < 2 || !c.Settings.MayTell {
+	if c.PeerListen == "" || len(c.Peers) < 2 || !c.Settings.PeerDatagrams {
 		return errors.New("membership needs peer_listen, peers, and settings that allow notes")
 	}
 	if c.Settings.Number < 0 || c.Settings.Number >= len(c.Peers) {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -63,7 +63,7 @@
 		t.Errorf("platform %+v, people %+v", fromJSON, fromTOML.Config)
 	}
 	a, b := fromJSON.Settings, fromTOML.Settings
-	if a.Classes[0] != b.Classes[0] || a.Slots != b.Slots || a.ConnIdle != b.ConnIdle || a.MaxRetryAfter != b.MaxRetryAfter || a.Fleet != b.Fleet {
+	if a.Classes[0] != b.Classes[0] || a.Slots != b.Slots || a.IdleConnTimeout != b.IdleConnTimeout || a.MaxRetryAfter != b.MaxRetryAfter || a.FleetSize != b.FleetSize {
 		t.Errorf("platform %+v, people %+v", a, b)
 	}
 	if a.Classes[0].Aim != 1500500*time.Microsecond || a.MaxAttempts != 0 || b.MaxAttempts != 12 {
--- a/internal/egress/local_errors_test.go
+++ b/internal/egress/local_errors_test.go
@@ -23,10 +23,10 @@
 		times int
 		want  choice.Outcome
 	}{
-		"no descriptors":            {failed("socket", syscall.ENFILE), 5, choice.Pass},
-		"no buffers":                {failed("socket", syscall.ENOBUFS), 5, choice.Pass},
-		"no address":                {failed("connect", syscall.EADDRNOTAVAIL), 5, choice.Pass},
-		"no route":                  {failed("connect", syscall.ENETUNREACH), 5, choice.Pass},
+		"no descriptors":            {failed("socket", syscall.ENFILE), 5, choice.Success},
+		"no buffers":                {failed("socket", syscall.ENOBUFS), 5, choice.Success},
+		"no address":                {failed("connect", syscall.EADDRNOTAVAIL), 5, choice.Success},
+		"no route":                  {failed("connect", syscall.ENETUNREACH), 5, choice.Success},
 		"no descriptors for long":   {failed("socket", syscall.EMFILE), 1000, choice.NotSent},
 		"no route for long":         {failed("connect", syscall.ENETUNREACH), 1000, choice.ConnectFailed},
 		"the endpoint is not there": {failed("connect", syscall.ECONNREFUSED), 1, choice.ConnectFailed},
--- a/internal/egress/pool.go
+++ b/internal/egress/pool.go
@@ -68,7 +68,7 @@
 	ResponseRead bool // an answer, read to its end or to what says delivered
 	// The request was written whole between these; zero for one that was not.
 	WriteStart, WriteEnd time.Time
-	Report               choice.Report
+	Report               choice.LimitReport
 }
 
 // Pool makes calls, on connections that it keeps between them.
@@ -307,7 +307,7 @@
 		case err == nil: // more than the answer in the buffer belongs to no call
 			return classifyResponse(resp), !resp.Close && k.br.Buffered() == 0, nil
 		case delivered:
-			return Result{Outcome: choice.Pass, MessageDone: true}, false, nil
+			return Result{Outcome: choice.Success, MessageDone: true}, false, nil
 		}
 		return Result{}, false, fmt.Errorf("answer: %w", err)
 	}
@@ -345,7 +345,7 @@
 	res := Result{Report: parseLoadReport(resp.Header.Get(loadHeader))}
 	switch resp.StatusCode {
 	case http.StatusOK:
-		res.Outcome, res.MessageDone = choice.Pass, true
+		res.Outcome, res.MessageDone = choice.Success, true
 	case http.StatusTooManyRequests:
 		res.Outcome = choice.Rejected
 		if sec, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && sec > 0 {
@@ -361,14 +361,14 @@
 	case http.StatusGone:
 		res.Outcome, res.MessageDone = choice.NotSent, true
 	default: // 500, and what the protocol does not know: it may have run
-		res.Outcome = choice.Fault
+		res.Outcome = choice.ServerError
 	}
 	return res
 }
 
 // loadReport reads "x0=0.4,x1=25"; what can't be read is left out.
-func parseLoadReport(text string) choice.Report {
-	var r choice.Report
+func parseLoadReport(text string) choice.LimitReport {
+	var r choice.LimitReport
 	for field := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		v, err := strconv.ParseFloat(value, 64)
--- a/internal/egress/pool_test.go
+++ b/internal/egress/pool_test.go
@@ -30,20 +30,20 @@
 		name, says string
 		want       Result
 	}{
-		{"delivered", testkit.DeliveredResponse, Result{Outcome: choice.Pass, MessageDone: true}},
+		{"delivered", testkit.DeliveredResponse, Result{Outcome: choice.Success, MessageDone: true}},
 		{"delivered with a report", "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: x0=0.4,x1=25\r\nContent-Length: 0\r\n\r\n",
-			Result{Outcome: choice.Pass, MessageDone: true, Report: choice.Report{Left: 0.4, Limit: 25, HasLeft: true, HasLimit: true}}},
+			Result{Outcome: choice.Success, MessageDone: true, Report: choice.LimitReport{Left: 0.4, Limit: 25, HasLeft: true, HasLimit: true}}},
 		{"a report that can't be read", "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: x0=often,,x1=NaN\r\nContent-Length: 0\r\n\r\n",
-			Result{Outcome: choice.Pass, MessageDone: true}},
-		{"after a 1xx", "HTTP/1.1 103 Early Hints\r\n\r\n" + testkit.DeliveredResponse, Result{Outcome: choice.Pass, MessageDone: true}},
-		{"error", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", Result{Outcome: choice.Fault}},
+			Result{Outcome: choice.Success, MessageDone: true}},
+		{"after a 1xx", "HTTP/1.1 103 Early Hints\r\n\r\n" + testkit.DeliveredResponse, Result{Outcome: choice.Success, MessageDone: true}},
+		{"error", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", Result{Outcome: choice.ServerError}},
 		{"told to wait", "HTTP/1.1 429 No\r\nRetry-After: 0.35\r\nContent-Length: 0\r\n\r\n",
 			Result{Outcome: choice.Rejected, RetryAfter: 350 * time.Millisecond}},
 		{"turned away", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", Result{Outcome: choice.Rejected}},
 		{"no slot", "HTTP/1.1 503 No\r\nX-Line-Busy: 1\r\nContent-Length: 0\r\n\r\n", Result{Outcome: choice.NotSent, NoSlot: true}},
 		{"all attempts used", "HTTP/1.1 504 No\r\nContent-Length: 0\r\n\r\n", Result{Outcome: choice.NotSent}},
 		{"over", "HTTP/1.1 410 No\r\nContent-Length: 0\r\n\r\n", Result{Outcome: choice.NotSent, MessageDone: true}},
-		{"unknown status", "HTTP/1.1 418 No\r\nContent-Length: 0\r\n\r\n", Result{Outcome: choice.Fault}},
+		{"unknown status", "HTTP/1.1 418 No\r\nContent-Length: 0\r\n\r\n", Result{Outcome: choice.ServerError}},
 		{"no HTTP", "what?\r\n\r\n", Result{Outcome: choice.ConnReset}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -145,7 +145,7 @@
 		return false
 	})
 	pool, e := testPool(), endpointAt(p.Addr())
-	if got := pool.Do(t.Context(), testCall(e)); got.Outcome != choice.Pass || got.Reused {
+	if got := pool.Do(t.Context(), testCall(e)); got.Outcome != choice.Success || got.Reused {
 		t.Fatalf("got %+v", got)
 	}
 	if got := pool.Do(t.Context(), testCall(e)); got.Outcome != choice.ConnReset || !got.Reused {
@@ -160,11 +160,11 @@
 // least of all that the call has not run.
 func TestTruncatedResponses(t *testing.T) {
 	for text, want := range map[string]choice.Outcome{
-		"HTTP/1.1 200":                  choice.Pass,
-		"HTTP/1.1 200 O":                choice.Pass,
-		"HTTP/1.1 200 OK\r\nContent-Le": choice.Pass,
-		"HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\nd21e":  choice.Pass,
-		"HTTP/1.1 200 OK\r\n\x00\xff\r\n\r\n":                choice.Pass,
+		"HTTP/1.1 200":                  choice.Success,
+		"HTTP/1.1 200 O":                choice.Success,
+		"HTTP/1.1 200 OK\r\nContent-Le": choice.Success,
+		"HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\nd21e":  choice.Success,
+		"HTTP/1.1 200 OK\r\n\x00\xff\r\n\r\n":                choice.Success,
 		"HTTP/1.1 20":                                        choice.ConnReset,
 		"HTTP/1.1 2000 OK\r\n":                               choice.ConnReset,
 		"HTTP/1.1 503 No\r\nContent-Le":                      choice.ConnReset,
@@ -177,7 +177,7 @@
 			return false
 		})
 		pool := testPool()
-		if got := pool.Do(t.Context(), testCall(endpointAt(p.Addr()))); got.Outcome != want || got.MessageDone != (want == choice.Pass) {
+		if got := pool.Do(t.Context(), testCall(endpointAt(p.Addr()))); got.Outcome != want || got.MessageDone != (want == choice.Success) {
 			t.Errorf("%q: got %+v", text, got)
 		}
 		if pool.idleCount != 0 {
@@ -194,7 +194,7 @@
 	})
 	pool, e := testPool(), endpointAt(p.Addr())
 	for range 3 {
-		if got := pool.Do(t.Context(), testCall(e)); got.Outcome != choice.Pass {
+		if got := pool.Do(t.Context(), testCall(e)); got.Outcome != choice.Success {
 			t.Fatalf("got %+v", got)
 		}
 		testkit.Eventually(t, "the closed connection is dropped", func() bool {
@@ -236,7 +236,7 @@
 	p := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse+"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"))
 	pool, e := testPool(), endpointAt(p.Addr())
 	for range 3 {
-		if got := pool.Do(t.Context(), testCall(e)); got.Outcome != choice.Pass {
+		if got := pool.Do(t.Context(), testCall(e)); got.Outcome != choice.Success {
 			t.Errorf("got %+v", got)
 		}
 	}
--- a/internal/egress/races_test.go
+++ b/internal/egress/races_test.go
@@ -55,7 +55,7 @@
 			})
 			pool, e := testPool(), endpointAt(p.Addr())
 			defer pool.Close()
-			if res := pool.Do(t.Context(), testCall(e)); res.Outcome != choice.Pass {
+			if res := pool.Do(t.Context(), testCall(e)); res.Outcome != choice.Success {
 				t.Fatalf("%+v", res)
 			}
 			far := <-conns
@@ -72,7 +72,7 @@
 			}}
 			pool.mu.Unlock()
 			res := pool.Do(t.Context(), testCall(e))
-			if res.Outcome != choice.Pass || res.Reused != c.good {
+			if res.Outcome != choice.Success || res.Reused != c.good {
 				t.Errorf("%+v", res)
 			}
 			if _, n := p.Counts(); c.good != (n == 1) {
@@ -87,12 +87,12 @@
 func TestEndlessResponsesReleaseSlot(t *testing.T) {
 	const patience = 20 * time.Second
 	for text, want := range map[string]choice.Outcome{
-		"HTTP/1.1 200 OK\r\n":                                              choice.Pass,
-		"HTTP/1.1 200 OK\r\nX-A: b":                                        choice.Pass,
-		"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nab":                  choice.Pass,
-		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n": choice.Pass,
-		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n":      choice.Pass,
-		"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n":                 choice.Pass,
+		"HTTP/1.1 200 OK\r\n":                                              choice.Success,
+		"HTTP/1.1 200 OK\r\nX-A: b":                                        choice.Success,
+		"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nab":                  choice.Success,
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n": choice.Success,
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n":      choice.Success,
+		"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n":                 choice.Success,
 		"H":                               choice.ConnReset,
 		"HTTP/1.1 20":                     choice.ConnReset,
 		"HTTP/1.1 503 Busy\r\nContent-Le": choice.ConnReset,
@@ -152,7 +152,7 @@
 		t.Fatal("the first line does not say delivered")
 	}
 	leave()
-	if got, reuse, err := k.readResponse(); got.Outcome != choice.Pass || !got.MessageDone || reuse || err != nil {
+	if got, reuse, err := k.readResponse(); got.Outcome != choice.Success || !got.MessageDone || reuse || err != nil {
 		t.Errorf("%+v, reuse %v, %v", got, reuse, err)
 	}
 }
@@ -205,7 +205,7 @@
 			}
 			release()
 			got := <-res
-			if calls, _ := p.Counts(); c.sent != (calls == 1) || c.sent != (got.Outcome == choice.Pass) {
+			if calls, _ := p.Counts(); c.sent != (calls == 1) || c.sent != (got.Outcome == choice.Success) {
 				t.Fatalf("%d calls, %+v", calls, got)
 			}
 			if !c.sent {
@@ -275,7 +275,7 @@
 			<-inside
 			change(pool, e)
 			close(goOn)
-			if got := <-res; got.Outcome != choice.Pass {
+			if got := <-res; got.Outcome != choice.Success {
 				t.Errorf("%+v", got)
 			}
 			select {
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -71,7 +71,7 @@
 		Outcome                choice.Outcome
 		Wait, Took             time.Duration
 		NoSlot, Closed, Reused bool
-		Report                 choice.Report
+		Report                 choice.LimitReport
 	}
 	LinkOrder struct {
 		Number   int
--- a/internal/lab/judge/judge.go
+++ b/internal/lab/judge/judge.go
@@ -108,7 +108,7 @@
 		nodes: make([]nodeEntry, len(day.Nodes)), dests: make([]destEntry, len(day.Dests)), ring: make([]model.Event, 0, 256),
 	}
 	for i, d := range day.Dests {
-		j.dests[i] = destEntry{apart: d.Kind < len(day.Settings.Kinds) && day.Settings.Kinds[d.Kind].Apart, witnesses: map[int]bool{}}
+		j.dests[i] = destEntry{apart: d.Kind < len(day.Settings.Kinds) && day.Settings.Kinds[d.Kind].SeparateRoutes, witnesses: map[int]bool{}}
 		for _, e := range d.Endpoints {
 			j.place[e.ID] = i
 		}
@@ -180,7 +180,7 @@
 			break
 		}
 		if d.down++; d.down == 1 {
-			if e.At-d.downAt > j.day.Settings.WarmWithin {
+			if e.At-d.downAt > j.day.Settings.WarmUpTime {
 				clear(d.witnesses)
 			}
 			d.downAt = e.At
@@ -235,14 +235,14 @@
 	if !t.delivered {
 		t.end = e.Outcome
 	}
-	if e.Outcome != choice.Pass {
+	if e.Outcome != choice.Success {
 		return
 	}
 	if !m.delivered {
 		j.broken("answer", e, "told as delivered, and it has not run")
 	}
 	if !t.delivered {
-		t.delivered, t.end = true, choice.Pass
+		t.delivered, t.end = true, choice.Success
 		t.earned, t.late = j.worth(t, e.At)
 	}
 }
@@ -261,7 +261,7 @@
 		return asked, false
 	case age > c.Deadline+s.AnswerGrace+slack:
 		return 0, true
-	case s.Halves:
+	case s.WorthHalves:
 		w := asked
 		for late := age - c.Aim; late > 0; late -= c.Aim {
 			w /= 2
@@ -279,7 +279,7 @@
 	if inShare {
 		return s.Classes[class].Worth
 	}
-	return s.Classes[class].Worth * s.OverShareWorth
+	return s.Classes[class].Worth * s.OverQuotaWorth
 }
 
 func (j *Judge) attempt(e *model.Event) (*entry, *attempt) {
@@ -323,16 +323,16 @@
 			continue
 		}
 		switch {
-		case c.Effect == choice.Unsafe:
+		case c.Effect == choice.AtMostOnce:
 			j.broken("repeat", e, "attempt %d may have run", i)
-		case c.Effect == choice.Keyed && e.At-o.sentAt > c.Window+slack:
+		case c.Effect == choice.Deduplicated && e.At-o.sentAt > c.DedupWindow+slack:
 			j.broken("repeat", e, "attempt %d may have run %v ago", i, e.At-o.sentAt)
-		case c.Effect == choice.Keyed && !c.GroupAll && o.zone != e.Zone:
+		case c.Effect == choice.Deduplicated && !c.AllEndpointsDeduplicate && o.zone != e.Zone:
 			j.broken("repeat", e, "attempt %d may have run in another zone", i)
 		}
 	}
 	n := &j.nodes[e.Node]
-	if told, ok := n.drains[e.Endpoint]; ok && e.Wrote > told+j.day.Settings.DrainGrace+slack {
+	if told, ok := n.drains[e.Endpoint]; ok && e.Wrote > told+j.day.Settings.DrainTimeout+slack {
 		j.broken("drain", e, "sent %v after the node was told", e.Wrote-told)
 	}
 	if w, ok := n.waits[j.waitKey(e)]; ok && e.Wrote < w.to-slack && e.Wrote > w.from+crossed {
@@ -354,7 +354,7 @@
 
 func (j *Judge) trim(d *destEntry, now time.Duration) {
 	keep := 0
-	for keep < len(d.sends) && now-d.sends[keep].at > j.day.Settings.Fall {
+	for keep < len(d.sends) && now-d.sends[keep].at > j.day.Settings.OverloadDuration {
 		keep++
 	}
 	d.sends = append(d.sends[:0], d.sends[keep:]...)
@@ -390,7 +390,7 @@
 			n.waits[k] = until{e.At, e.At + e.Wait}
 		}
 	}
-	if d := &j.dests[e.Dest]; d.down > 0 && e.Outcome != choice.Pass && e.Outcome != choice.NotSent && e.Outcome != choice.Cancelled {
+	if d := &j.dests[e.Dest]; d.down > 0 && e.Outcome != choice.Success && e.Outcome != choice.NotSent && e.Outcome != choice.Cancelled {
 		d.witnesses[e.Node] = true
 	}
 }
--- a/internal/lab/judge/judge_test.go
+++ b/internal/lab/judge/judge_test.go
@@ -88,7 +88,7 @@
 
 func (b *breaker) Step(now time.Duration, events []choice.Event) []choice.Action {
 	for _, e := range events {
-		if l, ok := e.(choice.Listed); ok {
+		if l, ok := e.(choice.ListUpdate); ok {
 			for _, x := range l.Entries {
 				b.listed[x.Endpoint] = x
 			}
@@ -126,7 +126,7 @@
 		spoil func(b *breaker, now time.Duration, events []choice.Event, a actions) actions
 	}{
 		"answer": {"trouble", func(_ *breaker, _ time.Duration, _ []choice.Event, a actions) actions {
-			return without(a, func(a choice.Action) bool { _, ok := a.(choice.PushBack); return ok })
+			return without(a, func(a choice.Action) bool { _, ok := a.(choice.Refuse); return ok })
 		}},
 		"copies": {"calm", func(b *breaker, _ time.Duration, _ []choice.Event, a actions) actions {
 			if b.last.ID != "" {
@@ -137,7 +137,7 @@
 		}},
 		"repeat": {"trouble", func(b *breaker, _ time.Duration, events []choice.Event, a actions) actions {
 			for _, e := range events { // one that may have run goes to the other zone
-				if x, ok := e.(choice.Ended); ok && (x.Outcome == choice.TimedOut || x.Outcome == choice.Fault || x.Outcome == choice.ConnReset) {
+				if x, ok := e.(choice.AttemptEnded); ok && (x.Outcome == choice.TimedOut || x.Outcome == choice.ServerError || x.Outcome == choice.ConnReset) {
 					b.ran[x.ID] = b.sends[x.ID].Endpoint
 				}
 			}
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -261,4 +261,4 @@
 	}
 }
 
-var phases = map[choice.Phase]string{choice.Ready: "SERVING", choice.Draining: "DRAINING", choice.Gone: "DELETED"}
+var phases = map[choice.Phase]string{choice.Ready: "SERVING", choice.Draining: "DRAINING", choice.Removed: "DELETED"}
--- a/internal/lab/loopback/node.go
+++ b/internal/lab/loopback/node.go
@@ -85,7 +85,7 @@
 		Phase: phases[e.Phase], Size: e.Weight,
 	}
 	x.revision++
-	if x.members[m.ID] = m; e.Phase == choice.Gone {
+	if x.members[m.ID] = m; e.Phase == choice.Removed {
 		delete(x.members, m.ID)
 	}
 	line, err := json.Marshal(listwatch.List{Revision: x.revision, Members: []listwatch.Member{m}})
@@ -190,12 +190,12 @@
 	var classes, tenants []any
 	for i, c := range s.Classes {
 		group := "zone"
-		if c.GroupAll {
+		if c.AllEndpointsDeduplicate {
 			group = "all"
 		}
 		classes = append(classes, map[string]any{
 			"name": className(i), "aim": ms(c.Aim), "deadline": ms(c.Deadline), "worth": c.Worth, "lateWorth": c.LateWorth,
-			"effect": []string{"idempotent", "deduplicated", "at_most_once"}[c.Effect], "window": ms(c.Window), "group": group,
+			"effect": []string{"idempotent", "deduplicated", "at_most_once"}[c.Effect], "window": ms(c.DedupWindow), "group": group,
 		})
 	}
 	for i, t := range s.Tenants {
@@ -205,22 +205,22 @@
 	var batch []int
 	var kinds, zones []string
 	for i, k := range s.Kinds {
-		apart, batch, kinds = append(apart, k.Apart), append(batch, max(k.Batch, 1)), append(kinds, fmt.Sprint("k", i))
+		apart, batch, kinds = append(apart, k.SeparateRoutes), append(batch, max(k.MaxBatch, 1)), append(kinds, fmt.Sprint("k", i))
 	}
 	for i := range d.Zones {
 		zones = append(zones, fmt.Sprint("z", i))
 	}
 	return map[string]any{
 		"fleetSize": len(d.Nodes), "myNumber": number, "categories": classes, "customers": tenants, "flavors": kinds, "failureDomains": zones,
-		"discovery": "pushed", "weights": "nominal", "overShareWorth": s.OverShareWorth, "tick": ms(s.Tick),
+		"discovery": "pushed", "weights": "nominal", "overShareWorth": s.OverQuotaWorth, "tick": ms(s.Tick),
 		"domain": map[string]any{"decay": "line", "workers": s.Slots, "separateRoutes": apart, "kindBatch": batch},
 		"limits": map[string]any{
-			"dialTimeout": ms(s.DialTimeout), "connIdle": ms(s.ConnIdle), "maxAttempts": s.MaxAttempts, "maxOpen": s.MaxOpen,
-			"maxRetryAfter": ms(s.MaxRetryAfter), "retryAfter": s.MaxRetryAfter > 0, "cancel": s.MayCancel, "mayTell": s.MayTell,
+			"dialTimeout": ms(s.DialTimeout), "connIdle": ms(s.IdleConnTimeout), "maxAttempts": s.MaxAttempts, "maxOpen": s.MaxOpenMessages,
+			"maxRetryAfter": ms(s.MaxRetryAfter), "retryAfter": s.MaxRetryAfter > 0, "cancel": s.MayCancel, "mayTell": s.PeerDatagrams,
 		},
 		"contract": map[string]any{
-			"graceToAnswer": ms(s.AnswerGrace), "coldFrom": s.ColdFrom, "warmWithin": ms(s.WarmWithin), "stopSendingWithin": ms(s.DrainGrace),
-			"fallMultiple": s.FallMultiple, "fall": ms(s.Fall),
+			"graceToAnswer": ms(s.AnswerGrace), "coldFrom": s.ColdCapacity, "warmWithin": ms(s.WarmUpTime), "stopSendingWithin": ms(s.DrainTimeout),
+			"fallMultiple": s.OverloadMultiple, "fall": ms(s.OverloadDuration),
 		},
 	}
 }
--- a/internal/lab/loopback/socket.go
+++ b/internal/lab/loopback/socket.go
@@ -160,9 +160,9 @@
 func answer(nc net.Conn, a outcome) bool {
 	text := ""
 	switch a.o {
-	case choice.Pass:
+	case choice.Success:
 		text = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-	case choice.Fault:
+	case choice.ServerError:
 		text = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
 	case choice.Rejected:
 		if text = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"; a.wait > 0 {
--- a/internal/lab/losses/losses.go
+++ b/internal/lab/losses/losses.go
@@ -110,7 +110,7 @@
 		for _, e := range d.Endpoints {
 			l.place[e.ID] = i
 		}
-		if l.can[i] = d.Limit; d.Kind >= 0 && d.Kind < len(day.Settings.Kinds) && day.Settings.Kinds[d.Kind].Apart {
+		if l.can[i] = d.Limit; d.Kind >= 0 && d.Kind < len(day.Settings.Kinds) && day.Settings.Kinds[d.Kind].SeparateRoutes {
 			l.can[i] *= float64(len(d.Endpoints))
 		}
 	}
@@ -141,7 +141,7 @@
 			delete(l.down, e.Endpoint)
 			l.bin(d, e.At).hurt = true
 			l.downs[d]--
-			l.cold[d] = e.At + l.day.Settings.WarmWithin
+			l.cold[d] = e.At + l.day.Settings.WarmUpTime
 		}
 		return
 	case model.Refused:
@@ -172,7 +172,7 @@
 		l.ended(m, e)
 	case model.Answered:
 		switch {
-		case e.Outcome == choice.Pass && m.deliveredAt == 0:
+		case e.Outcome == choice.Success && m.deliveredAt == 0:
 			m.deliveredAt = e.At
 			m.earned, _ = judge.Worth(&l.day.Settings, m.class, m.asked, e.At-m.at)
 		case e.Outcome == choice.Rejected && m.firstSent == 0 && e.At-m.handedIn <= atArrival:
@@ -203,7 +203,7 @@
 	}
 	took, cause := e.At-began, Retried
 	switch {
-	case e.Outcome == choice.Pass:
+	case e.Outcome == choice.Success:
 		cause = Slow
 	case e.Outcome == choice.Rejected:
 		cause = OverLimit
--- a/internal/lab/losses/losses_test.go
+++ b/internal/lab/losses/losses_test.go
@@ -17,7 +17,7 @@
 	return &model.Day{
 		Nodes: []model.NodeSpec{{}, {Zone: 1}}, Dests: []model.DestSpec{{Limit: 10, Endpoints: []model.EndpointSpec{{ID: "e"}}}},
 		Settings: choice.Settings{
-			Classes: []choice.Class{{Aim: s, Deadline: 10 * s, Worth: 1, LateWorth: 0.5}}, Kinds: []choice.Kind{{}}, OverShareWorth: 0.2, WarmWithin: 5 * s,
+			Classes: []choice.Class{{Aim: s, Deadline: 10 * s, Worth: 1, LateWorth: 0.5}}, Kinds: []choice.Kind{{}}, OverQuotaWorth: 0.2, WarmUpTime: 5 * s,
 		},
 		Troubles: []model.Trouble{{Kind: model.CutZone, Zone: 1, At: 100 * s, Len: 10 * s}},
 	}
@@ -51,12 +51,12 @@
 		"room at arrival":      {[]model.Event{in, answer(0, choice.Rejected)}, ArrivalRoom},
 		"waited in vain":       {append(busy(), in, answer(9*s, choice.Rejected)), WaitFull},
 		"waited for nothing":   {[]model.Event{in, answer(9*s, choice.Rejected)}, WaitRoom},
-		"late, with room":      {[]model.Event{in, sent(4*s, 0), ended(5*s, 0, choice.Pass), answer(5*s, choice.Pass)}, WaitRoom},
-		"over the limit":       {[]model.Event{in, sent(0, 0), ended(3*s, 0, choice.Rejected), sent(4*s, 1), ended(5*s, 1, choice.Pass), answer(5*s, choice.Pass)}, OverLimit},
+		"late, with room":      {[]model.Event{in, sent(4*s, 0), ended(5*s, 0, choice.Success), answer(5*s, choice.Success)}, WaitRoom},
+		"over the limit":       {[]model.Event{in, sent(0, 0), ended(3*s, 0, choice.Rejected), sent(4*s, 1), ended(5*s, 1, choice.Success), answer(5*s, choice.Success)}, OverLimit},
 		"nothing there":        {[]model.Event{in, sent(0, 0), ended(3*s, 0, choice.ConnectFailed), answer(9*s, choice.Rejected)}, Dead},
-		"down":                 {[]model.Event{in, at(0, model.OutageBegan, model.Event{}), sent(0, 0), ended(3*s, 0, choice.TimedOut), answer(9*s, choice.Fault)}, Dead},
-		"its answer got lost":  {[]model.Event{in, sent(0, 0), ended(3*s, 0, choice.ConnReset), answer(9*s, choice.Fault)}, Retried},
-		"the partner was slow": {[]model.Event{in, sent(0, 0), ended(3*s, 0, choice.Pass), answer(3*s, choice.Pass)}, Slow},
+		"down":                 {[]model.Event{in, at(0, model.OutageBegan, model.Event{}), sent(0, 0), ended(3*s, 0, choice.TimedOut), answer(9*s, choice.ServerError)}, Dead},
+		"its answer got lost":  {[]model.Event{in, sent(0, 0), ended(3*s, 0, choice.ConnReset), answer(9*s, choice.ServerError)}, Retried},
+		"the partner was slow": {[]model.Event{in, sent(0, 0), ended(3*s, 0, choice.Success), answer(3*s, choice.Success)}, Slow},
 		"refused in an outage": {[]model.Event{at(0, model.OutageBegan, model.Event{}), in, answer(0, choice.Rejected)}, Hurt},
 		"refused after one":    {[]model.Event{at(-4*s, model.OutageBegan, model.Event{}), at(-3*s, model.OutageEnded, model.Event{}), in, answer(0, choice.Rejected)}, Hurt},
 		"its zone was cut":     {[]model.Event{at(101*s, model.HandedIn, model.Event{Node: 1}), at(101*s, model.Answered, model.Event{Node: 1, Outcome: choice.Rejected})}, Cut},
--- a/internal/lab/model/call.go
+++ b/internal/lab/model/call.go
@@ -147,7 +147,7 @@
 	switch o {
 	case choice.Rejected, choice.ConnectFailed, choice.NotSent:
 		c.msg.sends[c.attempt].notRun, c.msg.sends[c.attempt].failed = true, true
-	case choice.Pass:
+	case choice.Success:
 	default:
 		c.msg.sends[c.attempt].failed = true
 	}
@@ -158,10 +158,10 @@
 		until := h.waitOf(c.ep)
 		*until = max(*until, h.w.now+wait)
 	}
-	if o == choice.Pass && !c.msg.over {
-		h.finish(c.msg, choice.Pass, 0)
+	if o == choice.Success && !c.msg.over {
+		h.finish(c.msg, choice.Success, 0)
 	}
-	h.deliver(choice.Ended{
-		ID: c.id, Attempt: c.attempt, Endpoint: c.ep.id, Outcome: o, Took: h.w.now - c.began, Closed: o == choice.Pass, Wait: wait, Reused: c.reused,
+	h.deliver(choice.AttemptEnded{
+		ID: c.id, Attempt: c.attempt, Endpoint: c.ep.id, Outcome: o, Took: h.w.now - c.began, MessageDone: o == choice.Success, RetryAfter: wait, ReusedConn: c.reused,
 	})
 }
--- a/internal/lab/model/day.go
+++ b/internal/lab/model/day.go
@@ -179,17 +179,17 @@
 	slots := max(4, int(math.Ceil(u(2, 2.4)*perNode*0.4)))
 	open := max(12, int(u(5.7, 12)*perNode))
 	d.Settings.Classes = []choice.Class{
-		{Aim: 4 * time.Second, Deadline: 28 * time.Second, Worth: 1, LateWorth: 0.3, Effect: choice.Keyed, Window: 15 * time.Second},
-		{Aim: 2 * time.Second, Deadline: 20 * time.Second, Worth: 3, LateWorth: 0.3, Effect: choice.Safe, GroupAll: true},
+		{Aim: 4 * time.Second, Deadline: 28 * time.Second, Worth: 1, LateWorth: 0.3, Effect: choice.Deduplicated, DedupWindow: 15 * time.Second},
+		{Aim: 2 * time.Second, Deadline: 20 * time.Second, Worth: 3, LateWorth: 0.3, Effect: choice.Idempotent, AllEndpointsDeduplicate: true},
 	}
-	d.Settings.Kinds = []choice.Kind{{Apart: true, Batch: 1}, {Batch: 1}}
-	d.Settings.Fleet, d.Settings.MayTell, d.Settings.MayCancel, d.Settings.MayProbe = nodes, nodes > 1, true, true
-	d.Settings.Slots, d.Settings.MaxOpen, d.Settings.MaxAttempts = slots, open, 12
-	d.Settings.Weighted, d.Settings.OverShareWorth, d.Settings.ZoneFee = true, 0.2, []float64{0, 0}
+	d.Settings.Kinds = []choice.Kind{{SeparateRoutes: true, MaxBatch: 1}, {MaxBatch: 1}}
+	d.Settings.FleetSize, d.Settings.PeerDatagrams, d.Settings.MayCancel, d.Settings.MayProbe = nodes, nodes > 1, true, true
+	d.Settings.Slots, d.Settings.MaxOpenMessages, d.Settings.MaxAttempts = slots, open, 12
+	d.Settings.WeightIsRate, d.Settings.OverQuotaWorth, d.Settings.ZoneFee = true, 0.2, []float64{0, 0}
 	d.Settings.Tick, d.Settings.MaxRetryAfter, d.Settings.DialTimeout = 5*time.Millisecond, 3*time.Second, 1500*time.Millisecond
-	d.Settings.ConnIdle, d.Settings.DrainGrace, d.Settings.AnswerGrace = 15*time.Second, time.Second, 20*time.Millisecond
-	d.Settings.FallMultiple, d.Settings.Fall, d.Settings.ColdFrom = 2.5, 3*time.Second, u(0.17, 0.24)
-	d.Settings.WarmWithin = ms(7300, 9300)
+	d.Settings.IdleConnTimeout, d.Settings.DrainTimeout, d.Settings.AnswerGrace = 15*time.Second, time.Second, 20*time.Millisecond
+	d.Settings.OverloadMultiple, d.Settings.OverloadDuration, d.Settings.ColdCapacity = 2.5, 3*time.Second, u(0.17, 0.24)
+	d.Settings.WarmUpTime = ms(7300, 9300)
 	return d, d.trouble(kind, r)
 }
 
