--- a/internal/lab/model/host.go
+++ b/internal/lab/model/host.go
@@ -85,13 +85,13 @@
 	s.Number = h.n
 	h.policy = w.make(w, s, w.rng.seeds.Uint64())
 	w.tell(Event{What: Started, Node: h.n, Attempt: h.life})
-	whole := choice.Listed{Whole: true}
+	whole := choice.ListUpdate{Whole: true}
 	for _, id := range h.entry {
 		whole.Entries = append(whole.Entries, h.entryOf(w.eps[id], h.list[id]))
 	}
 	h.deliver(whole)
 	if h.memory != nil {
-		h.deliver(choice.Recalled{Memory: *h.memory, Age: w.now - h.learnt})
+		h.deliver(choice.MemoryRestored{Memory: *h.memory, Age: w.now - h.learnt})
 	}
 	if !w.Day.Journal {
 		h.msgs, h.order, h.open = map[string]*held{}, nil, 0
@@ -103,19 +103,19 @@
 	}
 }
 
-func (h *host) resumed(m *held) choice.Resumed {
-	r := choice.Resumed{Arrived: h.arrived(m), Attempts: len(m.sends)}
+func (h *host) resumed(m *held) choice.MessageResumed {
+	r := choice.MessageResumed{MessageArrived: h.arrived(m), Attempts: len(m.sends)}
 	for _, s := range m.sends {
 		r.Failed = r.Failed || s.failed
-		if !s.notRun && !r.Touched {
-			r.Touched, r.MayRun, r.Zone = true, s.at, s.zone
+		if !s.notRun && !r.MayHaveRun {
+			r.MayHaveRun, r.FirstRunSentAt, r.Zone = true, s.at, s.zone
 		}
 	}
 	return r
 }
 
-func (h *host) arrived(m *held) choice.Arrived {
-	return choice.Arrived{ID: m.id, Class: m.class, Tenant: m.tenant, Dest: m.dest, DropDead: m.deadline}
+func (h *host) arrived(m *held) choice.MessageArrived {
+	return choice.MessageArrived{ID: m.id, Class: m.class, Tenant: m.tenant, Dest: m.dest, Deadline: m.deadline}
 }
 
 // die ends the process at once.
@@ -156,7 +156,7 @@
 			}
 		}
 	}
-	h.w.after(holdAfter, same(func() { h.deliver(choice.Leaving{}) }))
+	h.w.after(holdAfter, same(func() { h.deliver(choice.ShuttingDown{}) }))
 	h.w.after(leaveAfter, same(h.die))
 	h.w.after(backAfter, h.begin)
 }
@@ -166,7 +166,7 @@
 	if !h.up {
 		return false
 	}
-	if s := h.w.Day.Settings; s.MaxOpen > 0 && h.open >= s.MaxOpen {
+	if s := h.w.Day.Settings; s.MaxOpenMessages > 0 && h.open >= s.MaxOpenMessages {
 		h.answer(m, choice.Rejected, 0)
 		return true
 	}
@@ -208,14 +208,14 @@
 	h.inbox = nil
 	if h.wake > 0 && h.w.now >= h.wake {
 		h.wake = 0
-		events = append(events, choice.Rang{Tag: "sweep"})
+		events = append(events, choice.WakeDue{Tag: "sweep"})
 	}
 	actions := h.policy.Step(h.w.now, events)
 	for _, a := range actions {
 		h.act(a)
 	}
 	for _, e := range events {
-		if a, ok := e.(choice.Arrived); ok {
+		if a, ok := e.(choice.MessageArrived); ok {
 			if m := h.msgs[a.ID]; m != nil && m.fresh {
 				m.fresh = false
 				h.w.tell(Event{What: TakenOn, Node: h.n, Msg: m.id, First: m.first, Class: m.class, Dest: m.dest, Deadline: m.deadline})
@@ -228,7 +228,7 @@
 	switch a := a.(type) {
 	case choice.Send:
 		h.send(a)
-	case choice.PushBack:
+	case choice.Refuse:
 		if m := h.msgs[a.ID]; m != nil {
 			h.finish(m, choice.Rejected, a.RetryAfter)
 		} else {
@@ -236,7 +236,7 @@
 		}
 	case choice.Fail:
 		if m := h.msgs[a.ID]; m != nil {
-			h.finish(m, choice.Fault, 0)
+			h.finish(m, choice.ServerError, 0)
 		} else {
 			h.strange("a failure of %q, which it does not hold", a.ID)
 		}
@@ -244,10 +244,10 @@
 		if c := h.out[key{a.ID, a.Attempt}]; c != nil {
 			c.cancel()
 		}
-	case choice.HangUp:
+	case choice.CloseIdle:
 		h.w.eps[a.Endpoint].conns -= len(h.idle[a.Endpoint])
 		delete(h.idle, a.Endpoint)
-	case choice.Tell:
+	case choice.SendDatagram:
 		h.datagram(a)
 	case choice.Wake:
 		if h.wake == 0 || a.At < h.wake {
@@ -276,9 +276,9 @@
 	}
 	w.calls++
 	c := &call{
-		h: h, life: h.life, number: w.calls, msg: m, id: m.id, class: m.class, attempt: len(m.sends), ep: e, notPast: a.NotPast,
+		h: h, life: h.life, number: w.calls, msg: m, id: m.id, class: m.class, attempt: len(m.sends), ep: e, notPast: a.AbandonAt,
 	}
-	if a.NotPast <= 0 || a.NotPast > m.deadline {
+	if a.AbandonAt <= 0 || a.AbandonAt > m.deadline {
 		c.notPast = m.deadline
 	}
 	m.sends = append(m.sends, sent{at: w.now, zone: e.zone})
@@ -288,7 +288,7 @@
 	case slots > 0 && len(h.out) >= slots, most > 0 && c.attempt >= most:
 		c.done = true
 		m.sends[c.attempt].notRun = true
-		h.deliver(choice.Ended{ID: m.id, Attempt: c.attempt, Endpoint: e.id, Outcome: choice.NotSent, NoSlot: c.attempt < most})
+		h.deliver(choice.AttemptEnded{ID: m.id, Attempt: c.attempt, Endpoint: e.id, Outcome: choice.NotSent, NoSlot: c.attempt < most})
 		return
 	}
 	h.out[key{m.id, c.attempt}] = c
@@ -322,7 +322,7 @@
 		since := idle[len(idle)-1]
 		idle = idle[:len(idle)-1]
 		h.idle[e.id] = idle
-		if h.w.now-since < h.w.Day.Settings.ConnIdle-idleMargin && !e.is(Crash) {
+		if h.w.now-since < h.w.Day.Settings.IdleConnTimeout-idleMargin && !e.is(Crash) {
 			return true
 		}
 		e.conns--
@@ -332,10 +332,10 @@
 
 func (h *host) giveIdle(e *endpoint) { h.idle[e.id] = append(h.idle[e.id], h.w.now) }
 
-func (h *host) datagram(a choice.Tell) {
+func (h *host) datagram(a choice.SendDatagram) {
 	w := h.w
-	if a.To < 0 || a.To >= len(w.hosts) || len(a.Text) > 256 {
-		h.strange("a note of %d bytes to node %d", len(a.Text), a.To)
+	if a.To < 0 || a.To >= len(w.hosts) || len(a.Payload) > 256 {
+		h.strange("a note of %d bytes to node %d", len(a.Payload), a.To)
 		return
 	}
 	to, net := w.hosts[a.To], w.Day.Net
@@ -347,8 +347,8 @@
 		if !to.up || w.deaf(to.n) {
 			return
 		}
-		w.tell(Event{What: Datagram, Node: to.n, Attempt: len(a.Text)})
-		to.deliver(choice.Told{From: h.n, Text: a.Text})
+		w.tell(Event{What: Datagram, Node: to.n, Attempt: len(a.Payload)})
+		to.deliver(choice.DatagramReceived{From: h.n, Payload: a.Payload})
 	})
 }
 
@@ -361,7 +361,7 @@
 	if phase != choice.Ready {
 		h.w.tell(Event{What: ToldList, Node: h.n, Endpoint: e.id})
 	}
-	h.deliver(choice.Listed{Entries: []choice.Entry{h.entryOf(e, phase)}})
+	h.deliver(choice.ListUpdate{Entries: []choice.Entry{h.entryOf(e, phase)}})
 }
 
 func (h *host) entryOf(e *endpoint, phase choice.Phase) choice.Entry {
--- a/internal/lab/model/partner.go
+++ b/internal/lab/model/partner.go
@@ -50,7 +50,7 @@
 
 func newDest(w *World, i int) *dest {
 	d := &dest{w: w, spec: w.Day.Dests[i], id: i}
-	if d.spec.Kind >= len(w.Day.Settings.Kinds) || !w.Day.Settings.Kinds[d.spec.Kind].Apart {
+	if d.spec.Kind >= len(w.Day.Settings.Kinds) || !w.Day.Settings.Kinds[d.spec.Kind].SeparateRoutes {
 		d.all = &limiter{tokens: 1}
 	}
 	for _, s := range d.spec.Endpoints {
@@ -115,15 +115,15 @@
 // warmth is the share of its capacity that an endpoint has now.
 func (e *endpoint) warmth() float64 {
 	s := e.dest.w.Day.Settings
-	if e.cold == 0 || s.WarmWithin <= 0 {
+	if e.cold == 0 || s.WarmUpTime <= 0 {
 		return 1
 	}
-	passed := float64(e.dest.w.now-e.cold) / float64(s.WarmWithin)
+	passed := float64(e.dest.w.now-e.cold) / float64(s.WarmUpTime)
 	if passed >= 1 {
 		e.cold = 0
 		return 1
 	}
-	return s.ColdFrom + (1-s.ColdFrom)*passed
+	return s.ColdCapacity + (1-s.ColdCapacity)*passed
 }
 
 // strike begins an outage.
@@ -187,7 +187,7 @@
 		return
 	}
 	if share := w.size(FastFail, d.id, 0); share > 0 && w.rng.partners.Float64() < share {
-		c.answer(choice.Fault, 0)
+		c.answer(choice.ServerError, 0)
 		return
 	}
 	if share := w.size(WrongOK, d.id, 0); share > 0 && w.rng.partners.Float64() < share {
@@ -225,7 +225,7 @@
 // charge books a call against the cold budget, and lets the destination fall over when that is gone.
 func (e *endpoint) charge() {
 	d, s := e.dest, e.dest.w.Day.Settings
-	if d.cold == 0 || s.Fall <= 0 || s.FallMultiple <= 0 {
+	if d.cold == 0 || s.OverloadDuration <= 0 || s.OverloadMultiple <= 0 {
 		return
 	}
 	w := d.w
@@ -242,10 +242,10 @@
 	if d.all == nil {
 		capacity *= float64(len(d.eps))
 	}
-	allowed := s.FallMultiple * warmth * capacity
+	allowed := s.OverloadMultiple * warmth * capacity
 	d.level = max(0, d.level-allowed*(w.now-d.at).Seconds()) + 1
 	d.at = w.now
-	if d.level > max(allowed*s.Fall.Seconds(), 3) {
+	if d.level > max(allowed*s.OverloadDuration.Seconds(), 3) {
 		d.level = 0
 		w.tell(Event{What: Fell, Dest: d.id})
 		for _, o := range d.eps {
@@ -290,9 +290,9 @@
 		case w.rng.partners.Float64() < w.size(Lost, -1, 0):
 			c.reset()
 		case failed:
-			c.answer(choice.Fault, 0)
+			c.answer(choice.ServerError, 0)
 		default:
-			c.answer(choice.Pass, 0)
+			c.answer(choice.Success, 0)
 		}
 	}
 	for len(e.waiting) > 0 && e.busy < e.servers {
--- a/internal/lab/model/remote.go
+++ b/internal/lab/model/remote.go
@@ -167,7 +167,7 @@
 	m := n.msgs[id]
 	if e == nil || m == nil {
 		w.tell(Event{What: Strange, Node: node, Msg: id, Text: "a call for a message that nobody handed in there"})
-		reply(choice.Fault, 0)
+		reply(choice.ServerError, 0)
 		return
 	}
 	c := &call{
@@ -190,9 +190,9 @@
 		e := c.event(Ended)
 		e.Outcome, e.Wait = o, wait
 		w.tell(e)
-		if m := w.nodes[r.node].(*remote).msgs[c.id]; o == choice.Pass && m != nil {
+		if m := w.nodes[r.node].(*remote).msgs[c.id]; o == choice.Success && m != nil {
 			m.delivered = true
-			w.end(m, r.node, choice.Pass, 0)
+			w.end(m, r.node, choice.Success, 0)
 		}
 		r.reply(o, wait)
 	})
@@ -218,7 +218,7 @@
 		m.taken = true
 		w.tell(Event{What: TakenOn, Node: node, Msg: id, First: m.first, Class: m.class, Dest: m.dest, Deadline: m.deadline})
 		if m.delivered {
-			w.end(m, node, choice.Pass, 0)
+			w.end(m, node, choice.Success, 0)
 		}
 	case Nothing:
 		w.tell(Event{What: Unheard, Node: node, Msg: id, First: m.first, Class: m.class, Dest: m.dest})
@@ -228,7 +228,7 @@
 		w.end(m, node, choice.Rejected, wait)
 	case Failed:
 		m.taken = true
-		w.end(m, node, choice.Fault, 0)
+		w.end(m, node, choice.ServerError, 0)
 	}
 }
 
@@ -240,7 +240,7 @@
 	}
 	o := choice.Rejected
 	if t == Failed {
-		o = choice.Fault
+		o = choice.ServerError
 	}
 	w.end(m, node, o, wait)
 }
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -231,7 +231,7 @@
 			fresh := e.dest.add(EndpointSpec{ID: id, Zone: e.zone})
 			w.change(fresh, choice.Ready)
 			w.after(time.Second, func() { w.change(e, choice.Draining) })
-			w.after(5*time.Second, func() { w.change(e, choice.Gone) })
+			w.after(5*time.Second, func() { w.change(e, choice.Removed) })
 		})
 	}
 }
--- a/internal/lab/policy/policy.go
+++ b/internal/lab/policy/policy.go
@@ -21,7 +21,7 @@
 		return func(_ *model.World, s choice.Settings, seed uint64) model.Policy { return choice.New(s, seed) }, nil
 	case "ours-alone": // without notes between nodes
 		return func(_ *model.World, s choice.Settings, seed uint64) model.Policy {
-			s.MayTell = false
+			s.PeerDatagrams = false
 			return choice.New(s, seed)
 		}, nil
 	case "bound":
@@ -122,7 +122,7 @@
 }
 
 type waiting struct {
-	choice.Arrived
+	choice.MessageArrived
 	class     choice.Class
 	came      time.Duration
 	attempts  int
@@ -152,18 +152,18 @@
 	t.now, t.acts = now, nil
 	for _, e := range events {
 		switch e := e.(type) {
-		case choice.Listed:
+		case choice.ListUpdate:
 			t.listed(e)
-		case choice.Arrived:
+		case choice.MessageArrived:
 			t.arrived(e)
-		case choice.Resumed:
-			m := t.hold(e.Arrived)
-			m.attempts, m.touched, m.mayRun, m.zone = e.Attempts, e.Touched && m.class.Effect != choice.Safe, e.MayRun, e.Zone
-		case choice.Ended:
+		case choice.MessageResumed:
+			m := t.hold(e.MessageArrived)
+			m.attempts, m.touched, m.mayRun, m.zone = e.Attempts, e.MayHaveRun && m.class.Effect != choice.Idempotent, e.FirstRunSentAt, e.Zone
+		case choice.AttemptEnded:
 			t.ended(e)
-		case choice.Rang:
+		case choice.WakeDue:
 			t.wake = 0
-		case choice.Leaving:
+		case choice.ShuttingDown:
 			t.leave = true
 		}
 	}
@@ -182,14 +182,14 @@
 	if d == nil {
 		d = &target{id: id, gate: t.admit(t.rng)}
 		if b, ok := d.gate.(*tokens); ok {
-			b.fleet = float64(t.cfg.Fleet)
+			b.fleet = float64(t.cfg.FleetSize)
 		}
 		t.dests[id] = d
 	}
 	return d
 }
 
-func (t *textbook) listed(l choice.Listed) {
+func (t *textbook) listed(l choice.ListUpdate) {
 	if l.Whole {
 		for _, p := range t.eps {
 			p.ready = false
@@ -199,7 +199,7 @@
 		p := t.eps[e.Endpoint]
 		if p == nil {
 			d := t.target(e.Dest)
-			p = &point{id: e.Endpoint, dest: d, zone: e.Zone, apart: e.Kind >= 0 && e.Kind < len(t.cfg.Kinds) && t.cfg.Kinds[e.Kind].Apart}
+			p = &point{id: e.Endpoint, dest: d, zone: e.Zone, apart: e.Kind >= 0 && e.Kind < len(t.cfg.Kinds) && t.cfg.Kinds[e.Kind].SeparateRoutes}
 			t.eps[e.Endpoint] = p
 			d.eps = append(d.eps, p)
 		}
@@ -207,8 +207,8 @@
 	}
 }
 
-func (t *textbook) hold(a choice.Arrived) *waiting {
-	m := &waiting{Arrived: a, came: t.now}
+func (t *textbook) hold(a choice.MessageArrived) *waiting {
+	m := &waiting{MessageArrived: a, came: t.now}
 	if a.Class >= 0 && a.Class < len(t.cfg.Classes) {
 		m.class = t.cfg.Classes[a.Class]
 	}
@@ -218,10 +218,10 @@
 	return m
 }
 
-func (t *textbook) arrived(a choice.Arrived) {
+func (t *textbook) arrived(a choice.MessageArrived) {
 	d := t.target(a.Dest)
 	if !d.gate.admit(t.now, d) {
-		t.do(choice.PushBack{ID: a.ID, RetryAfter: t.cfg.MaxRetryAfter})
+		t.do(choice.Refuse{ID: a.ID, RetryAfter: t.cfg.MaxRetryAfter})
 		return
 	}
 	t.hold(a)
@@ -243,8 +243,8 @@
 
 // giveUp ends a message as its effect allows.
 func (t *textbook) giveUp(m *waiting) {
-	if m.class.Effect == choice.Safe || !m.touched && !m.out {
-		t.finish(m, choice.PushBack{ID: m.ID, RetryAfter: t.cfg.MaxRetryAfter})
+	if m.class.Effect == choice.Idempotent || !m.touched && !m.out {
+		t.finish(m, choice.Refuse{ID: m.ID, RetryAfter: t.cfg.MaxRetryAfter})
 		return
 	}
 	t.finish(m, choice.Fail{ID: m.ID})
@@ -252,14 +252,14 @@
 
 func (t *textbook) expire() {
 	t.queue = slices.DeleteFunc(t.queue, func(m *waiting) bool {
-		if !m.over && (!m.out && t.now >= m.DropDead-margin-t.cfg.Tick || t.now >= m.DropDead) {
+		if !m.over && (!m.out && t.now >= m.Deadline-margin-t.cfg.Tick || t.now >= m.Deadline) {
 			t.giveUp(m)
 		}
 		return m.over
 	})
 }
 
-func (t *textbook) ended(e choice.Ended) {
+func (t *textbook) ended(e choice.AttemptEnded) {
 	f := t.out[try{e.ID, e.Attempt}]
 	if f == nil {
 		return
@@ -268,8 +268,8 @@
 	m, p := f.m, f.p
 	p.out--
 	p.dest.out--
-	if e.Wait > 0 {
-		if until := t.now + e.Wait; p.apart {
+	if e.RetryAfter > 0 {
+		if until := t.now + e.RetryAfter; p.apart {
 			p.wait = max(p.wait, until)
 		} else {
 			p.dest.wait = max(p.dest.wait, until)
@@ -277,7 +277,7 @@
 	}
 	took := (t.now - f.sent).Seconds()
 	if e.Outcome != choice.NotSent && e.Outcome != choice.Rejected {
-		if e.Outcome != choice.Pass {
+		if e.Outcome != choice.Success {
 			took = max(took, m.class.Aim.Seconds())
 		}
 		if p.response == 0 {
@@ -285,20 +285,20 @@
 		}
 		p.response += smooth * (took - p.response)
 	}
-	p.dest.gate.heard(t.now, (t.now - m.came).Seconds(), e.Outcome == choice.Pass)
+	p.dest.gate.heard(t.now, (t.now - m.came).Seconds(), e.Outcome == choice.Success)
 	if m.over {
 		return
 	}
 	m.out = false
 	p.dest.queue++
-	ran := e.Outcome == choice.Fault || e.Outcome == choice.TimedOut || e.Outcome == choice.ConnReset || e.Outcome == choice.Cancelled
-	if ran && m.class.Effect != choice.Safe && !m.touched {
+	ran := e.Outcome == choice.ServerError || e.Outcome == choice.TimedOut || e.Outcome == choice.ConnReset || e.Outcome == choice.Cancelled
+	if ran && m.class.Effect != choice.Idempotent && !m.touched {
 		m.touched, m.mayRun, m.zone = true, f.sent, p.zone
 	}
 	switch {
-	case e.Outcome == choice.Pass || e.Closed:
+	case e.Outcome == choice.Success || e.MessageDone:
 		t.finish(m, nil)
-	case ran && m.class.Effect == choice.Unsafe, t.cfg.MaxAttempts > 0 && m.attempts >= t.cfg.MaxAttempts:
+	case ran && m.class.Effect == choice.AtMostOnce, t.cfg.MaxAttempts > 0 && m.attempts >= t.cfg.MaxAttempts:
 		t.giveUp(m)
 	default:
 		m.notBefore = t.now + rest<<min(m.attempts, 5)
@@ -310,9 +310,9 @@
 	if !p.ready || t.now < p.wait || t.now < p.dest.wait {
 		return false
 	}
-	if m.touched && m.class.Effect == choice.Keyed {
-		late := t.now > m.mayRun+m.class.Window-t.cfg.DialTimeout-margin-2*t.cfg.Tick
-		return !late && (m.class.GroupAll || p.zone == m.zone)
+	if m.touched && m.class.Effect == choice.Deduplicated {
+		late := t.now > m.mayRun+m.class.DedupWindow-t.cfg.DialTimeout-margin-2*t.cfg.Tick
+		return !late && (m.class.AllEndpointsDeduplicate || p.zone == m.zone)
 	}
 	return true
 }
@@ -323,7 +323,7 @@
 		if t.cfg.Slots > 0 && len(t.out) >= t.cfg.Slots {
 			return
 		}
-		if m.over || m.out || t.now < m.notBefore || t.now >= m.DropDead-margin-2*t.cfg.Tick {
+		if m.over || m.out || t.now < m.notBefore || t.now >= m.Deadline-margin-2*t.cfg.Tick {
 			continue
 		}
 		d := t.target(m.Dest)
@@ -340,8 +340,8 @@
 		if p == nil {
 			continue
 		}
-		until := m.DropDead - margin/2
-		if m.class.Effect != choice.Unsafe {
+		until := m.Deadline - margin/2
+		if m.class.Effect != choice.AtMostOnce {
 			until = min(until, t.now+time.Duration(tryFor*float64(m.class.Aim)))
 		}
 		t.out[try{m.ID, m.attempts}] = &flight{m, p, t.now}
@@ -350,7 +350,7 @@
 		d.queue--
 		d.out++
 		p.out++
-		t.do(choice.Send{ID: m.ID, Endpoint: p.id, NotPast: until})
+		t.do(choice.Send{ID: m.ID, Endpoint: p.id, AbandonAt: until})
 	}
 }
 
--- a/internal/lab/stage/audit.go
+++ b/internal/lab/stage/audit.go
@@ -36,7 +36,7 @@
 	if len(errs) == len(st.lists) {
 		return auditlog.Report{}, fmt.Errorf("stage: no list server tells what it remembers: %w", errors.Join(errs...))
 	}
-	a := auditlog.Auditor{History: best, Grace: st.ledger.day.Settings.DrainGrace + lateSlack, Slack: auditSlack}
+	a := auditlog.Auditor{History: best, Grace: st.ledger.day.Settings.DrainTimeout + lateSlack, Slack: auditSlack}
 	for i := range st.nodes {
 		name := relay.Party{Kind: relay.Node, N: i}.String()
 		raw, err := auditlog.ReadDir(filepath.Join(st.dir, name))
--- a/internal/lab/stage/ledger.go
+++ b/internal/lab/stage/ledger.go
@@ -291,7 +291,7 @@
 		m.taken = true
 		l.observe(model.Event{At: at, What: model.TakenOn, Node: m.node, Msg: m.tryID, First: m.id, Class: m.class, Dest: m.dest, Deadline: m.until})
 		if m.ranNow > 0 {
-			l.over(m, at, choice.Pass, "delivered")
+			l.over(m, at, choice.Success, "delivered")
 		}
 	case model.Busy:
 		l.bin(at).Busy++
@@ -302,7 +302,7 @@
 		}
 	case model.Failed:
 		l.bin(at).Failed++
-		l.over(m, at, choice.Fault, "failed")
+		l.over(m, at, choice.ServerError, "failed")
 	case model.Nothing:
 		if end {
 			m.over, m.end = true, "unheard"
@@ -345,7 +345,7 @@
 		l.observe(model.Event{At: at, What: model.TakenOn, Node: m.node, Msg: m.tryID, First: m.id, Class: m.class, Dest: m.dest, Deadline: m.until})
 	}
 	if state == "failed" {
-		l.over(m, at, choice.Fault, "failed late")
+		l.over(m, at, choice.ServerError, "failed late")
 	} else {
 		l.over(m, at, choice.Rejected, "returned")
 	}
@@ -396,7 +396,7 @@
 		if n.called < 0 {
 			n.called = at - n.started
 		}
-		if grace := l.day.Settings.DrainGrace + lateSlack; e.withdrawn >= 0 && at > e.withdrawn+grace {
+		if grace := l.day.Settings.DrainTimeout + lateSlack; e.withdrawn >= 0 && at > e.withdrawn+grace {
 			e.lateCalls++
 			n.lateCalls++
 			e.lateBy[by]++
@@ -412,7 +412,7 @@
 		if n.delivered < 0 {
 			n.delivered = at - n.started
 		}
-		l.ended(node, e, s, at, choice.Pass)
+		l.ended(node, e, s, at, choice.Success)
 	}
 }
 
@@ -462,7 +462,7 @@
 func (l *ledger) ended(node int, e *endpointSeen, s partner.Event, at time.Duration, o choice.Outcome) {
 	m := l.byID[s.MessageID]
 	if m == nil {
-		if o == choice.Pass {
+		if o == choice.Success {
 			l.breaks("strange", "%s runs %q, which nobody has handed in", e.id, s.MessageID)
 		}
 		return
@@ -470,14 +470,14 @@
 	m.tell(at, "%s ends %s with %d", e.id, s.MessageID, o)
 	i := slices.IndexFunc(m.calls, func(c *call) bool { return c.from == s.RemoteAddr && c.endpoint == e.id && !c.ended })
 	ev := model.Event{At: at, Node: node, Msg: s.MessageID, First: m.id, Class: m.class, Dest: e.dest, Endpoint: e.id, Outcome: o}
-	if i < 0 && s.MessageID == m.tryID && o == choice.Pass {
+	if i < 0 && s.MessageID == m.tryID && o == choice.Success {
 		l.breaks("strange", "%s runs %s without a call of it", e.id, s.MessageID)
 	}
 	if i >= 0 {
 		m.calls[i].ended = true
 		ev.Attempt = i
 	}
-	if o == choice.Pass {
+	if o == choice.Success {
 		if s.MessageID == m.tryID {
 			m.ranNow++
 		}
@@ -495,8 +495,8 @@
 	}
 	ev.What = model.Ended
 	l.observe(ev)
-	if o == choice.Pass && m.taken {
-		l.over(m, at, choice.Pass, "delivered")
+	if o == choice.Success && m.taken {
+		l.over(m, at, choice.Success, "delivered")
 	}
 }
 
--- a/internal/lab/stage/stage.go
+++ b/internal/lab/stage/stage.go
@@ -168,7 +168,7 @@
 	cfg.OnEvent = func(s partner.Event) { st.ledger.partner(st.nodeOf(s.RemoteAddr), s) }
 	if spec.Cold {
 		c := st.ledger.day.Settings
-		cfg.ColdStart = partner.ColdStart{InitialShare: c.ColdFrom, OverloadFactor: c.FallMultiple, WarmUpTime: c.WarmWithin, OverloadWindow: c.Fall, Downtime: 2 * time.Second}
+		cfg.ColdStart = partner.ColdStart{InitialShare: c.ColdCapacity, OverloadFactor: c.OverloadMultiple, WarmUpTime: c.WarmUpTime, OverloadWindow: c.OverloadDuration, Downtime: 2 * time.Second}
 	}
 	one, err := partner.Start(cfg, shared)
 	if err != nil {
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -10,7 +10,7 @@
 
 func (n *Node) newPool() *egress.Pool {
 	s, most := n.cfg.Settings, n.cfg.Limits.Sockets
-	return egress.NewPool(n.cfg.SourceAddr(), s.DialTimeout, s.ConnIdle, max(most/4, 8), callPlaces(most), &n.figures.Attempts)
+	return egress.NewPool(n.cfg.SourceAddr(), s.DialTimeout, s.IdleConnTimeout, max(most/4, 8), callPlaces(most), &n.figures.Attempts)
 }
 
 // callPlaces is how many descriptors calls may take: clients have a third, and the rest is set aside for the door,
@@ -18,7 +18,7 @@
 func callPlaces(sockets int) int { return max(sockets-sockets/3-setAside, 8) }
 
 // listed brings the endpoints up to date. Calls that have not written their first byte hear of it by shut.
-func (n *Node) listed(l listwatch.List) choice.Listed {
+func (n *Node) listed(l listwatch.List) choice.ListUpdate {
 	if n.kept != nil {
 		n.kept.MarkDirty(l.Revision)
 	}
@@ -30,7 +30,7 @@
 	named := map[string]bool{}
 	for i, m := range l.Members {
 		named[m.ID] = true
-		if n.members[m.ID] = m; entries[i].Phase == choice.Gone {
+		if n.members[m.ID] = m; entries[i].Phase == choice.Removed {
 			delete(n.members, m.ID)
 		}
 		n.dests[m.Cell] = true
@@ -52,7 +52,7 @@
 			n.shut(e)
 		}
 	}
-	return choice.Listed{Whole: l.Complete, Entries: entries}
+	return choice.ListUpdate{Whole: l.Complete, Entries: entries}
 }
 
 func (n *Node) shut(e *egress.Endpoint) {
@@ -65,7 +65,7 @@
 
 // waitOf is where the waits are kept that bind an endpoint: its own if it is a route apart.
 func (n *Node) waitOf(e choice.Entry) *egress.Cooldown {
-	if kinds := n.cfg.Settings.Kinds; e.Kind >= 0 && e.Kind < len(kinds) && kinds[e.Kind].Apart {
+	if kinds := n.cfg.Settings.Kinds; e.Kind >= 0 && e.Kind < len(kinds) && kinds[e.Kind].SeparateRoutes {
 		return new(egress.Cooldown)
 	}
 	if n.waits[e.Dest] == nil {
--- a/internal/node/fellows.go
+++ b/internal/node/fellows.go
@@ -105,7 +105,7 @@
 	out, changes := f.core.Take()
 	f.keep(n)
 	for _, d := range out {
-		n.peers.send(choice.Tell{To: d.To, Text: d.Payload}, n.log)
+		n.peers.send(choice.SendDatagram{To: d.To, Payload: d.Payload}, n.log)
 	}
 	if len(changes) == 0 {
 		return nil
@@ -114,7 +114,7 @@
 	for _, c := range changes {
 		m := seen[c.Member]
 		n.log.Info("member_changed", "number", c.Member, "addr", n.peers.addrs[c.Member], "state", m.State, "reason", m.Reason)
-		events = append(events, choice.Member{Number: c.Member, Gone: c.Gone, Left: m.State == membership.Left})
+		events = append(events, choice.MemberChanged{Number: c.Member, Gone: c.Gone, LeftCleanly: m.State == membership.Left})
 	}
 	return events
 }
--- a/internal/node/fleetward.go
+++ b/internal/node/fleetward.go
@@ -61,7 +61,7 @@
 	}
 	news := w.core.Step(now)
 	for _, d := range w.core.Take() {
-		n.peers.send(choice.Tell{To: d.To, Text: d.Payload}, n.log)
+		n.peers.send(choice.SendDatagram{To: d.To, Payload: d.Payload}, n.log)
 	}
 	n.figures.PeersAheadBy.Store(max(news.NewerRevision-n.revision, 0))
 	if news.QueryServer {
@@ -92,7 +92,7 @@
 		return events
 	}
 	n.blind = on
-	return append(events, choice.Blind{On: on})
+	return append(events, choice.Suspended{On: on})
 }
 
 // floored takes what the list service asks of every node. A node that is not fit acts no more until the floor is another.
--- a/internal/node/guarded.go
+++ b/internal/node/guarded.go
@@ -78,7 +78,7 @@
 		if n.audit != nil {
 			n.audit.acts.ended(c.act, egress.Result{Outcome: choice.NotSent})
 		}
-		n.withdrawn = append(n.withdrawn, choice.Ended{ID: c.id, Attempt: c.n, Endpoint: c.call.Endpoint.ID, Outcome: choice.NotSent})
+		n.withdrawn = append(n.withdrawn, choice.AttemptEnded{ID: c.id, Attempt: c.n, Endpoint: c.call.Endpoint.ID, Outcome: choice.NotSent})
 		n.log.Debug("call_withdrawn", "msg_id", c.id, "attempt", c.n, "endpoint", c.call.Endpoint.ID)
 	}
 	n.guarded.calls = nil
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -44,7 +44,7 @@
 }
 
 func (n *Node) carry() (*handover.State, error) {
-	sender, err := n.sender.Carry()
+	sender, err := n.sender.Snapshot()
 	if err != nil {
 		return nil, err
 	}
@@ -97,11 +97,11 @@
 		known = n.startWith()
 	}
 	if s := c.State; s != nil {
-		if n.sender, err = choice.Carried(n.cfg.Settings, seed(n.cfg.Seed), s.Sender); err != nil {
+		if n.sender, err = choice.Restore(n.cfg.Settings, seed(n.cfg.Seed), s.Sender); err != nil {
 			return nil, errors.Join(err, n.journal.Close()) // the predecessor goes on
 		}
 		n.start = time.Now().Add(-(s.Clock - epoch) - min(max(time.Since(time.Unix(0, s.At)), 0), handover.AskTimeout))
-		n.wakeAt = n.sender.WakeAt()
+		n.wakeAt = n.sender.NextWakeAt()
 		for _, d := range s.Dests {
 			n.dests[d] = true
 		}
@@ -120,12 +120,12 @@
 		events = append(events, n.recalled()...)
 	}
 	for _, id := range slices.Sorted(maps.Keys(n.orders.out)) {
-		events = append(events, choice.Disabled{Endpoint: id})
+		events = append(events, choice.EndpointDisabled{Endpoint: id})
 	}
 	if before != nil {
 		for _, id := range slices.Sorted(maps.Keys(before.out)) {
 			if !n.orders.out[id] {
-				events = append(events, choice.Enabled{Endpoint: id})
+				events = append(events, choice.EndpointEnabled{Endpoint: id})
 			}
 		}
 	}
@@ -167,12 +167,12 @@
 			n.remote++
 		}
 	}
-	for _, id := range n.sender.Held() {
+	for _, id := range n.sender.OpenMessageIDs() {
 		// One that this process knew when it handed over may have met its end meanwhile: the journal tells.
 		if p := n.messages[id]; c.State != nil && p != nil && p.Ended == nil {
 			carried[id] = true
 		} else {
-			events = append(events, choice.Dropped{ID: id})
+			events = append(events, choice.MessageDropped{ID: id})
 		}
 	}
 	resumed, untried := 0, 0
--- a/internal/node/learnt.go
+++ b/internal/node/learnt.go
@@ -46,7 +46,7 @@
 func learntRoom(c config.Config) int64 { return max(int64(diskMB(c)*(1<<20))/learntShare, learntLeast) }
 
 // read returns what was written and how long ago; ok is false where there is nothing that can be used.
-func (l *learnt) read(now time.Time) (e choice.Recalled, ok bool, err error) {
+func (l *learnt) read(now time.Time) (e choice.MemoryRestored, ok bool, err error) {
 	raw, err := os.ReadFile(l.path)
 	if errors.Is(err, os.ErrNotExist) {
 		return e, false, nil
--- a/internal/node/learnt_test.go
+++ b/internal/node/learnt_test.go
@@ -19,7 +19,7 @@
 		t.Fatalf("nothing was written: %v, %v", ok, err)
 	}
 	want := choice.Memory{Dests: []choice.RememberedDest{{ID: 7, Average: 1.5, Baseline: 0.25, Routes: []choice.RememberedRoute{
-		{Endpoint: "e", Response: 2, Usual: 0.5, Part: 0.75, Cold: time.Second},
+		{Endpoint: "e", PenalizedLatency: 2, SmoothedLatency: 0.5, LimitShare: 0.75, ColdFor: time.Second},
 	}}}}
 	if err := l.write(want, now); err != nil {
 		t.Fatal(err)
@@ -64,15 +64,15 @@
 // What a sender has learnt of 1,024 destinations with an endpoint each, of long names and with every value there, has room on
 // the disk that the platform gives, and comes back.
 func TestWhatWasLearntOfManyComesBack(t *testing.T) {
-	cfg := choice.Settings{Classes: []choice.Class{{Deadline: time.Minute}}, Slots: 2000, MaxOpen: 4000, Weighted: true}
+	cfg := choice.Settings{Classes: []choice.Class{{Deadline: time.Minute}}, Slots: 2000, MaxOpenMessages: 4000, WeightIsRate: true}
 	s := choice.New(cfg, 1)
-	var listed choice.Listed
+	var listed choice.ListUpdate
 	var came, ended []choice.Event
 	for i := range 1024 {
 		name := fmt.Sprintf("%036d", i)
 		listed.Entries = append(listed.Entries, choice.Entry{Endpoint: name, Dest: i, Weight: 100})
-		came = append(came, choice.Arrived{ID: name, Dest: i, DropDead: time.Hour + time.Minute})
-		ended = append(ended, choice.Ended{ID: name, Endpoint: name, Took: time.Second / 7, Closed: true})
+		came = append(came, choice.MessageArrived{ID: name, Dest: i, Deadline: time.Hour + time.Minute})
+		ended = append(ended, choice.AttemptEnded{ID: name, Endpoint: name, Took: time.Second / 7, MessageDone: true})
 	}
 	s.Step(time.Hour, append([]choice.Event{listed}, came...))
 	s.Step(time.Hour+time.Second/7, ended)
@@ -81,7 +81,7 @@
 		t.Fatal(err)
 	}
 	got, ok, err := l.read(time.Now())
-	if err != nil || !ok || len(got.Dests) != 1024 || got.Dests[1023].Average == 0 || got.Dests[1023].Routes[0].Usual == 0 {
+	if err != nil || !ok || len(got.Dests) != 1024 || got.Dests[1023].Average == 0 || got.Dests[1023].Routes[0].SmoothedLatency == 0 {
 		t.Errorf("%d destinations, %v, %v", len(got.Dests), ok, err)
 	}
 	if info, err := os.Stat(l.path); err != nil {
--- a/internal/node/list.go
+++ b/internal/node/list.go
@@ -9,7 +9,7 @@
 )
 
 var phases = map[string]choice.Phase{
-	"SERVING": choice.Ready, "DRAINING": choice.Draining, "DELETED": choice.Gone,
+	"SERVING": choice.Ready, "DRAINING": choice.Draining, "DELETED": choice.Removed,
 }
 
 // entries converts a list for the module. A member of a phase that is not known is taken as draining.
--- a/internal/node/listservice.go
+++ b/internal/node/listservice.go
@@ -11,7 +11,7 @@
 // turn is this node's among the others, for what all may want of the list service at once.
 func (n *Node) turn() *admission.Pacer {
 	s := n.cfg.Settings
-	return admission.NewPacer(s.Fleet, s.Number, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	return admission.NewPacer(s.FleetSize, s.Number, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 }
 
 // newWatcher is what follows the list for the node, from what it knows now.
@@ -20,8 +20,8 @@
 		Log: n.log, Client: n.client, Servers: n.discovery, Backoff: listwatch.AgentBackoff(), ResponseTimeout: listwatch.AgentResponseTimeout, OnActivity: n.figures.RecordListActivity,
 		OnServerChange: func() { n.figures.ListWatchesEnded.Add(1) }, OnList: tell,
 	}
-	if n.cfg.Settings.AskForList {
-		w.Backoff, w.ResponseTimeout = listwatch.DiscoveryBackoff(n.cfg.Settings.Fleet), listwatch.DiscoveryResponseTimeout
+	if n.cfg.Settings.ListOnRequest {
+		w.Backoff, w.ResponseTimeout = listwatch.DiscoveryBackoff(n.cfg.Settings.FleetSize), listwatch.DiscoveryResponseTimeout
 	}
 	if n.cfg.Registry != nil {
 		w.Pacer, w.PaceStart, w.Check = n.turn(), n.cold != nil && !n.cold.Whole(), n.newDoubt().Check
@@ -34,7 +34,7 @@
 
 func (n *Node) newDoubt() *listwatch.Validator {
 	return listwatch.NewValidator(listwatch.Validator{
-		Log: n.log, Client: n.client, Servers: n.discovery, HoldFor: min(n.cfg.Settings.DrainGrace*3/4, listwatch.MaxHold),
+		Log: n.log, Client: n.client, Servers: n.discovery, HoldFor: min(n.cfg.Settings.DrainTimeout*3/4, listwatch.MaxHold),
 		Revision: n.revision, Unconfirmed: n.unconfirmed, RejectedLists: &n.figures.OlderListsRefused, HeldLists: &n.figures.SuspiciousListsHeld,
 	}, maps.Values(n.members))
 }
--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -15,12 +15,12 @@
 )
 
 // resumed tells the module of a message's past. An attempt that is not proven not to have run may have.
-func (n *Node) resumed(p *journal.Message) choice.Resumed {
-	r := choice.Resumed{Arrived: n.arrived(p, p.Deadline), Attempts: len(p.Attempts)}
+func (n *Node) resumed(p *journal.Message) choice.MessageResumed {
+	r := choice.MessageResumed{MessageArrived: n.arrived(p, p.Deadline), Attempts: len(p.Attempts)}
 	for _, s := range p.Attempts {
 		r.Failed = r.Failed || s.Failed
-		if !s.NotRun && !r.Touched {
-			r.Touched, r.MayRun, r.Zone = true, n.at(s.At), s.Zone
+		if !s.NotRun && !r.MayHaveRun {
+			r.MayHaveRun, r.FirstRunSentAt, r.Zone = true, n.at(s.At), s.Zone
 		}
 	}
 	return r
@@ -28,8 +28,8 @@
 
 // arrived is the module's event of a message. A deadline that has not been through the journal is on the
 // monotonic clock, so that a step of the wall clock does not move it.
-func (n *Node) arrived(p *journal.Message, deadline time.Time) choice.Arrived {
-	return choice.Arrived{ID: p.ID, Class: p.Class, Tenant: p.Tenant, Dest: p.Dest, Key: p.Key, DropDead: n.at(deadline)}
+func (n *Node) arrived(p *journal.Message, deadline time.Time) choice.MessageArrived {
+	return choice.MessageArrived{ID: p.ID, Class: p.Class, Tenant: p.Tenant, Dest: p.Dest, Key: p.Key, Deadline: n.at(deadline)}
 }
 
 // refuseGivenUp refuses a message whose record could not be written. Where the record may yet be found at the next start, the
@@ -65,7 +65,7 @@
 	case !n.dests[a.Dest]:
 		n.figures.CountFailed(a.Class)
 		return ingress.Answer{ErrorText: "unknown destination"}, false
-	case n.cfg.Settings.MaxOpen > 0 && n.held >= n.cfg.Settings.MaxOpen:
+	case n.cfg.Settings.MaxOpenMessages > 0 && n.held >= n.cfg.Settings.MaxOpenMessages:
 		n.figures.CountShed(a.Class)
 		return ingress.Answer{Refused: true}, false
 	}
@@ -115,14 +115,14 @@
 		n.remote--
 	}
 	switch e.Outcome {
-	case choice.Pass:
+	case choice.Success:
 	case choice.Rejected, choice.ConnectFailed, choice.NotSent:
 		n.journal.NotRun(m, e.n)
 	default:
 		n.journal.Failed(m, e.n)
 	}
 	if e.MessageDone && m.Ended == nil {
-		if e.Outcome == choice.Pass {
+		if e.Outcome == choice.Success {
 			n.figures.CountDelivered(m.Class)
 			n.figures.ObserveFirstDelivery(time.Since(n.began))
 		} else { // withdrawn or out of time, the endpoint says
@@ -133,9 +133,9 @@
 	if e.RetryAfter > 0 {
 		e.endpoint.Cooldown.Extend(time.Now().Add(e.RetryAfter))
 	}
-	return choice.Ended{
-		ID: e.id, Attempt: e.n, Endpoint: e.endpoint.ID, Outcome: e.Outcome, Took: e.took, Closed: e.MessageDone,
-		Wait: e.RetryAfter, NoSlot: e.NoSlot, Reused: e.Reused, Report: e.Report,
+	return choice.AttemptEnded{
+		ID: e.id, Attempt: e.n, Endpoint: e.endpoint.ID, Outcome: e.Outcome, Took: e.took, MessageDone: e.MessageDone,
+		RetryAfter: e.RetryAfter, NoSlot: e.NoSlot, ReusedConn: e.Reused, Report: e.Report,
 	}
 }
 
@@ -184,9 +184,9 @@
 	if name.n == 0 && !p.ReceivedAt.IsZero() {
 		n.figures.ObserveFirstAttempt(p.Dest, now.Sub(p.ReceivedAt))
 	}
-	c := egress.Call{ID: p.ID, Key: p.Key, Body: p.Body, Endpoint: e, Deadline: n.wall(a.NotPast)}
-	if a.BeginBy > 0 {
-		c.LatestStart = n.wall(a.BeginBy)
+	c := egress.Call{ID: p.ID, Key: p.Key, Body: p.Body, Endpoint: e, Deadline: n.wall(a.AbandonAt)}
+	if a.LatestStart > 0 {
+		c.LatestStart = n.wall(a.LatestStart)
 	}
 	if n.audit != nil && n.cfg.Audit.MarkCalls {
 		c.DecisionBasis = n.version()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -148,7 +148,7 @@
 func New(cfg config.Config, log *slog.Logger) *Node {
 	if cfg.Registry != nil {
 		_, remembers, err := newLearnt(cfg).read(time.Now())
-		cfg.Settings.Cautious = !remembers || err != nil
+		cfg.Settings.ColdStart = !remembers || err != nil
 	}
 	n := &Node{
 		cfg: cfg, log: log, sender: choice.New(cfg.Settings, seed(cfg.Seed)), start: time.Now(), began: time.Now(),
@@ -209,7 +209,7 @@
 		case <-life.Done():
 		}
 		backoff.Sleep(life, holdAfter)
-		n.tell(life, choice.Leaving{})
+		n.tell(life, choice.ShuttingDown{})
 		backoff.Sleep(life, leaveAfter-holdAfter)
 		n.clients.Close() // those inside a request get their answers from the loop, which still runs
 	})
@@ -441,7 +441,7 @@
 			}
 		case claimed:
 			n.accounted(e)
-		case choice.Told:
+		case choice.DatagramReceived:
 			events = append(events, e)
 		case memberNote:
 			if n.fellows != nil {
@@ -453,7 +453,7 @@
 			}
 		case viewAsk:
 			e.reply <- n.view()
-		case choice.Leaving:
+		case choice.ShuttingDown:
 			if n.fellows != nil {
 				n.fellows.core.Leave(n.now())
 				e.HandOver = true
@@ -487,7 +487,7 @@
 	if err := n.journal.Flush(); err != nil && len(fresh) > 0 {
 		n.log.Error("messages_turned_away", "err", err)
 		events = slices.DeleteFunc(events, func(e choice.Event) bool {
-			_, isNew := e.(choice.Arrived)
+			_, isNew := e.(choice.MessageArrived)
 			return isNew
 		})
 		for id, a := range fresh {
@@ -500,7 +500,7 @@
 	events = n.blinded(events)
 	if n.wakeAt > 0 && n.now() >= n.wakeAt {
 		n.wakeAt = 0
-		events = append(events, choice.Rang{Tag: "sweep"})
+		events = append(events, choice.WakeDue{Tag: "sweep"})
 	}
 	n.step(ctx, events, fresh)
 }
@@ -529,10 +529,10 @@
 	}
 	done(nil)
 	if !o.on {
-		return choice.Enabled{Endpoint: o.endpoint}
+		return choice.EndpointEnabled{Endpoint: o.endpoint}
 	}
 	n.pool.CloseIdle(o.endpoint) // it is about to be restarted
-	return choice.Disabled{Endpoint: o.endpoint}
+	return choice.EndpointDisabled{Endpoint: o.endpoint}
 }
 
 // step lets the module decide and carries out what it says, in order, once the records are written that guard
@@ -542,21 +542,21 @@
 		switch a := a.(type) {
 		case choice.Send:
 			n.send(a)
-		case choice.PushBack:
+		case choice.Refuse:
 			n.end(a.ID, journal.Ending{RetryAfter: a.RetryAfter}, fresh)
 		case choice.Fail:
 			n.end(a.ID, journal.Ending{Failed: true}, fresh)
 		case choice.Cancel:
 			n.cancelled = append(n.cancelled, attempt{a.ID, a.Attempt})
-		case choice.Tell:
+		case choice.SendDatagram:
 			n.peers.send(a, n.log)
-		case choice.HangUp:
+		case choice.CloseIdle:
 			n.pool.CloseIdle(a.Endpoint)
 		case choice.Wake:
 			if n.wakeAt == 0 || a.At < n.wakeAt {
 				n.wakeAt = a.At
 			}
-		case choice.Note:
+		case choice.LogLine:
 			n.log.Info("sender_note", "text", a.Text)
 		}
 	}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -597,7 +597,7 @@
 		n := &Node{start: time.Now()}
 		for _, p := range openJournalAt(t, dir).Unsettled() {
 			r := n.resumed(p)
-			if r.Failed != c.failed || r.Touched != c.touched || r.Attempts != 1 || (r.Touched && r.MayRun > n.now()) {
+			if r.Failed != c.failed || r.MayHaveRun != c.touched || r.Attempts != 1 || (r.MayHaveRun && r.FirstRunSentAt > n.now()) {
 				t.Errorf("%s: got %+v", c.name, r)
 			}
 		}
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -32,7 +32,7 @@
 
 // listenToPeers opens the socket for notes. Without an address for it, or without other nodes, there are none.
 func listenToPeers(ctx context.Context, cfg config.Config) (*peers, error) {
-	if cfg.PeerListen == "" || !cfg.Settings.MayTell || len(cfg.Peers) < 2 {
+	if cfg.PeerListen == "" || !cfg.Settings.PeerDatagrams || len(cfg.Peers) < 2 {
 		return nil, nil
 	}
 	p := &peers{numbers: map[netip.AddrPort]int{}}
@@ -96,17 +96,17 @@
 		case n > 0 && text[0] == staleness.Magic:
 			tell(revisionNote{number, text})
 		default:
-			tell(choice.Told{From: number, Text: text})
+			tell(choice.DatagramReceived{From: number, Payload: text})
 		}
 	}
 }
 
 // send sends a note; one that can't be sent is as good as lost.
-func (p *peers) send(a choice.Tell, log *slog.Logger) {
-	if p == nil || a.To < 0 || a.To >= len(p.addrs) || len(a.Text) > maxDatagram {
+func (p *peers) send(a choice.SendDatagram, log *slog.Logger) {
+	if p == nil || a.To < 0 || a.To >= len(p.addrs) || len(a.Payload) > maxDatagram {
 		return
 	}
-	if _, err := p.conn.WriteToUDPAddrPort(a.Text, p.addrs[a.To]); err != nil {
+	if _, err := p.conn.WriteToUDPAddrPort(a.Payload, p.addrs[a.To]); err != nil {
 		log.Debug("note_not_sent", "to", a.To, "err", err)
 	}
 }
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -48,13 +48,13 @@
 		defer close(ended)
 		b.receive(t.Context(), log, &strangers, func(e any) bool { got <- e; return true })
 	}()
-	stranger.send(choice.Tell{To: 1, Text: []byte("of nobody")}, log)
-	a.send(choice.Tell{To: 1, Text: []byte(strings.Repeat("x", maxDatagram+1))}, log)
-	a.send(choice.Tell{To: 7, Text: []byte("to nobody")}, log)
-	a.send(choice.Tell{To: 1, Text: []byte("a note")}, log)
-	a.send(choice.Tell{To: 1, Text: []byte("Membership's")}, log)
+	stranger.send(choice.SendDatagram{To: 1, Payload: []byte("of nobody")}, log)
+	a.send(choice.SendDatagram{To: 1, Payload: []byte(strings.Repeat("x", maxDatagram+1))}, log)
+	a.send(choice.SendDatagram{To: 7, Payload: []byte("to nobody")}, log)
+	a.send(choice.SendDatagram{To: 1, Payload: []byte("a note")}, log)
+	a.send(choice.SendDatagram{To: 1, Payload: []byte("Membership's")}, log)
 	for _, want := range []any{
-		choice.Told{From: 0, Text: []byte("a note")}, memberNote{0, []byte("Membership's")},
+		choice.DatagramReceived{From: 0, Payload: []byte("a note")}, memberNote{0, []byte("Membership's")},
 	} {
 		select {
 		case e := <-got:
@@ -78,12 +78,12 @@
 
 func TestWithoutAFleetNoSocketIsOpened(t *testing.T) {
 	var cfg config.Config
-	cfg.Settings.MayTell = true
+	cfg.Settings.PeerDatagrams = true
 	if p, err := listenToPeers(t.Context(), cfg); p != nil || err != nil {
 		t.Errorf("%v, %v", p, err)
 	}
 	var none *peers
-	none.send(choice.Tell{}, nil)
+	none.send(choice.SendDatagram{}, nil)
 	none.close()
 	cfg.PeerListen, cfg.Peers = "127.0.0.1:0", []string{"127.0.0.1:1", "127.0.0.1:2"}
 	p, err := listenToPeers(t.Context(), cfg)
@@ -103,7 +103,7 @@
 		t.Fatal(err)
 	}
 	var cfg config.Config
-	cfg.Settings.MayTell = true
+	cfg.Settings.PeerDatagrams = true
 	cfg.PeerListen, cfg.Peers = before.LocalAddr().String(), []string{"127.0.0.1:1", "127.0.0.1:2"}
 	if p, err := listenToPeers(t.Context(), cfg); err == nil {
 		p.close()
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -10,7 +10,7 @@
 
 // Conf are the facts of a deployment: the settings of a Born line, which a node finds in its configuration as well.
 // The platform writes them as JSON, people as TOML in full words; both are read into this. Zero means not given.
-type Conf struct {
+type Config struct {
 	FleetSize      int          `json:"fleetSize" toml:"fleet_size" default:"1" min:"1" max:"100000" doc:"nodes altogether"`
 	Number         int          `json:"myNumber" toml:"number" min:"0" max:"99999" doc:"this node's place among the peers, from 0"`
 	Zones          []string     `json:"failureDomains" toml:"zones" doc:"names of the zones, as the list says them in locality"`
@@ -19,7 +19,7 @@
 	Weights        string       `json:"weights" toml:"weights" one:"none nominal rough" doc:"what size in the list says: nothing, a rate in calls a second, or about that"`
 	OverShareWorth float64      `json:"overShareWorth" toml:"over_share_worth" default:"0.2" min:"0" max:"1" doc:"worth of what a tenant sends beyond its share"`
 	Tick           units.Millis `json:"tick" toml:"tick" default:"5ms" min:"1ms" max:"1s" doc:"how often a node looks at what has come"`
-	Domain         struct {
+	Calls          struct {
 		Workers int       `json:"workers" toml:"slots" default:"64" min:"1" max:"100000" doc:"calls out at once"`
 		Decay   string    `json:"decay" toml:"late" default:"line" one:"line halves" doc:"how worth falls after the aim"`
 		Apart   []bool    `json:"separateRoutes" toml:"separate_routes" doc:"for each kind: endpoints are routes with limits of their own"`
@@ -67,12 +67,12 @@
 }
 
 var effects = map[string]choice.Effect{
-	"idempotent": choice.Safe, "deduplicated": choice.Keyed, "at_most_once": choice.Unsafe,
+	"idempotent": choice.Idempotent, "deduplicated": choice.Deduplicated, "at_most_once": choice.AtMostOnce,
 }
 
 // Settings converts the settings of a Born line.
 func Settings(raw json.RawMessage) (choice.Settings, error) {
-	var c Conf
+	var c Config
 	if err := json.Unmarshal(raw, &c); err != nil {
 		return choice.Settings{}, fmt.Errorf("settings: %w", err)
 	}
@@ -80,19 +80,19 @@
 }
 
 // Settings converts the facts for the module.
-func (c *Conf) Settings() (choice.Settings, error) {
+func (c *Config) Settings() (choice.Settings, error) {
 	s := choice.Settings{
-		Fleet: c.FleetSize, Number: c.Number, MayTell: c.Limits.Tell, Slots: c.Domain.Workers, MaxOpen: c.Limits.MaxOpen,
+		FleetSize: c.FleetSize, Number: c.Number, PeerDatagrams: c.Limits.Tell, Slots: c.Calls.Workers, MaxOpenMessages: c.Limits.MaxOpen,
 		MaxAttempts: c.Limits.MaxAttempts, MayDuplicate: c.Limits.MayDuplicate, MayProbe: c.Limits.Probes,
-		MayCancel: c.Limits.Cancel, AskForList: c.Discovery == "on_request",
-		Halves:       c.Domain.Decay == "halves",
-		RoughWeights: c.Weights == "rough", Weighted: c.Weights == "rough" || c.Weights == "nominal",
-		OverShareWorth: c.OverShareWorth, ZoneFee: c.Domain.Fee, Tick: c.Tick.Duration(),
-		DialTimeout: c.Limits.DialTimeout.Duration(), ConnIdle: c.Limits.ConnIdle.Duration(),
-		DrainGrace:  c.Contract.StopSending.Duration(),
-		AnswerGrace: c.Contract.Grace.Duration(), FallMultiple: c.Contract.FallMultiple,
-		Fall: c.Contract.Fall.Duration(), ColdFrom: c.Contract.ColdFrom, WarmWithin: c.Contract.WarmWithin.Duration(),
-		OrderSettle: c.Contract.OrderSettle.Duration(), MustAsk: c.Contract.MustAskIn.Duration(),
+		MayCancel: c.Limits.Cancel, ListOnRequest: c.Discovery == "on_request",
+		WorthHalves:        c.Calls.Decay == "halves",
+		ApproximateWeights: c.Weights == "rough", WeightIsRate: c.Weights == "rough" || c.Weights == "nominal",
+		OverQuotaWorth: c.OverShareWorth, ZoneFee: c.Calls.Fee, Tick: c.Tick.Duration(),
+		DialTimeout: c.Limits.DialTimeout.Duration(), IdleConnTimeout: c.Limits.ConnIdle.Duration(),
+		DrainTimeout: c.Contract.StopSending.Duration(),
+		AnswerGrace:  c.Contract.Grace.Duration(), OverloadMultiple: c.Contract.FallMultiple,
+		OverloadDuration: c.Contract.Fall.Duration(), ColdCapacity: c.Contract.ColdFrom, WarmUpTime: c.Contract.WarmWithin.Duration(),
+		OrderedPause: c.Contract.OrderSettle.Duration(), ListRequestInterval: c.Contract.MustAskIn.Duration(),
 	}
 	if c.Limits.RetryAfter {
 		s.MaxRetryAfter = c.Limits.MaxRetryAfter.Duration()
@@ -104,17 +104,17 @@
 		}
 		s.Classes = append(s.Classes, choice.Class{
 			Aim: k.Aim.Duration(), AimStretch: k.AimStretch, Deadline: k.Deadline.Duration(), Worth: k.Worth,
-			LateWorth: k.LateWorth, Effect: effect, Window: k.Window.Duration(), GroupAll: k.Group == "all",
+			LateWorth: k.LateWorth, Effect: effect, DedupWindow: k.Window.Duration(), AllEndpointsDeduplicate: k.Group == "all",
 			Ordered: k.Ordered,
 		})
 	}
-	for i := range max(len(c.Domain.Apart), len(c.Domain.Batch)) {
+	for i := range max(len(c.Calls.Apart), len(c.Calls.Batch)) {
 		var k choice.Kind
-		if i < len(c.Domain.Apart) {
-			k.Apart = c.Domain.Apart[i]
+		if i < len(c.Calls.Apart) {
+			k.SeparateRoutes = c.Calls.Apart[i]
 		}
-		if i < len(c.Domain.Batch) {
-			k.Batch = c.Domain.Batch[i]
+		if i < len(c.Calls.Batch) {
+			k.MaxBatch = c.Calls.Batch[i]
 		}
 		s.Kinds = append(s.Kinds, k)
 	}
@@ -130,7 +130,7 @@
 }
 
 // Names are the words of the settings.
-func (c *Conf) Names() Names {
+func (c *Config) Names() Names {
 	n := Names{Kinds: c.Kinds, Zones: c.Zones}
 	for _, k := range c.Classes {
 		n.Classes = append(n.Classes, k.Name)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -13,57 +13,57 @@
 )
 
 // Line is any line of a batch; Type says which fields count.
-type Line struct {
-	Type     string             `json:"event_type"`
-	SimTime  float64            `json:"simTime"`
-	Node     string             `json:"node"`
-	Nonce    json.Number        `json:"nonce64"`
-	Conf     json.RawMessage    `json:"conf"`
-	Slot     int                `json:"slot"`
-	Records  []Record           `json:"records"`
-	Form     string             `json:"form"`
-	Handle   string             `json:"handle"`
-	Class    int                `json:"cls"`
-	Owner    int                `json:"owner"`
-	Key      string             `json:"nameKey"`
-	DropDead float64            `json:"dropDead"`
-	Hint     float64            `json:"predicted"`
-	FarEnd   int                `json:"farEnd"`
-	Opts     int                `json:"opts"`
-	Go       int                `json:"go"`
-	Endpoint string             `json:"endpoint"`
-	Code     string             `json:"rc"`
-	Duration float64            `json:"duration"`
-	Closed   bool               `json:"closed"`
-	Note     float64            `json:"note"`
-	Feedback map[string]float64 `json:"feedback"`
-	Tag      string             `json:"tag"`
-	Who      int                `json:"who"`
-	Content  string             `json:"content"`
+type InputLine struct {
+	Type        string             `json:"event_type"`
+	Time        float64            `json:"simTime"`
+	Node        string             `json:"node"`
+	Seed        json.Number        `json:"nonce64"`
+	Settings    json.RawMessage    `json:"conf"`
+	ListNumber  int                `json:"slot"`
+	Records     []ListRecord       `json:"records"`
+	Form        string             `json:"form"`
+	MessageID   string             `json:"handle"`
+	Class       int                `json:"cls"`
+	Tenant      int                `json:"owner"`
+	Key         string             `json:"nameKey"`
+	Deadline    float64            `json:"dropDead"`
+	Hint        float64            `json:"predicted"`
+	Dest        int                `json:"farEnd"`
+	Options     int                `json:"opts"`
+	Attempt     int                `json:"go"`
+	Endpoint    string             `json:"endpoint"`
+	Outcome     string             `json:"rc"`
+	Duration    float64            `json:"duration"`
+	MessageDone bool               `json:"closed"`
+	Detail      float64            `json:"note"`
+	Report      map[string]float64 `json:"feedback"`
+	Tag         string             `json:"tag"`
+	From        int                `json:"who"`
+	Payload     string             `json:"content"`
 }
 
 // Record is one entry of a list.
-type Record struct {
+type ListRecord struct {
 	Endpoint string  `json:"endpoint"`
 	Zone     int     `json:"rackZone"`
 	Kind     int     `json:"classOfHost"`
 	Dest     int     `json:"ownerNo"`
 	Phase    string  `json:"phase"`
-	Heft     float64 `json:"heft"`
+	Weight   float64 `json:"heft"`
 }
 
 const optHint = 1 // bit of opts: the hint is valid
 
 // Time converts milliseconds of the wire; the simulator counts whole microseconds.
-func Time(ms float64) time.Duration {
+func FromMillis(ms float64) time.Duration {
 	return units.Millis(ms).Duration()
 }
 
-func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func toMillis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 // Parse reads one line of a batch.
-func Parse(text []byte) (Line, error) {
-	var l Line
+func Parse(text []byte) (InputLine, error) {
+	var l InputLine
 	if err := json.Unmarshal(text, &l); err != nil {
 		return l, fmt.Errorf("malformed line: %w", err)
 	}
@@ -74,16 +74,16 @@
 }
 
 var outcomes = map[string]choice.Outcome{
-	"pass": choice.Pass, "fault": choice.Fault, "no_room": choice.Rejected, "too_slow": choice.TimedOut,
+	"pass": choice.Success, "fault": choice.ServerError, "no_room": choice.Rejected, "too_slow": choice.TimedOut,
 	"no_route": choice.ConnectFailed, "cut": choice.ConnReset, "undone": choice.Cancelled, "stale_send": choice.NotSent,
 }
 
 var phases = map[string]choice.Phase{
-	"healthy": choice.Ready, "cordoned": choice.Draining, "deregistered": choice.Gone,
+	"healthy": choice.Ready, "cordoned": choice.Draining, "deregistered": choice.Removed,
 }
 
 // Entries converts the records of a list.
-func Entries(records []Record) ([]choice.Entry, error) {
+func Entries(records []ListRecord) ([]choice.Entry, error) {
 	list := make([]choice.Entry, 0, len(records))
 	for _, r := range records {
 		phase, ok := phases[r.Phase]
@@ -91,7 +91,7 @@
 			return nil, fmt.Errorf("endpoint %q has unknown phase %q", r.Endpoint, r.Phase)
 		}
 		list = append(list, choice.Entry{
-			Endpoint: r.Endpoint, Zone: r.Zone, Kind: r.Kind, Dest: r.Dest, Phase: phase, Weight: r.Heft,
+			Endpoint: r.Endpoint, Zone: r.Zone, Kind: r.Kind, Dest: r.Dest, Phase: phase, Weight: r.Weight,
 		})
 	}
 	return list, nil
@@ -99,68 +99,68 @@
 
 // Event converts a line addressed to one instance. It returns nil for lines that carry nothing to decide on.
 // An Announce needs the entries of its list, which the caller keeps.
-func Event(l Line, lists map[int][]choice.Entry) (choice.Event, error) {
+func Event(l InputLine, lists map[int][]choice.Entry) (choice.Event, error) {
 	switch l.Type {
 	case "Announce":
 		if l.Form == "broken" {
-			return choice.Listed{Failed: true}, nil
+			return choice.ListUpdate{Failed: true}, nil
 		}
 		if l.Form != "patch" && l.Form != "whole" && l.Form != "stale_copy" {
 			return nil, fmt.Errorf("Announce of unknown form %q", l.Form)
 		}
-		entries, ok := lists[l.Slot]
+		entries, ok := lists[l.ListNumber]
 		if !ok {
-			return nil, fmt.Errorf("Announce names list %d, which was never sent", l.Slot)
+			return nil, fmt.Errorf("Announce names list %d, which was never sent", l.ListNumber)
 		}
-		return choice.Listed{Whole: l.Form != "patch", Entries: entries}, nil
+		return choice.ListUpdate{Whole: l.Form != "patch", Entries: entries}, nil
 	case "Query":
-		ev := choice.Arrived{
-			ID: l.Handle, Class: l.Class, Tenant: l.Owner, Dest: l.FarEnd, Key: l.Key, DropDead: Time(l.DropDead),
+		ev := choice.MessageArrived{
+			ID: l.MessageID, Class: l.Class, Tenant: l.Tenant, Dest: l.Dest, Key: l.Key, Deadline: FromMillis(l.Deadline),
 		}
-		if l.Opts&optHint != 0 {
-			ev.Hint = Time(l.Hint)
+		if l.Options&optHint != 0 {
+			ev.Hint = FromMillis(l.Hint)
 		}
 		return ev, nil
 	case "AttemptEnd":
-		o, ok := outcomes[l.Code]
+		o, ok := outcomes[l.Outcome]
 		if !ok {
-			return nil, fmt.Errorf("AttemptEnd with unknown rc %q", l.Code)
+			return nil, fmt.Errorf("AttemptEnd with unknown rc %q", l.Outcome)
 		}
-		ev := choice.Ended{
-			ID: l.Handle, Attempt: l.Go, Endpoint: l.Endpoint, Outcome: o, Took: Time(l.Duration),
-			Closed: l.Closed, Report: report(l.Feedback),
+		ev := choice.AttemptEnded{
+			ID: l.MessageID, Attempt: l.Attempt, Endpoint: l.Endpoint, Outcome: o, Took: FromMillis(l.Duration),
+			MessageDone: l.MessageDone, Report: report(l.Report),
 		}
 		if o == choice.Rejected {
-			ev.Wait = Time(l.Note)
+			ev.RetryAfter = FromMillis(l.Detail)
 		}
-		ev.NoSlot = o == choice.NotSent && l.Note != 0
+		ev.NoSlot = o == choice.NotSent && l.Detail != 0
 		return ev, nil
 	case "Echo":
-		o, ok := outcomes[l.Code]
+		o, ok := outcomes[l.Outcome]
 		if !ok {
-			return nil, fmt.Errorf("Echo with unknown rc %q", l.Code)
+			return nil, fmt.Errorf("Echo with unknown rc %q", l.Outcome)
 		}
-		return choice.Probed{
-			Endpoint: l.Endpoint, Outcome: o, Took: Time(l.Duration), Report: report(l.Feedback),
+		return choice.ProbeEnded{
+			Endpoint: l.Endpoint, Outcome: o, Took: FromMillis(l.Duration), Report: report(l.Report),
 		}, nil
 	case "Dropped":
-		return choice.Dropped{ID: l.Handle}, nil
+		return choice.MessageDropped{ID: l.MessageID}, nil
 	case "Ring":
-		return choice.Rang{Tag: l.Tag}, nil
+		return choice.WakeDue{Tag: l.Tag}, nil
 	case "Memo":
-		text, err := hex.DecodeString(l.Content)
+		text, err := hex.DecodeString(l.Payload)
 		if err != nil {
 			return nil, fmt.Errorf("Memo: %w", err)
 		}
-		return choice.Told{From: l.Who, Text: text}, nil
+		return choice.DatagramReceived{From: l.From, Payload: text}, nil
 	case "UnderWay":
 		return nil, nil
 	}
 	return nil, fmt.Errorf("unknown event %q", l.Type)
 }
 
-func report(f map[string]float64) choice.Report {
-	var r choice.Report
+func report(f map[string]float64) choice.LimitReport {
+	var r choice.LimitReport
 	r.Left, r.HasLeft = f["x0"]
 	r.Limit, r.HasLimit = f["x1"]
 	return r
@@ -172,24 +172,24 @@
 	switch a := a.(type) {
 	case choice.Send:
 		o["event_type"], o["handle"], o["endpoint"] = "Transmit", a.ID, a.Endpoint
-		o["notPast"] = millis(a.NotPast)
-	case choice.PushBack:
-		o["event_type"], o["handle"], o["holdOff"] = "PushBack", a.ID, millis(a.RetryAfter)
+		o["notPast"] = toMillis(a.AbandonAt)
+	case choice.Refuse:
+		o["event_type"], o["handle"], o["holdOff"] = "PushBack", a.ID, toMillis(a.RetryAfter)
 	case choice.Fail:
 		o["event_type"], o["handle"] = "RespondError", a.ID
 	case choice.Cancel:
 		o["event_type"], o["handle"], o["go"] = "Recall", a.ID, a.Attempt
 	case choice.Probe:
 		o["event_type"], o["endpoint"] = "Test", a.Endpoint
-	case choice.HangUp:
+	case choice.CloseIdle:
 		o["event_type"], o["endpoint"] = "HangUp", a.Endpoint
-	case choice.Tell:
-		o["event_type"], o["addressee"], o["content"] = "MemoTo", a.To, hex.EncodeToString(a.Text)
+	case choice.SendDatagram:
+		o["event_type"], o["addressee"], o["content"] = "MemoTo", a.To, hex.EncodeToString(a.Payload)
 	case choice.Wake:
-		o["event_type"], o["when"], o["tag"] = "Defer", millis(a.At), a.Tag
-	case choice.Watch:
+		o["event_type"], o["when"], o["tag"] = "Defer", toMillis(a.At), a.Tag
+	case choice.RequestList:
 		o["event_type"], o["enable"] = "Track", true
-	case choice.Note:
+	case choice.LogLine:
 		o["event_type"], o["text"] = "JournalLine", a.Text
 	default:
 		return nil, fmt.Errorf("no line for action %T", a)
@@ -198,7 +198,7 @@
 }
 
 // Broken is the line that reports a crash of the decision code.
-func Broken(node, text string) []byte {
+func CrashLine(node, text string) []byte {
 	b, err := json.Marshal(map[string]string{"event_type": "Broken", "node": node, "text": text})
 	if err != nil {
 		return []byte(`{"event_type":"Broken"}`)
@@ -207,4 +207,4 @@
 }
 
 // Done ends a reply.
-const Done = `{"event_type":"Done"}`
+const DoneLine = `{"event_type":"Done"}`
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -18,20 +18,20 @@
 		want choice.Event
 	}{
 		{`{"event_type":"Query","node":"node-3","handle":"h1","cls":1,"owner":2,"nameKey":"k","dropDead":8652.25,"predicted":12.5,"farEnd":57,"opts":1,"extra":[1]}`,
-			choice.Arrived{ID: "h1", Class: 1, Tenant: 2, Dest: 57, Key: "k", DropDead: 8652250 * time.Microsecond, Hint: 12500 * time.Microsecond}},
-		{`{"event_type":"Query","node":"node-3","handle":"h1","predicted":12.5,"dropDead":1}`, choice.Arrived{ID: "h1", DropDead: ms}},
+			choice.MessageArrived{ID: "h1", Class: 1, Tenant: 2, Dest: 57, Key: "k", Deadline: 8652250 * time.Microsecond, Hint: 12500 * time.Microsecond}},
+		{`{"event_type":"Query","node":"node-3","handle":"h1","predicted":12.5,"dropDead":1}`, choice.MessageArrived{ID: "h1", Deadline: ms}},
 		{`{"event_type":"AttemptEnd","node":"n","handle":"h","go":2,"endpoint":"e","rc":"no_room","duration":18.5,"note":250,"feedback":{"x0":0.4,"x1":1.25}}`,
-			choice.Ended{ID: "h", Attempt: 2, Endpoint: "e", Outcome: choice.Rejected, Took: 18500 * time.Microsecond, Wait: 250 * ms,
-				Report: choice.Report{Left: 0.4, Limit: 1.25, HasLeft: true, HasLimit: true}}},
+			choice.AttemptEnded{ID: "h", Attempt: 2, Endpoint: "e", Outcome: choice.Rejected, Took: 18500 * time.Microsecond, RetryAfter: 250 * ms,
+				Report: choice.LimitReport{Left: 0.4, Limit: 1.25, HasLeft: true, HasLimit: true}}},
 		{`{"event_type":"AttemptEnd","node":"n","handle":"h","endpoint":"e","rc":"stale_send","note":1,"closed":true}`,
-			choice.Ended{ID: "h", Endpoint: "e", Outcome: choice.NotSent, NoSlot: true, Closed: true}},
-		{`{"event_type":"Echo","node":"n","endpoint":"e","rc":"pass","duration":3}`, choice.Probed{Endpoint: "e", Took: 3 * ms}},
-		{`{"event_type":"Dropped","node":"n","handle":"h"}`, choice.Dropped{ID: "h"}},
-		{`{"event_type":"Ring","node":"n","tag":"sweep"}`, choice.Rang{Tag: "sweep"}},
-		{`{"event_type":"Announce","node":"n","form":"stale_copy","gen":41,"slot":3}`, choice.Listed{Whole: true, Entries: lists[3]}},
-		{`{"event_type":"Announce","node":"n","form":"patch","gen":41,"slot":3}`, choice.Listed{Entries: lists[3]}},
-		{`{"event_type":"Announce","node":"n","form":"broken","gen":41}`, choice.Listed{Failed: true}},
-		{`{"event_type":"Memo","node":"n","who":1,"content":"00ff"}`, choice.Told{From: 1, Text: []byte{0, 255}}},
+			choice.AttemptEnded{ID: "h", Endpoint: "e", Outcome: choice.NotSent, NoSlot: true, MessageDone: true}},
+		{`{"event_type":"Echo","node":"n","endpoint":"e","rc":"pass","duration":3}`, choice.ProbeEnded{Endpoint: "e", Took: 3 * ms}},
+		{`{"event_type":"Dropped","node":"n","handle":"h"}`, choice.MessageDropped{ID: "h"}},
+		{`{"event_type":"Ring","node":"n","tag":"sweep"}`, choice.WakeDue{Tag: "sweep"}},
+		{`{"event_type":"Announce","node":"n","form":"stale_copy","gen":41,"slot":3}`, choice.ListUpdate{Whole: true, Entries: lists[3]}},
+		{`{"event_type":"Announce","node":"n","form":"patch","gen":41,"slot":3}`, choice.ListUpdate{Entries: lists[3]}},
+		{`{"event_type":"Announce","node":"n","form":"broken","gen":41}`, choice.ListUpdate{Failed: true}},
+		{`{"event_type":"Memo","node":"n","who":1,"content":"00ff"}`, choice.DatagramReceived{From: 1, Payload: []byte{0, 255}}},
 	} {
 		l, err := Parse([]byte(c.line))
 		if err != nil {
@@ -44,13 +44,13 @@
 	}
 }
 
-func TestEveryOutcomeAndPhaseHasItsWord(t *testing.T) {
+func TestEveryOutcomeAndPhaseIsParsed(t *testing.T) {
 	for word, want := range outcomes {
 		l, err := Parse([]byte(`{"event_type":"AttemptEnd","node":"n","rc":"` + word + `"}`))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, err := Event(l, nil); err != nil || got.(choice.Ended).Outcome != want {
+		if got, err := Event(l, nil); err != nil || got.(choice.AttemptEnded).Outcome != want {
 			t.Errorf("%s: %v, %v", word, got, err)
 		}
 	}
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestBadLines(t *testing.T) {
+func TestInvalidLinesAreRejected(t *testing.T) {
 	for _, line := range []string{`{"event_type":`, `[]`, `{}`, `{"event_type":"Ring","simTime":"soon"}`} {
 		if _, err := Parse([]byte(line)); err == nil {
 			t.Errorf("%s was taken", line)
@@ -78,7 +78,7 @@
 			t.Errorf("%s was taken", line)
 		}
 	}
-	if _, err := Entries([]Record{{Endpoint: "e", Phase: "tired"}}); err == nil {
+	if _, err := Entries([]ListRecord{{Endpoint: "e", Phase: "tired"}}); err == nil {
 		t.Error("an unknown phase was taken")
 	}
 }
@@ -88,16 +88,16 @@
 		action choice.Action
 		want   string
 	}{
-		{choice.Send{ID: "h", Endpoint: "e", NotPast: 8492250 * time.Microsecond}, `{"event_type":"Transmit","node":"n","handle":"h","endpoint":"e","notPast":8492.25}`},
-		{choice.PushBack{ID: "h", RetryAfter: 1500 * ms}, `{"event_type":"PushBack","node":"n","handle":"h","holdOff":1500}`},
+		{choice.Send{ID: "h", Endpoint: "e", AbandonAt: 8492250 * time.Microsecond}, `{"event_type":"Transmit","node":"n","handle":"h","endpoint":"e","notPast":8492.25}`},
+		{choice.Refuse{ID: "h", RetryAfter: 1500 * ms}, `{"event_type":"PushBack","node":"n","handle":"h","holdOff":1500}`},
 		{choice.Fail{ID: "h"}, `{"event_type":"RespondError","node":"n","handle":"h"}`},
 		{choice.Cancel{ID: "h", Attempt: 1}, `{"event_type":"Recall","node":"n","handle":"h","go":1}`},
 		{choice.Probe{Endpoint: "e"}, `{"event_type":"Test","node":"n","endpoint":"e"}`},
-		{choice.Tell{To: 3, Text: []byte{1, 171}}, `{"event_type":"MemoTo","node":"n","addressee":3,"content":"01ab"}`},
-		{choice.HangUp{Endpoint: "e"}, `{"event_type":"HangUp","node":"n","endpoint":"e"}`},
+		{choice.SendDatagram{To: 3, Payload: []byte{1, 171}}, `{"event_type":"MemoTo","node":"n","addressee":3,"content":"01ab"}`},
+		{choice.CloseIdle{Endpoint: "e"}, `{"event_type":"HangUp","node":"n","endpoint":"e"}`},
 		{choice.Wake{At: 8912250 * time.Microsecond, Tag: "sweep"}, `{"event_type":"Defer","node":"n","when":8912.25,"tag":"sweep"}`},
-		{choice.Watch{}, `{"event_type":"Track","node":"n","enable":true}`},
-		{choice.Note{Text: "hi"}, `{"event_type":"JournalLine","node":"n","text":"hi"}`},
+		{choice.RequestList{}, `{"event_type":"Track","node":"n","enable":true}`},
+		{choice.LogLine{Text: "hi"}, `{"event_type":"JournalLine","node":"n","text":"hi"}`},
 	} {
 		b, err := Action("n", c.action)
 		if err != nil {
@@ -119,11 +119,11 @@
 		t.Fatal(err)
 	}
 	want := choice.Settings{
-		Classes: []choice.Class{{Aim: 4000 * ms, Deadline: 28000 * ms, Worth: 3, LateWorth: 0.3, Effect: choice.Keyed, Window: 12000 * ms, GroupAll: true, Ordered: true}},
-		Kinds:   []choice.Kind{{Apart: true, Batch: 1}, {Batch: 5}}, Tenants: []choice.Tenant{{PerSecond: 4.5}},
-		Fleet: 2, Slots: 9, MaxOpen: 269, MaxAttempts: 12, MayCancel: true, AskForList: true, Halves: true, RoughWeights: true, Weighted: true,
-		Tick: 5 * ms, MaxRetryAfter: 3000 * ms, DrainGrace: 250 * ms, AnswerGrace: 20 * ms, FallMultiple: 1.5, Fall: 2000 * ms,
-		ColdFrom: 0.29, WarmWithin: 11000 * ms, OrderSettle: 300 * ms,
+		Classes: []choice.Class{{Aim: 4000 * ms, Deadline: 28000 * ms, Worth: 3, LateWorth: 0.3, Effect: choice.Deduplicated, DedupWindow: 12000 * ms, AllEndpointsDeduplicate: true, Ordered: true}},
+		Kinds:   []choice.Kind{{SeparateRoutes: true, MaxBatch: 1}, {MaxBatch: 5}}, Tenants: []choice.Tenant{{PerSecond: 4.5}},
+		FleetSize: 2, Slots: 9, MaxOpenMessages: 269, MaxAttempts: 12, MayCancel: true, ListOnRequest: true, WorthHalves: true, ApproximateWeights: true, WeightIsRate: true,
+		Tick: 5 * ms, MaxRetryAfter: 3000 * ms, DrainTimeout: 250 * ms, AnswerGrace: 20 * ms, OverloadMultiple: 1.5, OverloadDuration: 2000 * ms,
+		ColdCapacity: 0.29, WarmUpTime: 11000 * ms, OrderedPause: 300 * ms,
 	}
 	if !reflect.DeepEqual(s, want) {
 		t.Errorf("got %+v\nwant %+v", s, want)
@@ -137,7 +137,7 @@
 }
 
 func TestSettingsNames(t *testing.T) {
-	var c Conf
+	var c Config
 	err := json.Unmarshal([]byte(`{"categories":[{"name":"a"},{"name":"b"}],"flavors":["big"],"failureDomains":["z1","z2"]}`), &c)
 	want := Names{Classes: []string{"a", "b"}, Kinds: []string{"big"}, Zones: []string{"z1", "z2"}}
 	if got := c.Names(); err != nil || !reflect.DeepEqual(got, want) {
