--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -136,7 +136,7 @@
 	n := node.New(cfg.Config, log)
 	n.Level = level
 	if adminListener != nil {
-		defer n.ServeOperators(adminListener)()
+		defer n.ServeAdmin(adminListener)()
 	}
 	log.Info("serving", "addr", clientListener.Addr())
 	go func() { // ends with the process
@@ -190,7 +190,7 @@
 		return nil
 	}
 	for deadline := time.Now().Add(stateLockTimeout); ; {
-		held, err := handover.Held(dir)
+		held, err := handover.IsLocked(dir)
 		if err != nil || !held {
 			return err
 		}
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -20,17 +20,17 @@
 )
 
 const (
-	linkTimeout = 2 * time.Second // to write a frame: the other process only has to read
-	maxFrame    = 64 << 20
+	writeTimeout  = 2 * time.Second // to write a frame: the other process only has to read
+	maxFrameBytes = 64 << 20
 )
 
-var ErrFrame = errors.New("handover: a frame that can't be read")
+var ErrBadFrame = errors.New("handover: a frame that can't be read")
 
 // Link joins two processes of one node. A frame is its length, four bytes, and JSON, so that versions may differ; a
 // descriptor goes with its first byte.
 type Link struct {
-	C  *net.UnixConn
-	mu sync.Mutex // one frame at a time
+	Conn *net.UnixConn
+	mu   sync.Mutex // one frame at a time
 }
 
 // Frame holds one of these.
@@ -40,48 +40,48 @@
 	State *State `json:",omitempty"` // with the lock
 
 	// From the old process to its successor.
-	Client *ingress.ConnHandover `json:",omitempty"` // with its connection
-	Ended  *EndedCall            `json:",omitempty"`
-	Order  *LinkOrder            `json:",omitempty"`
+	Client     *ingress.ConnHandover `json:",omitempty"` // with its connection
+	CallResult *CallResult           `json:"Ended,omitempty"`
+	Command    *Command              `json:"Order,omitempty"`
 
 	// From the successor.
-	Cancel *CallName  `json:",omitempty"`
-	Done   *OrderDone `json:",omitempty"`
+	Cancel        *Attempt       `json:",omitempty"`
+	CommandResult *CommandResult `json:"Done,omitempty"`
 }
 
 type (
 	// carriedNode is what the node knows beside the journal and the orders.
 	State struct {
-		Clock    time.Duration // of the module,
-		At       int64         // at this Unix time in nanoseconds
-		Sender   json.RawMessage
-		Revision int64
-		Members  []listwatch.Member
-		Dests    []int
-		Named    []string
-		Out      []CallName // attempts that are out at the old process
-	}
-	CallName struct {
+		Clock          time.Duration // of the module,
+		ClockReadAt    int64         `json:"At"` // at this Unix time in nanoseconds
+		Sender         json.RawMessage
+		Revision       int64
+		Members        []listwatch.Member
+		KnownDests     []int     `json:"Dests"`
+		KnownEndpoints []string  `json:"Named"`
+		InFlight       []Attempt `json:"Out"` // attempts that are out at the old process
+	}
+	Attempt struct {
 		ID string
 		N  int
 	}
-	EndedCall struct {
-		CallName
+	CallResult struct {
+		Attempt
 		Endpoint               string
 		Outcome                choice.Outcome
 		Wait, Took             time.Duration
 		NoSlot, Closed, Reused bool
 		Report                 choice.LimitReport
 	}
-	LinkOrder struct {
+	Command struct {
 		Number   int
 		Endpoint string
 		On       bool
 	}
-	OrderDone struct {
+	CommandResult struct {
 		Number  int
 		Unknown bool   // there is no such endpoint
-		No      string // why not; empty for yes
+		Error   string `json:"No"` // why not; empty for yes
 	}
 )
 
@@ -98,12 +98,12 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if err := l.C.SetWriteDeadline(time.Now().Add(linkTimeout)); err != nil {
+	if err := l.Conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
-	n, _, err := l.C.WriteMsgUnix(b, rights, nil)
+	n, _, err := l.Conn.WriteMsgUnix(b, rights, nil)
 	if err == nil && n < len(b) {
-		_, err = l.C.Write(b[n:])
+		_, err = l.Conn.Write(b[n:])
 	}
 	if err != nil {
 		return fmt.Errorf("handover: %w", err)
@@ -119,12 +119,12 @@
 			file = nil
 		}
 	}()
-	var head [4]byte
+	var header [4]byte
 	rights := make([]byte, syscall.CmsgSpace(4))
-	for got := 0; got < len(head); {
-		n, rn, _, _, err := l.C.ReadMsgUnix(head[got:], rights)
+	for got := 0; got < len(header); {
+		n, rn, _, _, err := l.Conn.ReadMsgUnix(header[got:], rights)
 		if rn > 0 && file == nil {
-			if file, err = passed(rights[:rn]); err != nil {
+			if file, err = parseDescriptor(rights[:rn]); err != nil {
 				return f, file, err
 			}
 		}
@@ -133,32 +133,32 @@
 		}
 		got += n
 	}
-	size := binary.BigEndian.Uint32(head[:])
-	if size > maxFrame {
-		return f, file, ErrFrame
+	size := binary.BigEndian.Uint32(header[:])
+	if size > maxFrameBytes {
+		return f, file, ErrBadFrame
 	}
 	payload := make([]byte, size)
-	if _, err := io.ReadFull(l.C, payload); err != nil {
+	if _, err := io.ReadFull(l.Conn, payload); err != nil {
 		return f, file, err
 	}
 	if err := json.Unmarshal(payload, &f); err != nil {
-		return f, file, fmt.Errorf("%w: %w", ErrFrame, err)
+		return f, file, fmt.Errorf("%w: %w", ErrBadFrame, err)
 	}
 	return f, file, nil
 }
 
 // passed is the descriptor in a control message.
-func passed(rights []byte) (*os.File, error) {
+func parseDescriptor(rights []byte) (*os.File, error) {
 	messages, err := syscall.ParseSocketControlMessage(rights)
 	if err != nil || len(messages) != 1 {
-		return nil, ErrFrame
+		return nil, ErrBadFrame
 	}
 	fds, err := syscall.ParseUnixRights(&messages[0])
 	if err != nil || len(fds) != 1 {
-		return nil, ErrFrame
+		return nil, ErrBadFrame
 	}
 	return os.NewFile(uintptr(fds[0]), "passed"), nil
 }
 
 // Close ends the link; the other process sees its end.
-func (l *Link) Close() error { return l.C.Close() }
+func (l *Link) Close() error { return l.Conn.Close() }
--- a/internal/handover/acquire.go
+++ b/internal/handover/ownership.go
@@ -18,72 +18,72 @@
 // on a handover its descriptor is passed, so that it is never free in between.
 
 const (
-	lockName   = "lock"
-	socketName = "handover"
-	AskPause   = 20 * time.Millisecond // between tries for a lock that another process holds
-	AskTimeout = 3 * time.Second       // for the owner's state, once it has been asked
-	maxSunPath = 100                   // a longer path does not fit into a socket's address
+	lockName          = "lock"
+	socketName        = "handover"
+	LockRetryInterval = 20 * time.Millisecond // between tries for a lock that another process holds
+	RequestTimeout    = 3 * time.Second       // for the owner's state, once it has been asked
+	maxSocketPath     = 100                   // a longer path does not fit into a socket's address
 )
 
 // Claim is the right to own the node's state, and what came with it.
-type Claim struct {
-	Lock    *os.File
-	Upgrade bool   // another process owned the node when this one came
-	From    *Link  // to that process, if it has handed over
-	State   *State // likewise
+type Ownership struct {
+	Lock        *os.File
+	Upgrade     bool   // another process owned the node when this one came
+	Predecessor *Link  // to that process, if it has handed over
+	State       *State // likewise
 }
 
 // Acquire waits for the lock. If ask is set it asks the owner to hand over; otherwise it is a stand-by.
-func Acquire(ctx context.Context, dir string, ask bool) (Claim, error) {
+func Acquire(ctx context.Context, dir string, request bool) (Ownership, error) {
 	f, err := os.OpenFile(filepath.Join(dir, lockName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
-		return Claim{}, fmt.Errorf("ownership: %w", err)
+		return Ownership{}, fmt.Errorf("ownership: %w", err)
 	}
 	upgrade := false
 	for {
 		err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 		if err == nil {
-			return Claim{Lock: f, Upgrade: upgrade}, nil
+			return Ownership{Lock: f, Upgrade: upgrade}, nil
 		}
 		if errors.Is(err, syscall.EINTR) {
 			continue // nobody was found to own it
 		}
 		if !errors.Is(err, syscall.EWOULDBLOCK) {
-			return Claim{}, errors.Join(fmt.Errorf("ownership: %w", err), f.Close())
+			return Ownership{}, errors.Join(fmt.Errorf("ownership: %w", err), f.Close())
 		}
 		upgrade = true
-		if ask {
-			if c, err := askOwner(ctx, dir); err == nil {
+		if request {
+			if c, err := requestOwnership(ctx, dir); err == nil {
 				return c, f.Close() // the lock is that of the descriptor that came
 			}
 		}
-		if !backoff.Sleep(ctx, AskPause) {
-			return Claim{}, errors.Join(ctx.Err(), f.Close())
+		if !backoff.Sleep(ctx, LockRetryInterval) {
+			return Ownership{}, errors.Join(ctx.Err(), f.Close())
 		}
 	}
 }
 
 // askOwner asks the owner to hand over.
-func askOwner(ctx context.Context, dir string) (Claim, error) {
+func requestOwnership(ctx context.Context, dir string) (Ownership, error) {
 	path, closeDir, err := SocketPath(dir)
 	if err != nil {
-		return Claim{}, err
+		return Ownership{}, err
 	}
 	defer closeDir()
-	nc, err := (&net.Dialer{Timeout: AskTimeout}).DialContext(ctx, "unix", path)
+	nc, err := (&net.Dialer{Timeout: RequestTimeout}).DialContext(ctx, "unix", path)
 	if err != nil {
-		return Claim{}, err
+		return Ownership{}, err
 	}
-	l := &Link{C: nc.(*net.UnixConn)}
+	l := &Link{Conn: nc.(*net.UnixConn)}
 	if err := l.Send(Frame{Ask: true}, -1); err != nil {
-		return Claim{}, errors.Join(err, l.Close())
+		return Ownership{}, errors.Join(err, l.Close())
 	}
-	if err := nc.SetReadDeadline(time.Now().Add(AskTimeout)); err != nil {
-		return Claim{}, errors.Join(err, l.Close())
+	if err := nc.SetReadDeadline(time.Now().Add(RequestTimeout)); err != nil {
+		return Ownership{}, errors.Join(err, l.Close())
 	}
 	f, lock, err := l.Receive()
 	if err == nil && (f.State == nil || lock == nil) {
-		err = ErrFrame
+		err = ErrBadFrame
 	}
 	if err == nil {
 		err = nc.SetReadDeadline(time.Time{})
@@ -92,9 +92,9 @@
 		if lock != nil {
 			lock.Close()
 		}
-		return Claim{}, errors.Join(err, l.Close())
+		return Ownership{}, errors.Join(err, l.Close())
 	}
-	return Claim{Lock: lock, Upgrade: true, From: l, State: f.State}, nil
+	return Ownership{Lock: lock, Upgrade: true, Predecessor: l, State: f.State}, nil
 }
 
 // Listen opens the socket at which a later process asks. The lock is held, so a file that stands there
@@ -118,7 +118,7 @@
 
 // SocketPath is the socket's path, by way of the folder's descriptor where it is too long for an address.
 func SocketPath(dir string) (path string, done func(), err error) {
-	if path = filepath.Join(dir, socketName); len(path) <= maxSunPath {
+	if path = filepath.Join(dir, socketName); len(path) <= maxSocketPath {
 		return path, func() {}, nil
 	}
 	f, err := os.Open(dir)
@@ -129,7 +129,7 @@
 }
 
 // Held tells whether a process owns the folder now. It changes nothing.
-func Held(dir string) (bool, error) {
+func IsLocked(dir string) (bool, error) {
 	f, err := os.Open(filepath.Join(dir, lockName))
 	if errors.Is(err, os.ErrNotExist) {
 		return false, nil
--- a/internal/node/operators.go
+++ b/internal/node/admin.go
@@ -18,14 +18,14 @@
 	if !n.serving.Load() {
 		return admin.ErrNotServing.Error()
 	}
-	return n.awaiting()
+	return n.notReadyReason()
 }
 
 // Stats are the figures as StatsD lines.
-func (n *Node) Stats() []byte { return n.figures.StatsD() }
+func (n *Node) Stats() []byte { return n.metrics.StatsD() }
 
 // WriteMetrics writes the figures in the Prometheus text format.
-func (n *Node) WriteMetrics(w io.Writer) error { return n.figures.WriteMetrics(w) }
+func (n *Node) WriteMetrics(w io.Writer) error { return n.metrics.WriteMetrics(w) }
 
 // SetLogLevel sets the least level that is logged, from debug to error, until the process ends.
 func (n *Node) SetLogLevel(name string) error {
@@ -47,8 +47,8 @@
 	if !n.serving.Load() {
 		return nil, admin.ErrNotServing
 	}
-	ask := viewAsk{make(chan *admin.MembershipView, 1)}
-	n.tell(ctx, ask)
+	ask := membersQuery{make(chan *admin.MembershipView, 1)}
+	n.enqueue(ctx, ask)
 	select {
 	case v := <-ask.reply:
 		if v == nil {
@@ -62,26 +62,26 @@
 
 // Disable takes an endpoint out until Enable, and returns once that holds.
 func (n *Node) DisableEndpoint(ctx context.Context, endpoint string) error {
-	return n.tellOrder(ctx, order{endpoint: endpoint, on: true})
+	return n.submitCommand(ctx, operatorCommand{endpoint: endpoint, on: true})
 }
 
 // Enable puts an endpoint back.
 func (n *Node) EnableEndpoint(ctx context.Context, endpoint string) error {
-	return n.tellOrder(ctx, order{endpoint: endpoint})
+	return n.submitCommand(ctx, operatorCommand{endpoint: endpoint})
 }
 
 // Drain sends clients away, or takes them again.
 func (n *Node) SetDraining(ctx context.Context, on bool) error {
-	return n.tellOrder(ctx, order{on: on})
+	return n.submitCommand(ctx, operatorCommand{on: on})
 }
 
 // tellOrder hands an order to the loop and waits until it holds.
-func (n *Node) tellOrder(ctx context.Context, o order) error {
-	if !n.serving.Load() && !n.passing.Load() {
+func (n *Node) submitCommand(ctx context.Context, o operatorCommand) error {
+	if !n.serving.Load() && !n.handedOver.Load() {
 		return admin.ErrNotServing
 	}
 	o.done = make(chan error, 1)
-	n.tell(ctx, o)
+	n.enqueue(ctx, o)
 	select {
 	case err := <-o.done:
 		return err
@@ -91,7 +91,7 @@
 }
 
 // ServeOperators answers operators on ln until the function that it returns is called.
-func (n *Node) ServeOperators(ln net.Listener) (stop func()) {
+func (n *Node) ServeAdmin(ln net.Listener) (stop func()) {
 	d := admin.NewServer(ln, n, n.log)
 	var serving sync.WaitGroup
 	serving.Go(d.Serve)
--- a/internal/node/audit.go
+++ b/internal/node/audit.go
@@ -17,90 +17,90 @@
 
 	"harrierramp/internal/atomicfile"
 	"harrierramp/internal/config"
-	"harrierramp/internal/gap"
 	"harrierramp/internal/listwatch"
+	"harrierramp/internal/pausemonitor"
 	"harrierramp/internal/rollout"
 )
 
 const (
-	livesName    = "lives"
-	claimTimeout = 2 * time.Second
+	processIncarnationFile = "lives"
+	statusReportTimeout    = 2 * time.Second
 )
 
 // audit is how the node tells the list service what it acts on. The loop owns it.
 type audit struct {
-	core *rollout.Reporter
-	life uint32 // of this process: one more than of the process before
-	turn int    // of the list servers
-	gap  gap.Gap
-
-	term  context.Context // ends when this process no longer owns the node
-	posts sync.WaitGroup
-	acts  *actsRecord // nil where none is kept
+	reporter    *rollout.Reporter
+	incarnation uint32 // of this process: one more than of the process before
+	serverIndex int    // of the list servers
+	pauses      pausemonitor.Monitor
+
+	ownerCtx context.Context // ends when this process no longer owns the node
+	posts    sync.WaitGroup
+	record   *auditLog // nil where none is kept
 }
 
 // late notes why the node's list may be late from now on. It may be called from any goroutine.
-func (n *Node) late(why string) { n.why.Store(&why) }
+func (n *Node) noteListLate(reason string) { n.lateReason.Store(&reason) }
 
 // look has the node look before it acts where it did not run for a while: it sends nothing new until a list server has been
 // heard, or for gap.Bound.
-func (n *Node) look() {
+func (n *Node) checkForPause() {
 	if n.audit == nil {
 		return
 	}
-	now, g := n.now(), &n.audit.gap
-	changed, missed := g.Step(now, n.at(n.figures.LastListActivity()))
-	if missed > 0 {
-		n.late("the process did not run")
-		n.log.Warn("gap", "missed", missed)
-		n.figures.ProcessPauses.Add(1)
+	now, monitor := n.now(), &n.audit.pauses
+	changed, paused := monitor.Step(now, n.clockAt(n.metrics.LastListActivity()))
+	if paused > 0 {
+		n.noteListLate("the process did not run")
+		n.log.Warn("gap", "missed", paused)
+		n.metrics.ProcessPauses.Add(1)
 	}
-	if changed && !g.Blind() {
-		n.log.Info("gap_over", "list_revision", n.revision)
+	if changed && !monitor.Stale() {
+		n.log.Info("gap_over", "list_revision", n.listRevision)
 	}
 }
 
 // lain is how long a message may have lain unread since the process did not run; its time has gone on meanwhile.
-func (n *Node) lain(came time.Time) time.Duration {
+func (n *Node) unreadFor(readAt time.Time) time.Duration {
 	if n.audit == nil {
 		return 0
 	}
-	return n.audit.gap.Lain(n.at(came))
+	return n.audit.pauses.UnreadFor(n.clockAt(readAt))
 }
 
 // claimed is the end of a claim that was posted.
-type claimed struct {
-	err   error
-	clock int64 // the server's, in milliseconds; 0 for not told
-	ended time.Time
-	took  time.Duration
+type statusReportResult struct {
+	err           error
+	serverClockMS int64 // the server's, in milliseconds; 0 for not told
+	ended         time.Time
+	took          time.Duration
 }
 
 // newAudit begins to tell, or is nil where that is off.
-func (n *Node) newAudit(term context.Context) *audit {
+func (n *Node) newAudit(ownerCtx context.Context) *audit {
 	if n.cfg.Audit == nil || n.cfg.Registry == nil {
 		return nil
 	}
-	path := filepath.Join(n.cfg.StateDir, livesName)
-	before, err := readIncarnation(path)
+	path := filepath.Join(n.cfg.StateDir, processIncarnationFile)
+	last, err := readIncarnation(path)
 	if err != nil {
 		n.log.Warn("lives_unreadable", "err", err)
-		before = uint32(time.Now().Unix()) // later than any count of starts
+		last = uint32(time.Now().Unix()) // later than any count of starts
 	}
-	a := &audit{life: before + 1, term: term}
-	if err := atomicfile.Replace(path, fmt.Appendln(nil, a.life)); err != nil {
+	a := &audit{incarnation: last + 1, ownerCtx: ownerCtx}
+	if err := atomicfile.Replace(path, fmt.Appendln(nil, a.incarnation)); err != nil {
 		n.log.Warn("lives_not_kept", "err", err)
 	}
-	a.core = rollout.NewReporter(n.now(), rollout.Report{
-		Name: n.cfg.Name, Incarnation: int64(a.life), Revision: n.revision, Build: build(), Config: configDigest(n.cfg), Ready: n.ready(),
+	a.reporter = rollout.NewReporter(n.now(), rollout.Report{
+		Name: n.cfg.Name, Incarnation: int64(a.incarnation), Revision: n.listRevision, Build: buildRevision(), Config: configDigest(n.cfg), Ready: n.ready(),
 		AdminAddr: n.cfg.AdminListen,
 	}, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
-	a.acts = n.newActs(a.life)
+	a.record = n.newAuditLog(a.incarnation)
 	return a
 }
 
 // build names what this program was built from.
-func build() string {
+func buildRevision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return "unknown"
@@ -125,54 +125,56 @@
 }
 
 // ready tells whether the node takes messages, as far as what it knows goes.
-func (n *Node) ready() bool { return (n.cold == nil || n.cold.Ready()) && !n.ward.out() && !n.unfit }
+func (n *Node) ready() bool {
+	return (n.startup == nil || n.startup.Ready()) && !n.staleness.fenced() && !n.belowFloor
+}
 
 // version is what a call rests on, for a header; empty where that is not told.
-func (n *Node) version() string {
+func (n *Node) listVersion() string {
 	if n.audit == nil {
 		return ""
 	}
-	return fmt.Sprintf("%d.%d", n.revision, n.audit.life)
+	return fmt.Sprintf("%d.%d", n.listRevision, n.audit.incarnation)
 }
 
 // wait is how long it is until something is to be told, or looked at.
-func (a *audit) wait(now time.Duration) time.Duration {
+func (a *audit) untilDue(now time.Duration) time.Duration {
 	if a == nil {
 		return time.Hour
 	}
-	wait := a.gap.Wait(now)
-	if wake := a.core.WakeAt(); wake > 0 {
+	wait := a.pauses.UntilNextStep(now)
+	if wake := a.reporter.WakeAt(); wake > 0 {
 		wait = min(wait, max(wake-now, 0))
 	}
 	return wait
 }
 
 // account tells the list service what the node acts on, if that is due.
-func (n *Node) account() {
+func (n *Node) reportStatus() {
 	a := n.audit
 	if a == nil {
 		return
 	}
 	now := n.now()
-	why := ""
-	if last := n.why.Load(); last != nil {
-		why = *last
+	reason := ""
+	if last := n.lateReason.Load(); last != nil {
+		reason = *last
 	}
-	a.core.Update(now, n.revision, n.ready(), n.ward.out() || n.unfit, why)
-	c, due := a.core.Next(now)
+	a.reporter.Update(now, n.listRevision, n.ready(), n.staleness.fenced() || n.belowFloor, reason)
+	status, due := a.reporter.Next(now)
 	if !due {
 		return
 	}
-	addr, here, cancel := n.discovery.Pick(a.term, a.turn)
+	addr, addrCtx, cancel := n.discovery.Pick(a.ownerCtx, a.serverIndex)
 	a.posts.Go(func() {
 		defer cancel()
 		began := time.Now()
-		clock, err := postClaim(here, n.client, addr, c)
+		clock, err := postStatus(addrCtx, n.client, addr, status)
 		if err != nil {
 			n.log.Debug("claim_not_taken", "addr", addr, "err", err)
 		}
 		ended := time.Now()
-		n.tell(a.term, claimed{err, clock, ended, ended.Sub(began)})
+		n.enqueue(a.ownerCtx, statusReportResult{err, clock, ended, ended.Sub(began)})
 	})
 }
 
@@ -182,37 +184,37 @@
 		return
 	}
 	a.posts.Wait()
-	if err := a.acts.close(); err != nil {
+	if err := a.record.close(); err != nil {
 		log.Warn("acts_not_closed", "err", err)
 	}
 }
 
 // accounted takes the end of a claim; one that was not taken goes to the next server.
-func (n *Node) accounted(e claimed) {
+func (n *Node) statusReported(e statusReportResult) {
 	if n.audit == nil {
 		return
 	}
 	if e.err != nil {
-		n.audit.turn++
-	} else if e.clock > 0 {
-		n.audit.acts.clock(e)
+		n.audit.serverIndex++
+	} else if e.serverClockMS > 0 {
+		n.audit.record.noteServerClock(e)
 	}
-	n.audit.core.Done(n.now(), e.err == nil)
+	n.audit.reporter.Done(n.now(), e.err == nil)
 }
 
 // postClaim makes a claim, and returns what the server's clock showed when it took it.
-func postClaim(ctx context.Context, client *http.Client, addr string, c rollout.Report) (int64, error) {
-	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
+func postStatus(ctx context.Context, client *http.Client, addr string, status rollout.Report) (int64, error) {
+	ctx, cancel := context.WithTimeout(ctx, statusReportTimeout)
 	defer cancel()
-	raw, err := json.Marshal(c)
+	raw, err := json.Marshal(status)
 	if err != nil {
 		return 0, err
 	}
-	head, err := listwatch.Post(ctx, client, "http://"+addr+"/registry/nodes", raw)
+	header, err := listwatch.Post(ctx, client, "http://"+addr+"/registry/nodes", raw)
 	if err != nil {
 		return 0, err
 	}
-	clock, err := strconv.ParseInt(head.Get(listwatch.ClockHeader), 10, 64)
+	clock, err := strconv.ParseInt(header.Get(listwatch.ClockHeader), 10, 64)
 	if err != nil || clock < 0 {
 		clock = 0 // an earlier build
 	}
--- a/internal/node/acts.go
+++ b/internal/node/auditlog.go
@@ -13,33 +13,33 @@
 
 // actsRecord writes down what the node does by which list: calls before they are made, and how they have ended. The loop
 // owns it; nil where none is kept.
-type actsRecord struct {
-	r       *auditlog.Log
-	log     *slog.Logger
-	figures *metrics.Set
-	now     func() time.Time
-	seq     int64
-	line    auditlog.Entry // of the step
-	why     *string        // that was last written
+type auditLog struct {
+	file       *auditlog.Log
+	log        *slog.Logger
+	metrics    *metrics.Set
+	now        func() time.Time
+	seq        int64
+	line       auditlog.Entry // of the step
+	lastReason *string        // that was last written
 }
 
 // newActs goes on with the record in the folder. Without one that can be written the node goes on all the same.
-func (n *Node) newActs(life uint32) *actsRecord {
-	room := n.cfg.Audit.RecordSize.Bytes()
-	if room == 0 {
+func (n *Node) newAuditLog(incarnation uint32) *auditLog {
+	maxBytes := n.cfg.Audit.RecordSize.Bytes()
+	if maxBytes == 0 {
 		return nil
 	}
-	now := func() time.Time { return n.began.Add(time.Since(n.began)) } // the wall clock may be set, this can't
-	r, err := auditlog.Open(n.cfg.StateDir, room, auditlog.Header{Node: n.cfg.Name, Incarnation: life, Build: build()}, now)
+	now := func() time.Time { return n.processStart.Add(time.Since(n.processStart)) } // the wall clock may be set, this can't
+	r, err := auditlog.Open(n.cfg.StateDir, maxBytes, auditlog.Header{Node: n.cfg.Name, Incarnation: incarnation, Build: buildRevision()}, now)
 	if err != nil {
 		n.log.Warn("acts_not_kept", "err", err)
 		return nil
 	}
-	return &actsRecord{r: r, log: n.log, figures: n.figures, now: now}
+	return &auditLog{file: r, log: n.log, metrics: n.metrics, now: now}
 }
 
 // begun notes a call that is about to be made, and returns its number.
-func (a *actsRecord) begun(endpoint string) int64 {
+func (a *auditLog) callStarted(endpoint string) int64 {
 	if a == nil {
 		return 0
 	}
@@ -49,7 +49,7 @@
 }
 
 // ended notes how a call has ended.
-func (a *actsRecord) ended(seq int64, r egress.Result) {
+func (a *auditLog) callEnded(seq int64, r egress.Result) {
 	if a == nil || seq == 0 {
 		return
 	}
@@ -58,29 +58,29 @@
 		if e.Outcome = auditlog.OutcomeUnknown; r.ResponseRead {
 			e.Outcome = auditlog.OutcomeAnswered
 		}
-		e.WriteStartMS, e.WriteTookMS = a.wall(r.WriteStart), r.WriteEnd.Sub(r.WriteStart).Milliseconds()
+		e.WriteStartMS, e.WriteTookMS = a.wallMillis(r.WriteStart), r.WriteEnd.Sub(r.WriteStart).Milliseconds()
 	}
 	a.line.Ends = append(a.line.Ends, e)
 }
 
 // clock notes what a list server's clock showed in an exchange.
-func (a *actsRecord) clock(e claimed) {
+func (a *auditLog) noteServerClock(e statusReportResult) {
 	if a != nil {
-		a.line.ClockSync = &auditlog.ClockSync{ServerMS: e.clock, EndedMS: a.wall(e.ended), TookMS: e.took.Milliseconds()}
+		a.line.ClockSync = &auditlog.ClockSync{ServerMS: e.serverClockMS, EndedMS: a.wallMillis(e.ended), TookMS: e.took.Milliseconds()}
 	}
 }
 
 // wall is a moment by the record's clock, in milliseconds.
-func (a *actsRecord) wall(at time.Time) int64 { return a.now().Add(-time.Since(at)).UnixMilli() }
+func (a *auditLog) wallMillis(at time.Time) int64 { return a.now().Add(-time.Since(at)).UnixMilli() }
 
 // flush writes the step's line down, before any of its calls is made. A record that can't be written costs no message: it
 // says later how much of it is missing.
-func (a *actsRecord) flush(revision int64, why *string) {
+func (a *auditLog) flush(revision int64, reason *string) {
 	if a == nil {
 		return
 	}
-	if why != a.why && why != nil {
-		a.line.StaleReason = *why
+	if reason != a.lastReason && reason != nil {
+		a.line.StaleReason = *reason
 	}
 	l := a.line
 	if len(l.Starts) == 0 && len(l.Ends) == 0 && l.ClockSync == nil && l.StaleReason == "" {
@@ -89,16 +89,16 @@
 	if len(l.Starts) > 0 {
 		l.Revision = revision
 	}
-	if a.why, a.line = why, (auditlog.Entry{}); a.r.Write(l) != nil {
-		a.figures.AuditRecordsLost.Add(1)
+	if a.lastReason, a.line = reason, (auditlog.Entry{}); a.file.Write(l) != nil {
+		a.metrics.AuditRecordsLost.Add(1)
 	}
 }
 
-func (a *actsRecord) close() error {
+func (a *auditLog) close() error {
 	if a == nil {
 		return nil
 	}
-	return a.r.Close()
+	return a.file.Close()
 }
 
 // Acts writes the record of acts as it stands. It may be called from any goroutine.
--- a/internal/node/clockstep.go
+++ b/internal/node/clockstep.go
@@ -5,8 +5,8 @@
 )
 
 const (
-	leastClockStep = 200 * time.Millisecond // of the wall clock against the monotonic one
-	clockPause     = 250 * time.Millisecond // between looks at the clocks while messages are held
+	minClockStep       = 200 * time.Millisecond // of the wall clock against the monotonic one
+	clockCheckInterval = 250 * time.Millisecond // between looks at the clocks while messages are held
 )
 
 // wallClock notices when the wall clock is set while the process runs. The journal's times outlast the process, and so
@@ -19,7 +19,7 @@
 // stepped is how far the wall clock has been set since the journal's times were written, 0 for not to speak of.
 func (w *wallClock) stepped(now time.Time) time.Duration {
 	by := now.Round(0).Sub(w.began.Round(0)) - now.Sub(w.began) - w.offset
-	if by.Abs() < leastClockStep {
+	if by.Abs() < minClockStep {
 		return 0
 	}
 	return by
@@ -32,7 +32,7 @@
 	if by == 0 {
 		return
 	}
-	err := n.journal.Restamp(func(t time.Time) time.Time { return now.Add(n.at(t) - n.at(now)) })
+	err := n.journal.Restamp(func(t time.Time) time.Time { return now.Add(n.clockAt(t) - n.clockAt(now)) })
 	n.log.Warn("clock_stepped", "by", by, "messages", len(n.messages), "err", err)
 	if err == nil {
 		n.wallClock.offset += by
@@ -40,9 +40,9 @@
 }
 
 // untilClockLook is the time until the next look at the clocks.
-func (n *Node) untilClockLook() time.Duration {
+func (n *Node) untilClockCheck() time.Duration {
 	if len(n.messages) == 0 {
 		return time.Hour
 	}
-	return clockPause
+	return clockCheckInterval
 }
--- a/internal/node/clockstep_test.go
+++ b/internal/node/clockstep_test.go
@@ -11,23 +11,23 @@
 )
 
 // A wall clock that is set while a node runs changes no deadline or window, neither here nor in the next process.
-func TestAStepOfTheWallClockChangesNoDeadline(t *testing.T) {
+func TestWallClockStepKeepsDeadlines(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, time.Hour} {
 		state, began := t.TempDir(), time.Now()
 		n := &Node{
-			journal: openJournalAt(t, state), messages: map[string]*journal.Message{}, dests: map[int]bool{7: true}, start: began,
+			journal: openJournalAt(t, state), messages: map[string]*journal.Message{}, knownDests: map[int]bool{7: true}, clockStart: began,
 			wallClock: wallClock{began: began}, log: slog.New(slog.DiscardHandler),
 		}
-		if _, ok := n.accept(arrival{Request: ingress.Request{ID: "a", Tenant: -1, Dest: 7, TTL: 50 * time.Second, ReceivedAt: began}}); !ok {
+		if _, ok := n.accept(submission{Request: ingress.Request{ID: "a", Tenant: -1, Dest: 7, TTL: 50 * time.Second, ReceivedAt: began}}); !ok {
 			t.Fatal("not taken on")
 		}
 		n.journal.Attempt(n.messages["a"], journal.Attempt{At: began})
 		flushJournal(t, n.journal)
-		deadline, sent := n.at(n.messages["a"].Deadline), n.at(n.messages["a"].Attempts[0].At)
+		deadline, sent := n.clockAt(n.messages["a"].Deadline), n.clockAt(n.messages["a"].Attempts[0].At)
 
 		now := testkit.StepWallClock(time.Now(), step)
 		n.restamp(now)
-		if got := n.at(n.messages["a"].Deadline); (got - deadline).Abs() > time.Millisecond {
+		if got := n.clockAt(n.messages["a"].Deadline); (got - deadline).Abs() > time.Millisecond {
 			t.Errorf("%v: its time is %v later", step, got-deadline)
 		}
 		found := openJournalAt(t, state).Unsettled()[0]
--- a/internal/node/twice_test.go
+++ b/internal/node/duplicate_test.go
@@ -11,19 +11,19 @@
 
 // A message that is handed in twice within one step is told the same twice: before, the second was told that it is taken on
 // while the first was refused, and nobody had it.
-func TestAMessageHandedInTwiceAtOnce(t *testing.T) {
+func TestDuplicatesInOneStepGetSameAnswer(t *testing.T) {
 	for name, c := range map[string]struct {
 		life    time.Duration
 		refused bool
 	}{"taken on": {10 * time.Second, false}, "out of time": {time.Millisecond, true}} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
-			cfg, err := loadConfig(writeConfig(t, "127.0.0.1:1", "127.0.0.1:1", serving("e", "127.0.0.1:9", 7, "DRAINING")), dir)
+			cfg, err := loadConfig(writeConfig(t, "127.0.0.1:1", "127.0.0.1:1", memberJSON("e", "127.0.0.1:9", 7, "DRAINING")), dir)
 			if err != nil {
 				t.Fatal(err)
 			}
 			n := New(cfg, slog.New(slog.DiscardHandler))
-			events, err := n.begin(t.Context(), handover.Claim{}, nil)
+			events, err := n.loadState(t.Context(), handover.Ownership{}, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -32,13 +32,13 @@
 			var batch []any
 			var replies []chan ingress.Answer
 			for range 3 {
-				a := arrival{
+				a := submission{
 					Request: ingress.Request{ID: "x", Dest: 7, TTL: c.life, ReceivedAt: time.Now().Add(-20 * time.Millisecond)},
 					reply:   make(chan ingress.Answer, 1),
 				}
 				batch, replies = append(batch, a), append(replies, a.reply)
 			}
-			n.take(t.Context(), batch)
+			n.processBatch(t.Context(), batch)
 			for i, r := range replies {
 				if got := <-r; got.Refused != c.refused {
 					t.Errorf("hand-in %d of 3 is told %+v", i+1, got)
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -9,67 +9,67 @@
 )
 
 func (n *Node) newPool() *egress.Pool {
-	s, most := n.cfg.Settings, n.cfg.Limits.Sockets
-	return egress.NewPool(n.cfg.SourceAddr(), s.DialTimeout, s.IdleConnTimeout, max(most/4, 8), callPlaces(most), &n.figures.Attempts)
+	s, maxSockets := n.cfg.Settings, n.cfg.Limits.Sockets
+	return egress.NewPool(n.cfg.SourceAddr(), s.DialTimeout, s.IdleConnTimeout, max(maxSockets/4, 8), callDescriptors(maxSockets), &n.metrics.Attempts)
 }
 
 // callPlaces is how many descriptors calls may take: clients have a third, and the rest is set aside for the door,
 // discovery, notices, files and the listeners.
-func callPlaces(sockets int) int { return max(sockets-sockets/3-setAside, 8) }
+func callDescriptors(sockets int) int { return max(sockets-sockets/3-reservedDescriptors, 8) }
 
 // listed brings the endpoints up to date. Calls that have not written their first byte hear of it by shut.
-func (n *Node) listed(l listwatch.List) choice.ListUpdate {
-	if n.kept != nil {
-		n.kept.MarkDirty(l.Revision)
+func (n *Node) applyList(l listwatch.List) choice.ListUpdate {
+	if n.listCache != nil {
+		n.listCache.MarkDirty(l.Revision)
 	}
-	if n.revision = l.Revision; l.Complete || n.members == nil {
-		n.members = map[string]listwatch.Member{}
+	if n.listRevision = l.Revision; l.Complete || n.listMembers == nil {
+		n.listMembers = map[string]listwatch.Member{}
 	}
 	l.Members = slices.DeleteFunc(l.Members, func(m listwatch.Member) bool { return m.ID == "" })
-	entries := entries(l, n.cfg.Names)
-	named := map[string]bool{}
+	entries := listEntries(l, n.cfg.Names)
+	listed := map[string]bool{}
 	for i, m := range l.Members {
-		named[m.ID] = true
-		if n.members[m.ID] = m; entries[i].Phase == choice.Removed {
-			delete(n.members, m.ID)
+		listed[m.ID] = true
+		if n.listMembers[m.ID] = m; entries[i].Phase == choice.Removed {
+			delete(n.listMembers, m.ID)
 		}
-		n.dests[m.Cell] = true
-		n.named[m.ID] = true
-		e := n.eps[m.ID]
+		n.knownDests[m.Cell] = true
+		n.knownEndpoints[m.ID] = true
+		e := n.endpoints[m.ID]
 		if entries[i].Phase != choice.Ready {
-			n.shut(e)
+			n.retireEndpoint(e)
 			continue
 		}
 		if e == nil || e.Addr != m.Addr {
-			n.shut(e)
-			e = &egress.Endpoint{ID: m.ID, Addr: m.Addr, Zone: entries[i].Zone, Cooldown: n.waitOf(entries[i])}
-			e.Disabled.Store(n.orders.out[m.ID])
-			n.eps[m.ID] = e
+			n.retireEndpoint(e)
+			e = &egress.Endpoint{ID: m.ID, Addr: m.Addr, Zone: entries[i].Zone, Cooldown: n.endpointWait(entries[i])}
+			e.Disabled.Store(n.overrides.disabled[m.ID])
+			n.endpoints[m.ID] = e
 		}
 	}
-	for id, e := range n.eps {
-		if l.Complete && !named[id] {
-			n.shut(e)
+	for id, e := range n.endpoints {
+		if l.Complete && !listed[id] {
+			n.retireEndpoint(e)
 		}
 	}
 	return choice.ListUpdate{Whole: l.Complete, Entries: entries}
 }
 
-func (n *Node) shut(e *egress.Endpoint) {
+func (n *Node) retireEndpoint(e *egress.Endpoint) {
 	if e != nil {
 		e.Withdrawn.Store(true)
-		delete(n.eps, e.ID)
+		delete(n.endpoints, e.ID)
 		n.pool.CloseIdle(e.ID)
 	}
 }
 
 // waitOf is where the waits are kept that bind an endpoint: its own if it is a route apart.
-func (n *Node) waitOf(e choice.Entry) *egress.Cooldown {
+func (n *Node) endpointWait(e choice.Entry) *egress.Cooldown {
 	if kinds := n.cfg.Settings.Kinds; e.Kind >= 0 && e.Kind < len(kinds) && kinds[e.Kind].SeparateRoutes {
 		return new(egress.Cooldown)
 	}
-	if n.waits[e.Dest] == nil {
-		n.waits[e.Dest] = new(egress.Cooldown)
+	if n.destWaits[e.Dest] == nil {
+		n.destWaits[e.Dest] = new(egress.Cooldown)
 	}
-	return n.waits[e.Dest]
+	return n.destWaits[e.Dest]
 }
--- a/internal/node/learnt.go
+++ b/internal/node/estimates.go
@@ -15,38 +15,40 @@
 )
 
 const (
-	learntName  = "learnt.json"
-	learntShare = 16              // the file may take this part of the disk, and as much again while it is replaced:
-	learntLeast = 24 << 10        // 192 KiB of 3 MB hold 1,024 destinations; but never less than this
-	learntPause = 2 * time.Second // between writes
-	learntLast  = 2 * time.Minute // older than this it is worth nothing
+	estimatesFileName      = "learnt.json"
+	estimatesDiskShare     = 16              // the file may take this part of the disk, and as much again while it is replaced:
+	minEstimatesBytes      = 24 << 10        // 192 KiB of 3 MB hold 1,024 destinations; but never less than this
+	estimatesWriteInterval = 2 * time.Second // between writes
+	maxEstimatesAge        = 2 * time.Minute // older than this it is worth nothing
 )
 
 // learnt is what the sender has learnt, in the lasting folder, so that a restart of the fleet does not learn every
 // destination anew in every node. Losing it loses only that. The loop owns it.
-type learnt struct {
-	path  string
-	room  int64 // for the file, in bytes
-	dirty bool  // calls have ended since the last write
-	next  time.Time
+type estimateStore struct {
+	path      string
+	maxBytes  int64 // for the file, in bytes
+	dirty     bool  // calls have ended since the last write
+	nextWrite time.Time
 }
 
 // learntFile is its lasting form.
-type learntFile struct {
+type estimatesFile struct {
 	At     int64           `json:"at"`  // Unix time in milliseconds
 	Sum    uint32          `json:"sum"` // CRC-32 of Memory
 	Memory json.RawMessage `json:"memory"`
 }
 
-func newLearnt(c config.Config) *learnt {
-	return &learnt{path: filepath.Join(c.StateDir, learntName), room: learntRoom(c)}
+func newEstimateStore(c config.Config) *estimateStore {
+	return &estimateStore{path: filepath.Join(c.StateDir, estimatesFileName), maxBytes: estimatesBytes(c)}
 }
 
 // learntRoom is the room of the file, in bytes.
-func learntRoom(c config.Config) int64 { return max(int64(diskMB(c)*(1<<20))/learntShare, learntLeast) }
+func estimatesBytes(c config.Config) int64 {
+	return max(int64(diskMB(c)*(1<<20))/estimatesDiskShare, minEstimatesBytes)
+}
 
 // read returns what was written and how long ago; ok is false where there is nothing that can be used.
-func (l *learnt) read(now time.Time) (e choice.MemoryRestored, ok bool, err error) {
+func (l *estimateStore) read(now time.Time) (e choice.MemoryRestored, ok bool, err error) {
 	raw, err := os.ReadFile(l.path)
 	if errors.Is(err, os.ErrNotExist) {
 		return e, false, nil
@@ -54,7 +56,7 @@
 	if err != nil {
 		return e, false, fmt.Errorf("learnt: %w", err)
 	}
-	var f learntFile
+	var f estimatesFile
 	if err := json.Unmarshal(raw, &f); err != nil {
 		return e, false, fmt.Errorf("learnt: %w", err)
 	}
@@ -65,38 +67,38 @@
 		return e, false, fmt.Errorf("learnt: %w", err)
 	}
 	e.Age = now.Sub(time.UnixMilli(f.At))
-	return e, e.Age >= 0 && e.Age <= learntLast, nil
+	return e, e.Age >= 0 && e.Age <= maxEstimatesAge, nil
 }
 
 // write replaces the file. What is too large for its room is not kept.
-func (l *learnt) write(m choice.Memory, now time.Time) error {
-	l.dirty, l.next = false, now.Add(learntPause)
+func (l *estimateStore) write(m choice.Memory, now time.Time) error {
+	l.dirty, l.nextWrite = false, now.Add(estimatesWriteInterval)
 	memory, err := json.Marshal(m)
 	if err != nil {
 		return fmt.Errorf("learnt: %w", err)
 	}
-	raw, err := json.Marshal(learntFile{now.UnixMilli(), crc32.ChecksumIEEE(memory), memory})
+	raw, err := json.Marshal(estimatesFile{now.UnixMilli(), crc32.ChecksumIEEE(memory), memory})
 	if err != nil {
 		return fmt.Errorf("learnt: %w", err)
 	}
-	if int64(len(raw)) > l.room {
-		return fmt.Errorf("learnt: %d bytes, and room for %d", len(raw), l.room)
+	if int64(len(raw)) > l.maxBytes {
+		return fmt.Errorf("learnt: %d bytes, and room for %d", len(raw), l.maxBytes)
 	}
 	return atomicfile.Replace(l.path, raw)
 }
 
 // keepLearnt writes it down if it is due.
-func (n *Node) keepLearnt() {
-	if now := time.Now(); n.learnt != nil && n.learnt.dirty && !now.Before(n.learnt.next) {
-		if err := n.learnt.write(n.sender.Remember(), now); err != nil {
+func (n *Node) saveEstimates() {
+	if now := time.Now(); n.estimates != nil && n.estimates.dirty && !now.Before(n.estimates.nextWrite) {
+		if err := n.estimates.write(n.sender.Remember(), now); err != nil {
 			n.log.Warn("learnt_not_kept", "err", err)
 		}
 	}
 }
 
 // recalled is the event for what an earlier process has learnt, if there is any.
-func (n *Node) recalled() []choice.Event {
-	e, ok, err := n.learnt.read(time.Now())
+func (n *Node) restoredEstimates() []choice.Event {
+	e, ok, err := n.estimates.read(time.Now())
 	if err != nil {
 		n.log.Warn("learnt_unusable", "err", err)
 	}
--- a/internal/node/learnt_test.go
+++ b/internal/node/estimates_test.go
@@ -13,8 +13,8 @@
 
 // What was learnt comes back as it was, with its age; what is cut, flipped, old or from the future does not, and nothing
 // is larger than its room.
-func TestWhatWasLearntComesBack(t *testing.T) {
-	l, now := newLearnt(config.Config{StateDir: t.TempDir()}), time.UnixMilli(time.Now().UnixMilli())
+func TestEstimatesAreRestoredUnlessCorruptOrOld(t *testing.T) {
+	l, now := newEstimateStore(config.Config{StateDir: t.TempDir()}), time.UnixMilli(time.Now().UnixMilli())
 	if _, ok, err := l.read(now); ok || err != nil {
 		t.Fatalf("nothing was written: %v, %v", ok, err)
 	}
@@ -53,7 +53,7 @@
 			t.Fatalf("cut at %d, and used", i)
 		}
 	}
-	for i := range int(l.room/100) + 1 {
+	for i := range int(l.maxBytes/100) + 1 {
 		want.Dests = append(want.Dests, choice.RememberedDest{ID: i, Routes: []choice.RememberedRoute{{Endpoint: strings.Repeat("x", 100)}}})
 	}
 	if err := l.write(want, now); err == nil {
@@ -63,7 +63,7 @@
 
 // What a sender has learnt of 1,024 destinations with an endpoint each, of long names and with every value there, has room on
 // the disk that the platform gives, and comes back.
-func TestWhatWasLearntOfManyComesBack(t *testing.T) {
+func TestEstimatesOf1024DestinationsFitOnDisk(t *testing.T) {
 	cfg := choice.Settings{Classes: []choice.Class{{Deadline: time.Minute}}, Slots: 2000, MaxOpenMessages: 4000, WeightIsRate: true}
 	s := choice.New(cfg, 1)
 	var listed choice.ListUpdate
@@ -76,7 +76,7 @@
 	}
 	s.Step(time.Hour, append([]choice.Event{listed}, came...))
 	s.Step(time.Hour+time.Second/7, ended)
-	l := newLearnt(config.Config{StateDir: t.TempDir()})
+	l := newEstimateStore(config.Config{StateDir: t.TempDir()})
 	if err := l.write(s.Remember(), time.Now()); err != nil {
 		t.Fatal(err)
 	}
@@ -87,6 +87,6 @@
 	if info, err := os.Stat(l.path); err != nil {
 		t.Error(err)
 	} else {
-		t.Logf("%d bytes of %d", info.Size(), l.room)
+		t.Logf("%d bytes of %d", info.Size(), l.maxBytes)
 	}
 }
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -24,15 +24,15 @@
 // nothing has changed.
 func (n *Node) handOver(l *handover.Link) bool {
 	err := n.journal.Flush()
-	if err == nil && (!n.guarded.empty() || len(n.withdrawn) > 0 || n.remote > 0) {
+	if err == nil && (!n.pending.empty() || len(n.withdrawnCalls) > 0 || n.remoteCalls > 0) {
 		err = errors.New("not at rest") // what waits for the journal, or calls of a process before this one
 	}
 	var state *handover.State
 	if err == nil {
-		state, err = n.carry()
+		state, err = n.exportState()
 	}
 	if err == nil {
-		err = l.Send(handover.Frame{State: state}, int(n.lock.Fd()))
+		err = l.Send(handover.Frame{State: state}, int(n.ownershipLock.Fd()))
 	}
 	if err != nil {
 		n.log.Error("handover_failed", "err", errors.Join(err, l.Close()))
@@ -43,20 +43,20 @@
 	return true
 }
 
-func (n *Node) carry() (*handover.State, error) {
+func (n *Node) exportState() (*handover.State, error) {
 	sender, err := n.sender.Snapshot()
 	if err != nil {
 		return nil, err
 	}
 	state := &handover.State{
-		Clock: n.now(), At: time.Now().UnixNano(), Sender: sender, Revision: n.revision,
-		Dests: slices.Sorted(maps.Keys(n.dests)), Named: slices.Sorted(maps.Keys(n.named)),
+		Clock: n.now(), ClockReadAt: time.Now().UnixNano(), Sender: sender, Revision: n.listRevision,
+		KnownDests: slices.Sorted(maps.Keys(n.knownDests)), KnownEndpoints: slices.Sorted(maps.Keys(n.knownEndpoints)),
 	}
-	for _, id := range slices.Sorted(maps.Keys(n.members)) {
-		state.Members = append(state.Members, n.members[id])
+	for _, id := range slices.Sorted(maps.Keys(n.listMembers)) {
+		state.Members = append(state.Members, n.listMembers[id])
 	}
-	for a := range n.out {
-		state.Out = append(state.Out, handover.CallName{ID: a.id, N: a.n})
+	for a := range n.inFlight {
+		state.InFlight = append(state.InFlight, handover.Attempt{ID: a.id, N: a.n})
 	}
 	return state, nil
 }
@@ -64,8 +64,8 @@
 // begin takes the node's state into this process: from the journal, from what a predecessor has handed over, and
 // from what this process has known since it owned the node itself. Calls that have ended since then are
 // unheard. It returns the module's first events.
-func (n *Node) begin(ctx context.Context, c handover.Claim, unheard []called) ([]choice.Event, error) {
-	err := n.patiently(ctx, func() (err error) {
+func (n *Node) loadState(ctx context.Context, ownership handover.Ownership, unreported []callResult) ([]choice.Event, error) {
+	err := n.retryStartup(ctx, func() (err error) {
 		n.journal, err = journal.Open(n.cfg.StateDir, journalMB(n.cfg))
 		return err
 	})
@@ -75,101 +75,101 @@
 	if n.journal.Damage != nil {
 		n.log.Error("journal_damaged", "err", n.journal.Damage)
 	}
-	n.journal.OnAppend = n.figures.ObserveJournalAppend
-	before := n.orders
-	err = n.patiently(ctx, func() (err error) {
-		if n.orders, err = readOrders(n.cfg.StateDir); err == nil && !c.Upgrade {
-			err = n.orders.setDrained(false) // a drain is the running node's: it ends with a restart
+	n.journal.OnAppend = n.metrics.ObserveJournalAppend
+	before := n.overrides
+	err = n.retryStartup(ctx, func() (err error) {
+		if n.overrides, err = readOverrides(n.cfg.StateDir); err == nil && !ownership.Upgrade {
+			err = n.overrides.setDrained(false) // a drain is the running node's: it ends with a restart
 		}
 		return err
 	})
 	if err != nil {
 		return nil, errors.Join(err, n.journal.Close())
 	}
-	n.kept = keptList(n.cfg)
+	n.listCache = newListCache(n.cfg)
 	var known listwatch.List
 	switch { // a process that has known a list, or takes one over, does not begin
-	case c.State != nil && c.State.Revision > 0:
-		known = listwatch.List{Revision: c.State.Revision, Members: c.State.Members}
-	case n.members != nil && n.revision > 0:
-		known = listwatch.List{Revision: n.revision, Members: slices.Collect(maps.Values(n.members))}
+	case ownership.State != nil && ownership.State.Revision > 0:
+		known = listwatch.List{Revision: ownership.State.Revision, Members: ownership.State.Members}
+	case n.listMembers != nil && n.listRevision > 0:
+		known = listwatch.List{Revision: n.listRevision, Members: slices.Collect(maps.Values(n.listMembers))}
 	default:
-		known = n.startWith()
+		known = n.initialList()
 	}
-	if s := c.State; s != nil {
+	if s := ownership.State; s != nil {
 		if n.sender, err = choice.Restore(n.cfg.Settings, seed(n.cfg.Seed), s.Sender); err != nil {
 			return nil, errors.Join(err, n.journal.Close()) // the predecessor goes on
 		}
-		n.start = time.Now().Add(-(s.Clock - epoch) - min(max(time.Since(time.Unix(0, s.At)), 0), handover.AskTimeout))
+		n.clockStart = time.Now().Add(-(s.Clock - clockOrigin) - min(max(time.Since(time.Unix(0, s.ClockReadAt)), 0), handover.RequestTimeout))
 		n.wakeAt = n.sender.NextWakeAt()
-		for _, d := range s.Dests {
-			n.dests[d] = true
+		for _, d := range s.KnownDests {
+			n.knownDests[d] = true
 		}
-		for _, id := range s.Named {
-			n.named[id] = true
+		for _, id := range s.KnownEndpoints {
+			n.knownEndpoints[id] = true
 		}
 	}
 	known.Complete = true
-	n.learnt = newLearnt(n.cfg)
+	n.estimates = newEstimateStore(n.cfg)
 	n.pool = n.newPool()
-	n.messages, n.owed, n.held = map[string]*journal.Message{}, nil, 0
-	n.guarded, n.withdrawn = guarded{}, nil
-	clear(n.eps)
-	events := []choice.Event{n.listed(known)}
-	if c.State == nil && before == nil { // a sender that was carried over, or goes on, knows better
-		events = append(events, n.recalled()...)
+	n.messages, n.noticeQueue, n.openMessages = map[string]*journal.Message{}, nil, 0
+	n.pending, n.withdrawnCalls = pendingEffects{}, nil
+	clear(n.endpoints)
+	events := []choice.Event{n.applyList(known)}
+	if ownership.State == nil && before == nil { // a sender that was carried over, or goes on, knows better
+		events = append(events, n.restoredEstimates()...)
 	}
-	for _, id := range slices.Sorted(maps.Keys(n.orders.out)) {
+	for _, id := range slices.Sorted(maps.Keys(n.overrides.disabled)) {
 		events = append(events, choice.EndpointDisabled{Endpoint: id})
 	}
 	if before != nil {
-		for _, id := range slices.Sorted(maps.Keys(before.out)) {
-			if !n.orders.out[id] {
+		for _, id := range slices.Sorted(maps.Keys(before.disabled)) {
+			if !n.overrides.disabled[id] {
 				events = append(events, choice.EndpointEnabled{Endpoint: id})
 			}
 		}
 	}
-	return append(events, n.replayed(c, unheard)...), nil
+	return append(events, n.replayJournal(ownership, unreported)...), nil
 }
 
 // startPatience is how long a start goes on trying to read or write its folder. The platform gives a node 30 s to be ready.
-const startPatience = 20 * time.Second
+const startupRetryTimeout = 20 * time.Second
 
 // patiently does what a start needs, again as long as it fails for a reason that may pass.
-func (n *Node) patiently(ctx context.Context, do func() error) error {
+func (n *Node) retryStartup(ctx context.Context, do func() error) error {
 	failed := func(err error) { n.log.Warn("start_waits", "err", err) }
-	return transient.Retry(ctx, startPatience, failed, do)
+	return transient.Retry(ctx, startupRetryTimeout, failed, do)
 }
 
 // replayed makes the events of what the journal says is still owed, in the order in which it was taken on.
-func (n *Node) replayed(c handover.Claim, unheard []called) (events []choice.Event) {
+func (n *Node) replayJournal(ownership handover.Ownership, unreported []callResult) (events []choice.Event) {
 	for _, p := range n.journal.Unsettled() {
 		n.messages[p.ID] = p
 		if p.Ended != nil {
-			n.owed = append(n.owed, outbox.NewNotice(p))
+			n.noticeQueue = append(n.noticeQueue, outbox.NewNotice(p))
 		} else {
-			n.held++
+			n.openMessages++
 		}
 	}
-	for _, e := range unheard {
-		n.out[e.attempt] = outCall{m: n.pastOf(e.id), endpoint: e.endpoint}
-		events = append(events, n.called(e))
+	for _, e := range unreported {
+		n.inFlight[e.attemptID] = inFlightCall{message: n.journaledMessage(e.id), endpoint: e.endpoint}
+		events = append(events, n.finishCall(e))
 	}
 	carried := map[string]bool{}
-	if c.State != nil {
-		for _, name := range c.State.Out {
-			a := attempt{name.ID, name.N}
-			n.out[a] = outCall{m: n.pastOf(a.id), cancel: func() {
-				if err := c.From.Send(handover.Frame{Cancel: &name}, -1); err != nil {
+	if ownership.State != nil {
+		for _, name := range ownership.State.InFlight {
+			a := attemptID{name.ID, name.N}
+			n.inFlight[a] = inFlightCall{message: n.journaledMessage(a.id), cancel: func() {
+				if err := ownership.Predecessor.Send(handover.Frame{Cancel: &name}, -1); err != nil {
 					n.log.Debug("cancel_not_passed_on", "msg_id", name.ID, "err", err)
 				}
 			}}
-			n.remote++
+			n.remoteCalls++
 		}
 	}
 	for _, id := range n.sender.OpenMessageIDs() {
 		// One that this process knew when it handed over may have met its end meanwhile: the journal tells.
-		if p := n.messages[id]; c.State != nil && p != nil && p.Ended == nil {
+		if p := n.messages[id]; ownership.State != nil && p != nil && p.Ended == nil {
 			carried[id] = true
 		} else {
 			events = append(events, choice.MessageDropped{ID: id})
@@ -178,7 +178,7 @@
 	resumed, untried := 0, 0
 	for _, p := range n.journal.Unsettled() {
 		if p.Ended == nil && !carried[p.ID] {
-			events = append(events, n.resumed(p))
+			events = append(events, n.resumedEvent(p))
 			resumed++
 			if len(p.Attempts) == 0 {
 				untried++
@@ -187,13 +187,13 @@
 		}
 	}
 	if len(n.messages) > 0 {
-		n.log.Info("journal_replayed", "resumed", resumed, "untried", untried, "carried", len(carried), "notices", len(n.owed), "out", n.remote)
+		n.log.Info("journal_replayed", "resumed", resumed, "untried", untried, "carried", len(carried), "notices", len(n.noticeQueue), "out", n.remoteCalls)
 	}
 	return events
 }
 
 // pastOf is what the journal knows of a message, or an empty past of one that is over but whose call is out.
-func (n *Node) pastOf(id string) *journal.Message {
+func (n *Node) journaledMessage(id string) *journal.Message {
 	if p := n.messages[id]; p != nil {
 		return p
 	}
@@ -201,11 +201,11 @@
 }
 
 // orphaned says that the predecessor is gone, and its calls with it.
-type orphaned struct{}
+type predecessorGone struct{}
 
 // predecessor takes what the old process sends until it has gone.
-func (n *Node) predecessor(ctx context.Context, l *handover.Link) {
-	defer n.tell(ctx, orphaned{})
+func (n *Node) receiveFromPredecessor(ctx context.Context, l *handover.Link) {
+	defer n.enqueue(ctx, predecessorGone{})
 	for {
 		f, file, err := l.Receive()
 		if err != nil {
@@ -220,22 +220,22 @@
 				break
 			}
 			n.clients.Adopt(nc, *f.Client)
-		case f.Ended != nil:
-			n.tell(ctx, *f.Ended)
-		case f.Order != nil:
-			o := order{endpoint: f.Order.Endpoint, on: f.Order.On, done: make(chan error, 1)}
-			n.tell(ctx, o)
+		case f.CallResult != nil:
+			n.enqueue(ctx, *f.CallResult)
+		case f.Command != nil:
+			o := operatorCommand{endpoint: f.Command.Endpoint, on: f.Command.On, done: make(chan error, 1)}
+			n.enqueue(ctx, o)
 			go func() { // ends with the order, or with the node
-				done := handover.OrderDone{Number: f.Order.Number}
+				result := handover.CommandResult{Number: f.Command.Number}
 				select {
 				case err := <-o.done:
-					if done.Unknown = errors.Is(err, admin.ErrUnknownEndpoint); err != nil {
-						done.No = err.Error()
+					if result.Unknown = errors.Is(err, admin.ErrUnknownEndpoint); err != nil {
+						result.Error = err.Error()
 					}
 				case <-ctx.Done():
-					done.No = admin.ErrNotServing.Error()
+					result.Error = admin.ErrNotServing.Error()
 				}
-				if err := l.Send(handover.Frame{Done: &done}, -1); err != nil {
+				if err := l.Send(handover.Frame{CommandResult: &result}, -1); err != nil {
 					n.log.Debug("order_answer_lost", "err", err)
 				}
 			}()
@@ -247,21 +247,21 @@
 }
 
 // remoteEnded turns the outcome of a predecessor's call into one of ours.
-func (n *Node) remoteEnded(e handover.EndedCall) called {
-	at := n.eps[e.Endpoint]
-	if at == nil {
-		at = &egress.Endpoint{ID: e.Endpoint, Cooldown: new(egress.Cooldown)}
+func (n *Node) remoteResult(e handover.CallResult) callResult {
+	endpoint := n.endpoints[e.Endpoint]
+	if endpoint == nil {
+		endpoint = &egress.Endpoint{ID: e.Endpoint, Cooldown: new(egress.Cooldown)}
 	}
-	return called{attempt{e.ID, e.N}, at, egress.Result{
+	return callResult{attemptID{e.ID, e.N}, endpoint, egress.Result{
 		Outcome: e.Outcome, RetryAfter: e.Wait, NoSlot: e.NoSlot, MessageDone: e.Closed, Reused: e.Reused, Report: e.Report,
 	}, e.Took}
 }
 
 // orphans ends the calls that were out at a predecessor when it went: their connections went with it.
-func (n *Node) orphans() (events []choice.Event) {
-	for a, o := range n.out {
+func (n *Node) failRemoteCalls() (events []choice.Event) {
+	for a, o := range n.inFlight {
 		if o.endpoint == nil {
-			events = append(events, n.called(n.remoteEnded(handover.EndedCall{CallName: handover.CallName{ID: a.id, N: a.n}, Outcome: choice.ConnReset})))
+			events = append(events, n.finishCall(n.remoteResult(handover.CallResult{Attempt: handover.Attempt{ID: a.id, N: a.n}, Outcome: choice.ConnReset})))
 		}
 	}
 	return events
--- a/internal/node/largest_test.go
+++ b/internal/node/largest_journal_test.go
@@ -11,7 +11,7 @@
 
 // A process that finds the largest journal that its disk allows, of small messages or of large ones, is ready in a small part
 // of the 10 s that the platform gives it, and all that it found untried goes out.
-func TestTheLargestJournalIsReadInTime(t *testing.T) {
+func TestLargestJournalIsReplayedWithinStartLimit(t *testing.T) {
 	t.Parallel()
 	for name, size := range map[string]int{"small": 1, "large": 60 << 10} {
 		state := t.TempDir()
@@ -29,9 +29,9 @@
 		if err := j.Close(); err != nil {
 			t.Fatal(err)
 		}
-		p, r := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newRegistry(t)
+		p, r := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newFakeDiscovery(t)
 		began := time.Now()
-		startChild(t, r, state, serving("e", p.Addr(), 7, "SERVING")) // answers PING with PONG
+		startChild(t, r, state, memberJSON("e", p.Addr(), 7, "SERVING")) // answers PING with PONG
 		took := time.Since(began)
 		t.Logf("%s: %d messages found, ready after %v", name, found, took)
 		if took > 10*time.Second || found < 20 {
--- a/internal/node/list.go
+++ b/internal/node/list.go
@@ -8,15 +8,15 @@
 	"harrierramp/internal/wire"
 )
 
-var phases = map[string]choice.Phase{
+var phaseByName = map[string]choice.Phase{
 	"SERVING": choice.Ready, "DRAINING": choice.Draining, "DELETED": choice.Removed,
 }
 
 // entries converts a list for the module. A member of a phase that is not known is taken as draining.
-func entries(l listwatch.List, names wire.Names) []choice.Entry {
+func listEntries(l listwatch.List, names wire.Names) []choice.Entry {
 	out := make([]choice.Entry, 0, len(l.Members))
 	for _, m := range l.Members {
-		phase, ok := phases[m.Phase]
+		phase, ok := phaseByName[m.Phase]
 		if !ok {
 			phase = choice.Draining
 		}
--- a/internal/node/listservice.go
+++ b/internal/node/listservice.go
@@ -9,7 +9,7 @@
 )
 
 // turn is this node's among the others, for what all may want of the list service at once.
-func (n *Node) turn() *admission.Pacer {
+func (n *Node) newTurn() *admission.Pacer {
 	s := n.cfg.Settings
 	return admission.NewPacer(s.FleetSize, s.Number, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 }
@@ -17,24 +17,24 @@
 // newWatcher is what follows the list for the node, from what it knows now.
 func (n *Node) newWatcher(tell func(listwatch.List)) *listwatch.Watcher {
 	w := &listwatch.Watcher{
-		Log: n.log, Client: n.client, Servers: n.discovery, Backoff: listwatch.AgentBackoff(), ResponseTimeout: listwatch.AgentResponseTimeout, OnActivity: n.figures.RecordListActivity,
-		OnServerChange: func() { n.figures.ListWatchesEnded.Add(1) }, OnList: tell,
+		Log: n.log, Client: n.client, Servers: n.discovery, Backoff: listwatch.AgentBackoff(), ResponseTimeout: listwatch.AgentResponseTimeout, OnActivity: n.metrics.RecordListActivity,
+		OnServerChange: func() { n.metrics.ListWatchesEnded.Add(1) }, OnList: tell,
 	}
 	if n.cfg.Settings.ListOnRequest {
 		w.Backoff, w.ResponseTimeout = listwatch.DiscoveryBackoff(n.cfg.Settings.FleetSize), listwatch.DiscoveryResponseTimeout
 	}
 	if n.cfg.Registry != nil {
-		w.Pacer, w.PaceStart, w.Check = n.turn(), n.cold != nil && !n.cold.Whole(), n.newDoubt().Check
-		w.OnDelay, w.CandidateRequests = n.late, n.nudge
+		w.Pacer, w.PaceStart, w.Check = n.newTurn(), n.startup != nil && !n.startup.Complete(), n.newListVerifier().Check
+		w.OnDelay, w.CandidateRequests = n.noteListLate, n.recheckList
 		w.HeartbeatInterval = n.cfg.Registry.HeartbeatInterval.Duration()
-		w.OnRequest, w.OnRetryLater = func() { n.figures.ListRequests.Add(1) }, func() { n.figures.ListRequestsDeferred.Add(1) }
+		w.OnRequest, w.OnRetryLater = func() { n.metrics.ListRequests.Add(1) }, func() { n.metrics.ListRequestsDeferred.Add(1) }
 	}
 	return w
 }
 
-func (n *Node) newDoubt() *listwatch.Validator {
+func (n *Node) newListVerifier() *listwatch.Validator {
 	return listwatch.NewValidator(listwatch.Validator{
 		Log: n.log, Client: n.client, Servers: n.discovery, HoldFor: min(n.cfg.Settings.DrainTimeout*3/4, listwatch.MaxHold),
-		Revision: n.revision, Unconfirmed: n.unconfirmed, RejectedLists: &n.figures.OlderListsRefused, HeldLists: &n.figures.SuspiciousListsHeld,
-	}, maps.Values(n.members))
+		Revision: n.listRevision, Unconfirmed: n.listUnconfirmed, RejectedLists: &n.metrics.OlderListsRefused, HeldLists: &n.metrics.SuspiciousListsHeld,
+	}, maps.Values(n.listMembers))
 }
--- a/internal/node/listservice_test.go
+++ b/internal/node/listservice_test.go
@@ -16,7 +16,7 @@
 	"harrierramp/internal/listwatch"
 )
 
-func TestBadListServicesAreRefused(t *testing.T) {
+func TestInvalidListServiceConfigIsRejected(t *testing.T) {
 	for section, says := range map[string]string{
 		`{}`:                                   "names 0 servers",
 		`{"addresses":[]}`:                     "names 0 servers",
@@ -37,7 +37,7 @@
 }
 
 // Whichever server ends, lags or is gone, the node goes to the next.
-func TestAWatchTurnsToTheNextServer(t *testing.T) {
+func TestWatchFailsOverToNextServer(t *testing.T) {
 	stale := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprintln(w, `{"revision":3,"complete":true,"members":[]}`)
 	}))
@@ -57,7 +57,7 @@
 	n := New(config.Config{Registry: &config.ListService{Addresses: []string{
 		gone, stale.Listener.Addr().String(), good.Listener.Addr().String(),
 	}}}, slog.New(slog.NewTextHandler(t.Output(), nil)))
-	n.revision = 10
+	n.listRevision = 10
 	for first := ""; first != gone; { // a node begins with any of them
 		n.discovery = listwatch.NewAddresses(n.cfg.Registry.Addresses)
 		var done context.CancelFunc
@@ -68,14 +68,14 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		w.Run(ctx, n.revision)
+		w.Run(ctx, n.listRevision)
 	}()
 	if l := <-told; l.Revision != 110 {
 		t.Errorf("revision %d is told", l.Revision)
 	}
 	cancel()
 	<-done
-	text := string(n.figures.StatsD())
+	text := string(n.metrics.StatsD())
 	for _, want := range []string{"router.list_turns:2|c", "router.list_older:1|c", "router.list_doubted:0|c"} {
 		if !strings.Contains(text, want) {
 			t.Errorf("no %s in %s", want, text)
@@ -83,15 +83,15 @@
 	}
 }
 
-func TestFiguresOfTheListAreOffWithoutTheService(t *testing.T) {
+func TestListMetricsAreAbsentWithoutListService(t *testing.T) {
 	n := New(config.Config{Discovery: "127.0.0.1:1"}, slog.New(slog.DiscardHandler))
-	if text := string(n.figures.StatsD()); strings.Contains(text, "list_") {
+	if text := string(n.metrics.StatsD()); strings.Contains(text, "list_") {
 		t.Errorf("got %s", text)
 	}
 }
 
 // The kept list, what was learnt, their copies while they are replaced, and the journal have room within the limit.
-func TestTheDiskIsShared(t *testing.T) {
+func TestDiskLimitIsDividedWithoutOverlap(t *testing.T) {
 	for _, mb := range []float64{0, 1, 3, 100} {
 		for _, service := range []*config.ListService{nil, {}, {KeepList: true}} {
 			var c config.Config
@@ -101,8 +101,8 @@
 				all = journal.DefaultDiskMB
 			}
 			keeps := service != nil && service.KeepList
-			if sum := journalMB(c) + 2*float64(keptRoom(c)+learntRoom(c))/(1<<20); sum != all || keeps != (keptRoom(c) > 0) || keeps != (keptList(c) != nil) {
-				t.Errorf("%v MB: %v for the journal and twice %d and %d bytes", mb, journalMB(c), keptRoom(c), learntRoom(c))
+			if sum := journalMB(c) + 2*float64(listCacheBytes(c)+estimatesBytes(c))/(1<<20); sum != all || keeps != (listCacheBytes(c) > 0) || keeps != (newListCache(c) != nil) {
+				t.Errorf("%v MB: %v for the journal and twice %d and %d bytes", mb, journalMB(c), listCacheBytes(c), estimatesBytes(c))
 			}
 		}
 	}
--- a/internal/node/fellows.go
+++ b/internal/node/membership.go
@@ -15,32 +15,32 @@
 	"harrierramp/internal/membership"
 )
 
-const incarnationName = "incarnation"
+const memberIncarnationFile = "incarnation"
 
 // fellows is the node's side of membership: the loop owns it, and hands it datagrams and the time.
-type fellows struct {
-	core *membership.Core
-	path string // of the incarnation
-	kept uint32 // what stands there
+type fleetMembership struct {
+	core      *membership.Core
+	path      string // of the incarnation
+	persisted uint32 // what stands there
 }
 
 // memberNote is a datagram of membership.
-type memberNote struct {
-	from int
-	text []byte
+type membershipDatagram struct {
+	from    int
+	payload []byte
 }
 
 // viewAsk asks the loop who is there.
-type viewAsk struct{ reply chan *admin.MembershipView }
+type membersQuery struct{ reply chan *admin.MembershipView }
 
 // newFellows begins membership under an incarnation that this node never had, or nil where it is off. Each process
 // that comes to own the node is one more incarnation, so that one process after the other reads as a restart.
-func (n *Node) newFellows() *fellows {
+func (n *Node) newFleetMembership() *fleetMembership {
 	m := n.cfg.Membership
 	if m == nil || n.peers == nil {
 		return nil
 	}
-	f := &fellows{path: filepath.Join(n.cfg.StateDir, incarnationName)}
+	f := &fleetMembership{path: filepath.Join(n.cfg.StateDir, memberIncarnationFile)}
 	last, err := readIncarnation(f.path)
 	if err != nil {
 		n.log.Warn("incarnation_unreadable", "err", err)
@@ -53,7 +53,7 @@
 		Self: n.cfg.Settings.Number, Members: ids, Incarnation: last + 1, PingInterval: m.PingPeriod(), AckTimeout: m.PingTimeout(),
 		Seed: seed(n.cfg.Seed),
 	}, n.now())
-	f.keep(n)
+	f.persistIncarnation(n)
 	return f
 }
 
@@ -75,18 +75,18 @@
 
 // keep writes the incarnation down before anybody hears of it. Without room on the disk, the next start learns it from
 // the others, who hold the node for gone until then.
-func (f *fellows) keep(n *Node) {
-	if f.core.Incarnation() == f.kept {
+func (f *fleetMembership) persistIncarnation(n *Node) {
+	if f.core.Incarnation() == f.persisted {
 		return
 	}
-	f.kept = f.core.Incarnation()
-	if err := atomicfile.Replace(f.path, fmt.Appendln(nil, f.kept)); err != nil {
+	f.persisted = f.core.Incarnation()
+	if err := atomicfile.Replace(f.path, fmt.Appendln(nil, f.persisted)); err != nil {
 		n.log.Warn("incarnation_not_kept", "err", err)
 	}
 }
 
 // wait is how long it is until membership has something to do.
-func (f *fellows) wait(now time.Duration) time.Duration {
+func (f *fleetMembership) untilDue(now time.Duration) time.Duration {
 	if f == nil {
 		return time.Hour
 	}
@@ -94,8 +94,8 @@
 }
 
 // meet does what is due, after the datagrams that have come were handed in, and returns the news for the module.
-func (n *Node) meet() (events []choice.Event) {
-	f := n.fellows
+func (n *Node) stepMembership() (events []choice.Event) {
+	f := n.membership
 	if f == nil {
 		return nil
 	}
@@ -103,7 +103,7 @@
 		f.core.Tick(now)
 	}
 	out, changes := f.core.Take()
-	f.keep(n)
+	f.persistIncarnation(n)
 	for _, d := range out {
 		n.peers.send(choice.SendDatagram{To: d.To, Payload: d.Payload}, n.log)
 	}
@@ -120,7 +120,7 @@
 }
 
 // ago is the time since then in milliseconds, nil for never.
-func ago(now, then time.Duration) *int64 {
+func millisSince(now, then time.Duration) *int64 {
 	if then == 0 {
 		return nil
 	}
@@ -129,20 +129,20 @@
 }
 
 // view is nil where the fleet's socket could not be opened.
-func (n *Node) view() *admin.MembershipView {
-	if n.fellows == nil {
+func (n *Node) membersView() *admin.MembershipView {
+	if n.membership == nil {
 		return nil
 	}
-	core, now := n.fellows.core, n.now()
+	core, now := n.membership.core, n.now()
 	agreed, health := core.LastAgreement()
 	v := &admin.MembershipView{
-		Number: n.cfg.Settings.Number, Incarnation: core.Incarnation(), AgreedMS: ago(now, agreed), Health: health,
+		Number: n.cfg.Settings.Number, Incarnation: core.Incarnation(), AgreedMS: millisSince(now, agreed), Health: health,
 	}
 	v.Present, v.Suspect = core.PresentCount()
 	for _, m := range core.View() {
 		v.Members = append(v.Members, admin.Member{
 			Number: m.Member, Addr: n.peers.addrs[m.Member].String(), State: m.State.String(), Reason: string(m.Reason),
-			Incarnation: m.Incarnation, SinceMS: (now - m.Since).Milliseconds(), HeardMS: ago(now, m.LastHeard),
+			Incarnation: m.Incarnation, SinceMS: (now - m.Since).Milliseconds(), HeardMS: millisSince(now, m.LastHeard),
 		})
 	}
 	return v
--- a/internal/node/fellows_test.go
+++ b/internal/node/membership_test.go
@@ -18,20 +18,20 @@
 )
 
 // fleetOf are nodes of a test that know each other's addresses.
-type fleetOf struct {
-	t     *testing.T
-	r     *registry
-	peers []string
-	state []string
-	doors []string
-	kill  []func() // as SIGKILL would: nobody is told
-	stop  []func() // as SIGTERM does
+type testFleet struct {
+	t          *testing.T
+	discovery  *fakeDiscovery
+	peers      []string
+	state      []string
+	adminAddrs []string
+	kill       []func() // as SIGKILL would: nobody is told
+	stop       []func() // as SIGTERM does
 }
 
-func newFleetOf(t *testing.T, size int) *fleetOf {
+func newTestFleet(t *testing.T, size int) *testFleet {
 	t.Helper()
-	f := &fleetOf{
-		t: t, r: newRegistry(t), doors: make([]string, size), kill: make([]func(), size), stop: make([]func(), size),
+	f := &testFleet{
+		t: t, discovery: newFakeDiscovery(t), adminAddrs: make([]string, size), kill: make([]func(), size), stop: make([]func(), size),
 	}
 	t.Cleanup(func() { // together, for each takes its time to leave
 		var stopping sync.WaitGroup
@@ -55,7 +55,7 @@
 }
 
 // config is that of a node, with some sections beside the usual ones.
-func (f *fleetOf) config(i int, sections string) string {
+func (f *testFleet) config(i int, sections string) string {
 	f.t.Helper()
 	settings := strings.Replace(testSettings, `"fleetSize":1`, fmt.Sprintf(`"fleetSize":%d,"myNumber":%d`, len(f.peers), i), 1)
 	settings = strings.Replace(settings, `"cancel":true`, `"cancel":true,"mayTell":true`, 1)
@@ -65,7 +65,7 @@
 	}
 	text := fmt.Sprintf(`{"name":"n%d","listen":"127.0.0.1:0","discovery":%q,"seed":"%d","peer_listen":%q,"peers":%s,
 		"limits":{"cores":1,"memory_mb":192,"sockets":256,"disk_mb":3},"known":%s,"settings":%s%s}`,
-		i, f.r.addr(), i, f.peers[i], peers, listOf(1, true, held()), settings, sections)
+		i, f.discovery.addr(), i, f.peers[i], peers, listJSON(1, true, drainingMember()), settings, sections)
 	path := filepath.Join(f.t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		f.t.Fatal(err)
@@ -73,11 +73,11 @@
 	return path
 }
 
-const quickly = `,"membership":{"period_ms":150,"timeout_ms":50}`
+const fastMembership = `,"membership":{"period_ms":150,"timeout_ms":50}`
 
-func (f *fleetOf) start(i int) {
+func (f *testFleet) start(i int) {
 	f.t.Helper()
-	cfg, err := loadConfig(f.config(i, quickly), f.state[i])
+	cfg, err := loadConfig(f.config(i, fastMembership), f.state[i])
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -88,8 +88,8 @@
 		}
 	}
 	n := New(cfg, slog.New(slog.DiscardHandler))
-	shut := n.ServeOperators(lns[1])
-	f.doors[i] = lns[1].Addr().String()
+	stopAdmin := n.ServeAdmin(lns[1])
+	f.adminAddrs[i] = lns[1].Addr().String()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- n.Run(ctx, lns[0]) }()
@@ -98,7 +98,7 @@
 		if err := <-done; err != nil {
 			f.t.Error(err)
 		}
-		shut()
+		stopAdmin()
 	})
 	testkit.Eventually(f.t, "the node serves", func() bool { return n.NotReadyReason() == "" })
 	f.kill[i] = func() { // the others hear no more of it, nor it of them
@@ -107,22 +107,22 @@
 }
 
 // view is what a node's door shows.
-func (f *fleetOf) view(i int) (v admin.MembershipView) {
+func (f *testFleet) view(i int) (v admin.MembershipView) {
 	f.t.Helper()
-	code, body := testkit.CallAdmin(f.t, f.doors[i], "GET", "/ops/members")
+	code, body := testkit.CallAdmin(f.t, f.adminAddrs[i], "GET", "/ops/members")
 	if code != 200 || json.Unmarshal([]byte(body), &v) != nil {
 		f.t.Fatalf("members: %d %s", code, body)
 	}
 	return v
 }
 
-func (f *fleetOf) holds(i, of int, state string) func() bool {
+func (f *testFleet) sees(i, of int, state string) func() bool {
 	return func() bool { return f.view(i).Members[of].State == state }
 }
 
-func TestNodesKnowWhoIsThere(t *testing.T) {
+func TestMembershipTracksDeathLeaveAndReturn(t *testing.T) {
 	t.Parallel()
-	f := newFleetOf(t, 4)
+	f := newTestFleet(t, 4)
 	for i := range 4 {
 		f.start(i)
 	}
@@ -139,23 +139,23 @@
 	}
 	f.kill[3]()
 	for i := range 3 {
-		testkit.Eventually(t, "a silent node is dead", f.holds(i, 3, "dead"))
+		testkit.Eventually(t, "a silent node is dead", f.sees(i, 3, "dead"))
 	}
 	before := f.view(2).Incarnation
 	f.stop[2]()
 	for i := range 2 {
-		testkit.Eventually(t, "a node that ends has left", f.holds(i, 2, "left"))
+		testkit.Eventually(t, "a node that ends has left", f.sees(i, 2, "left"))
 	}
 	f.start(2)
 	for i := range 2 {
-		testkit.Eventually(t, "it is back", f.holds(i, 2, "alive"))
+		testkit.Eventually(t, "it is back", f.sees(i, 2, "alive"))
 		if got := f.view(i).Members[2].Incarnation; got <= before {
 			t.Errorf("back under incarnation %d after %d", got, before)
 		}
 	}
 	before = f.view(2).Incarnation
 	f.stop[2]()
-	if err := os.Remove(filepath.Join(f.state[2], incarnationName)); err != nil {
+	if err := os.Remove(filepath.Join(f.state[2], memberIncarnationFile)); err != nil {
 		t.Fatal(err)
 	}
 	f.start(2)
@@ -165,15 +165,15 @@
 			return m.State == "alive" && m.Incarnation > before
 		})
 	}
-	code, body := testkit.CallAdmin(t, f.doors[0], "GET", "/ops/stats")
+	code, body := testkit.CallAdmin(t, f.adminAddrs[0], "GET", "/ops/stats")
 	if code != 200 || !strings.Contains(body, "router.members_present:3|g") || !strings.Contains(body, "router.members_strangers:0|c") {
 		t.Errorf("figures: %d %s", code, body)
 	}
 }
 
-func TestStrangersDatagramsAreCounted(t *testing.T) {
+func TestDatagramsFromUnknownSendersAreCounted(t *testing.T) {
 	t.Parallel()
-	f := newFleetOf(t, 2)
+	f := newTestFleet(t, 2)
 	f.start(0)
 	stranger, err := net.Dial("udp4", f.peers[0])
 	if err != nil {
@@ -184,24 +184,24 @@
 		if _, err := stranger.Write([]byte("M")); err != nil {
 			t.Fatal(err)
 		}
-		_, body := testkit.CallAdmin(t, f.doors[0], "GET", "/ops/stats")
+		_, body := testkit.CallAdmin(t, f.adminAddrs[0], "GET", "/ops/stats")
 		return !strings.Contains(body, "router.members_strangers:0|c")
 	})
 }
 
 func TestMembershipIsOffUnlessConfigured(t *testing.T) {
 	t.Parallel()
-	_, door, _ := startOperated(t, newRegistry(t), t.TempDir(), held())
-	if code, body := testkit.CallAdmin(t, door, "GET", "/ops/members"); code != 404 || !strings.Contains(body, "off") {
+	_, adminAddr, _ := startNodeWithAdmin(t, newFakeDiscovery(t), t.TempDir(), drainingMember())
+	if code, body := testkit.CallAdmin(t, adminAddr, "GET", "/ops/members"); code != 404 || !strings.Contains(body, "off") {
 		t.Errorf("members: %d %s", code, body)
 	}
-	if _, body := testkit.CallAdmin(t, door, "GET", "/ops/stats"); strings.Contains(body, "members_") {
+	if _, body := testkit.CallAdmin(t, adminAddr, "GET", "/ops/stats"); strings.Contains(body, "members_") {
 		t.Errorf("figures: %s", body)
 	}
 }
 
-func TestBadMembershipIsRefused(t *testing.T) {
-	f := newFleetOf(t, 3)
+func TestInvalidMembershipConfigIsRejected(t *testing.T) {
+	f := newTestFleet(t, 3)
 	for section, says := range map[string]string{
 		`,"membership":{"period_ms":1}`:                   "period_ms",
 		`,"membership":{"period_ms":-5}`:                  "period_ms",
@@ -225,9 +225,9 @@
 }
 
 // During an upgrade two processes have one address: for the others it is a restart, and nobody is gone.
-func TestAnUpgradeIsNoDeath(t *testing.T) {
+func TestUpgradeIsNotReportedAsDeath(t *testing.T) {
 	t.Parallel()
-	f := newFleetOf(t, 3)
+	f := newTestFleet(t, 3)
 	for i := range 3 {
 		f.start(i)
 	}
--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -15,12 +15,12 @@
 )
 
 // resumed tells the module of a message's past. An attempt that is not proven not to have run may have.
-func (n *Node) resumed(p *journal.Message) choice.MessageResumed {
-	r := choice.MessageResumed{MessageArrived: n.arrived(p, p.Deadline), Attempts: len(p.Attempts)}
+func (n *Node) resumedEvent(p *journal.Message) choice.MessageResumed {
+	r := choice.MessageResumed{MessageArrived: n.arrivedEvent(p, p.Deadline), Attempts: len(p.Attempts)}
 	for _, s := range p.Attempts {
 		r.Failed = r.Failed || s.Failed
 		if !s.NotRun && !r.MayHaveRun {
-			r.MayHaveRun, r.FirstRunSentAt, r.Zone = true, n.at(s.At), s.Zone
+			r.MayHaveRun, r.FirstRunSentAt, r.Zone = true, n.clockAt(s.At), s.Zone
 		}
 	}
 	return r
@@ -28,45 +28,45 @@
 
 // arrived is the module's event of a message. A deadline that has not been through the journal is on the
 // monotonic clock, so that a step of the wall clock does not move it.
-func (n *Node) arrived(p *journal.Message, deadline time.Time) choice.MessageArrived {
-	return choice.MessageArrived{ID: p.ID, Class: p.Class, Tenant: p.Tenant, Dest: p.Dest, Key: p.Key, Deadline: n.at(deadline)}
+func (n *Node) arrivedEvent(p *journal.Message, deadline time.Time) choice.MessageArrived {
+	return choice.MessageArrived{ID: p.ID, Class: p.Class, Tenant: p.Tenant, Dest: p.Dest, Key: p.Key, Deadline: n.clockAt(deadline)}
 }
 
 // refuseGivenUp refuses a message whose record could not be written. Where the record may yet be found at the next start, the
 // refusal waits until it can't: by then the client has most likely gone without having heard anything.
-func (n *Node) refuseGivenUp(a arrival) {
-	refusal := clientAnswer{a, ingress.Answer{Refused: true}}
+func (n *Node) refuseUnjournaled(a submission) {
+	refusal := pendingAnswer{a, ingress.Answer{Refused: true}}
 	if n.journal.StaleTail() {
-		n.guarded.answers = append(n.guarded.answers, refusal)
+		n.pending.answers = append(n.pending.answers, refusal)
 		return
 	}
 	refusal.to.answer(refusal.answer)
 }
 
 // answer tells all who wait for it. Their channels have room.
-func (a arrival) answer(told ingress.Answer) {
-	a.reply <- told
-	for _, r := range a.also {
-		r <- told
+func (a submission) answer(answer ingress.Answer) {
+	a.reply <- answer
+	for _, r := range a.duplicates {
+		r <- answer
 	}
 }
 
 // accept journals a new message, or tells what to answer in place of asking the module.
-func (n *Node) accept(a arrival) (ingress.Answer, bool) {
+func (n *Node) accept(a submission) (ingress.Answer, bool) {
 	switch {
 	case n.messages[a.ID] != nil:
 		return ingress.Answer{}, false // taken on before: handed in again it has no second effect
-	case n.ward.out() || n.unfit:
-		n.figures.CountShed(a.Class)
-		return ingress.Answer{Refused: true, RetryAfter: comeLater()}, false
-	case !n.dests[a.Dest] && n.cold != nil && !n.cold.Whole(): // the list that is awaited may name it
-		n.figures.CountShed(a.Class)
-		return ingress.Answer{Refused: true, RetryAfter: n.cold.Come(rand.Float64())}, false
-	case !n.dests[a.Dest]:
-		n.figures.CountFailed(a.Class)
+	case n.staleness.fenced() || n.belowFloor:
+		n.metrics.CountShed(a.Class)
+		return ingress.Answer{Refused: true, RetryAfter: fencedRetryAfter()}, false
+	case !n.knownDests[a.Dest] && n.startup != nil && !n.startup.Complete(): // the list that is awaited may name it
+		n.metrics.CountShed(a.Class)
+		return ingress.Answer{Refused: true, RetryAfter: n.startup.RetryAfter(rand.Float64())}, false
+	case !n.knownDests[a.Dest]:
+		n.metrics.CountFailed(a.Class)
 		return ingress.Answer{ErrorText: "unknown destination"}, false
-	case n.cfg.Settings.MaxOpenMessages > 0 && n.held >= n.cfg.Settings.MaxOpenMessages:
-		n.figures.CountShed(a.Class)
+	case n.cfg.Settings.MaxOpenMessages > 0 && n.openMessages >= n.cfg.Settings.MaxOpenMessages:
+		n.metrics.CountShed(a.Class)
 		return ingress.Answer{Refused: true}, false
 	}
 	p := &journal.Message{
@@ -74,12 +74,12 @@
 	}
 	p, err := n.journal.Accept(p)
 	if err != nil {
-		n.figures.CountShed(a.Class)
+		n.metrics.CountShed(a.Class)
 		return ingress.Answer{Refused: true}, false
 	}
 	p.ReceivedAt, p.Deadline = a.ReceivedAt, a.ReceivedAt.Add(a.TTL) // on the monotonic clock, which the journal does not keep
 	n.messages[p.ID] = p
-	n.held++
+	n.openMessages++
 	return ingress.Answer{}, true
 }
 
@@ -89,30 +89,30 @@
 		return
 	}
 	if p.Ended == nil {
-		n.held--
+		n.openMessages--
 	}
 	delete(n.messages, p.ID)
 	n.journal.Settled(p)
 }
 
 // called notes the outcome of a call.
-func (n *Node) called(e called) choice.Event {
-	o, ok := n.out[e.attempt]
+func (n *Node) finishCall(e callResult) choice.Event {
+	o, ok := n.inFlight[e.attemptID]
 	if !ok {
 		return nil // a predecessor told of it, and then was gone
 	}
-	m := o.m
+	m := o.message
 	if n.audit != nil {
-		n.audit.acts.ended(o.act, e.Result)
+		n.audit.record.callEnded(o.auditSeq, e.Result)
 	}
-	n.learnt.dirty = true
-	n.figures.ObserveAttempt(int(e.Outcome), e.took)
+	n.estimates.dirty = true
+	n.metrics.ObserveAttempt(int(e.Outcome), e.took)
 	if n.log.Enabled(context.Background(), slog.LevelDebug) {
 		n.log.Debug("attempt_ended", "msg_id", e.id, "dest", m.Dest, "endpoint", e.endpoint.ID, "attempt", e.n,
 			"outcome", metrics.OutcomeLabels[e.Outcome], "took", e.took)
 	}
-	if delete(n.out, e.attempt); o.endpoint == nil {
-		n.remote--
+	if delete(n.inFlight, e.attemptID); o.endpoint == nil {
+		n.remoteCalls--
 	}
 	switch e.Outcome {
 	case choice.Success:
@@ -123,10 +123,10 @@
 	}
 	if e.MessageDone && m.Ended == nil {
 		if e.Outcome == choice.Success {
-			n.figures.CountDelivered(m.Class)
-			n.figures.ObserveFirstDelivery(time.Since(n.began))
+			n.metrics.CountDelivered(m.Class)
+			n.metrics.ObserveFirstDelivery(time.Since(n.processStart))
 		} else { // withdrawn or out of time, the endpoint says
-			n.figures.CountFailed(m.Class)
+			n.metrics.CountFailed(m.Class)
 		}
 		n.forget(m)
 	}
@@ -140,60 +140,60 @@
 }
 
 // end gives a message its final answer: to its client if that still waits, and by a notice otherwise.
-func (n *Node) end(id string, e journal.Ending, fresh map[string]arrival) {
+func (n *Node) endMessage(id string, e journal.Ending, undecided map[string]submission) {
 	p := n.messages[id]
 	if p == nil || p.Ended != nil {
 		return
 	}
 	if e.Failed {
-		n.figures.CountFailed(p.Class)
+		n.metrics.CountFailed(p.Class)
 	} else {
-		n.figures.CountShed(p.Class)
+		n.metrics.CountShed(p.Class)
 	}
 	n.log.Debug("message_ended", "msg_id", id, "failed", e.Failed, "after", e.RetryAfter, "sends", len(p.Attempts), "left", time.Until(p.Deadline))
-	if a, ok := fresh[id]; ok {
-		delete(fresh, id)
+	if a, ok := undecided[id]; ok {
+		delete(undecided, id)
 		n.forget(p)
 		reply := ingress.Answer{Refused: true, RetryAfter: e.RetryAfter}
 		if e.Failed {
 			reply = ingress.Answer{ErrorText: "the message failed"}
 		}
-		n.guarded.answers = append(n.guarded.answers, clientAnswer{a, reply})
+		n.pending.answers = append(n.pending.answers, pendingAnswer{a, reply})
 		return
 	}
-	n.held--
+	n.openMessages--
 	n.journal.Ended(p, e)
-	n.guarded.notices = append(n.guarded.notices, heldNotice{outbox.NewNotice(p), p.Deadline.Add(-noticeLead)})
+	n.pending.notices = append(n.pending.notices, pendingNotice{outbox.NewNotice(p), p.Deadline.Add(-unrecordedNoticeLead)})
 }
 
 // send journals an attempt, and makes the call once that is written.
-func (n *Node) send(a choice.Send) {
-	p, e := n.messages[a.ID], n.eps[a.Endpoint]
+func (n *Node) prepareCall(a choice.Send) {
+	p, e := n.messages[a.ID], n.endpoints[a.Endpoint]
 	if e == nil {
 		// The list has just lost it; a call there is NotSent, and so proven not to have run.
 		e = &egress.Endpoint{ID: a.Endpoint, Cooldown: new(egress.Cooldown)}
 		e.Withdrawn.Store(true)
 	}
-	name, now := attempt{a.ID, len(p.Attempts)}, time.Now()
+	name, now := attemptID{a.ID, len(p.Attempts)}, time.Now()
 	sent := journal.Attempt{At: now, Zone: e.Zone}
 	if n.audit != nil {
-		sent.ListRevision, sent.Incarnation = n.revision, n.audit.life
+		sent.ListRevision, sent.Incarnation = n.listRevision, n.audit.incarnation
 	}
 	n.journal.Attempt(p, sent)
-	n.figures.ObserveFirstCall(time.Since(n.began))
+	n.metrics.ObserveFirstCall(time.Since(n.processStart))
 	if name.n == 0 && !p.ReceivedAt.IsZero() {
-		n.figures.ObserveFirstAttempt(p.Dest, now.Sub(p.ReceivedAt))
+		n.metrics.ObserveFirstAttempt(p.Dest, now.Sub(p.ReceivedAt))
 	}
-	c := egress.Call{ID: p.ID, Key: p.Key, Body: p.Body, Endpoint: e, Deadline: n.wall(a.AbandonAt)}
+	c := egress.Call{ID: p.ID, Key: p.Key, Body: p.Body, Endpoint: e, Deadline: n.wallTime(a.AbandonAt)}
 	if a.LatestStart > 0 {
-		c.LatestStart = n.wall(a.LatestStart)
+		c.LatestStart = n.wallTime(a.LatestStart)
 	}
 	if n.audit != nil && n.cfg.Audit.MarkCalls {
-		c.DecisionBasis = n.version()
+		c.DecisionBasis = n.listVersion()
 	}
 	var act int64
 	if n.audit != nil {
-		act = n.audit.acts.begun(e.ID)
+		act = n.audit.record.callStarted(e.ID)
 	}
-	n.guarded.calls = append(n.guarded.calls, plannedCall{name, p, c, n.pool, act})
+	n.pending.calls = append(n.pending.calls, pendingCall{name, p, c, n.pool, act})
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -45,33 +45,33 @@
 }
 
 // registry is discovery on a loopback socket: lists go to whoever watches, notices are kept.
-type registry struct {
+type fakeDiscovery struct {
 	srv *httptest.Server
 
-	mu      sync.Mutex
-	lists   []string
-	more    chan struct{} // closed when lists grows
-	watches int
-	posts   int
-	refuse  int // so many posts of notices are answered 503
-	notices []map[string]any
-	cut     context.Context // ends the watches that are open
-	cutNow  context.CancelFunc
+	mu            sync.Mutex
+	lists         []string
+	listAdded     chan struct{} // closed when lists grows
+	watches       int
+	posts         int
+	refusePosts   int // so many posts of notices are answered 503
+	notices       []map[string]any
+	watchCtx      context.Context // ends the watches that are open
+	cancelWatches context.CancelFunc
 }
 
-func newRegistry(t *testing.T) *registry {
+func newFakeDiscovery(t *testing.T) *fakeDiscovery {
 	t.Helper()
-	r := &registry{more: make(chan struct{})}
-	r.cut, r.cutNow = context.WithCancel(context.Background())
+	r := &fakeDiscovery{listAdded: make(chan struct{})}
+	r.watchCtx, r.cancelWatches = context.WithCancel(context.Background())
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /registry/instances", func(w http.ResponseWriter, req *http.Request) {
 		r.mu.Lock()
 		r.watches++
-		cut := r.cut
+		cut := r.watchCtx
 		r.mu.Unlock()
 		for sent := 0; ; {
 			r.mu.Lock()
-			news, more := r.lists[sent:], r.more
+			news, more := r.lists[sent:], r.listAdded
 			sent = len(r.lists)
 			r.mu.Unlock()
 			for _, l := range news {
@@ -91,7 +91,7 @@
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.posts++
-		if r.posts <= r.refuse {
+		if r.posts <= r.refusePosts {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
@@ -108,25 +108,25 @@
 	})
 	r.srv = httptest.NewServer(mux)
 	t.Cleanup(func() {
-		r.cutNow()
+		r.cancelWatches()
 		r.srv.CloseClientConnections()
 		r.srv.Close()
 	})
 	return r
 }
 
-func (r *registry) addr() string { return r.srv.Listener.Addr().String() }
+func (r *fakeDiscovery) addr() string { return r.srv.Listener.Addr().String() }
 
-func (r *registry) tell(l string) {
+func (r *fakeDiscovery) publish(l string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lists = append(r.lists, l)
-	close(r.more)
-	r.more = make(chan struct{})
+	close(r.listAdded)
+	r.listAdded = make(chan struct{})
 }
 
 // state is what the notices said of a message, "" while there was none.
-func (r *registry) state(id string) string {
+func (r *fakeDiscovery) noticeState(id string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, n := range r.notices {
@@ -137,11 +137,11 @@
 	return ""
 }
 
-func listOf(revision int, complete bool, members ...string) string {
+func listJSON(revision int, complete bool, members ...string) string {
 	return fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[%s]}`, revision, complete, strings.Join(members, ","))
 }
 
-func serving(id, addr string, dest int, phase string) string {
+func memberJSON(id, addr string, dest int, phase string) string {
 	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"z","flavor":"m","cell":%d,"phase":%q,"size":1000}`, id, addr, dest, phase)
 }
 
@@ -175,7 +175,7 @@
 	path := filepath.Join(t.TempDir(), "config.json")
 	text := fmt.Sprintf(`{"name":"n","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 		"limits":{"cores":1,"memory_mb":192,"sockets":256,"disk_mb":3},"known":%s,"settings":%s}`,
-		listen, discovery, listOf(1, true, known...), testSettings)
+		listen, discovery, listJSON(1, true, known...), testSettings)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -183,30 +183,30 @@
 }
 
 // startNode runs a node in this process until the test ends or stop is called.
-func startNode(t *testing.T, r *registry, state string, known ...string) (addr string, stop func()) {
+func startNode(t *testing.T, r *fakeDiscovery, state string, known ...string) (addr string, stop func()) {
 	t.Helper()
-	addr, _, stop = startOperated(t, r, state, known...)
+	addr, _, stop = startNodeWithAdmin(t, r, state, known...)
 	return addr, stop
 }
 
 // startOperated does, and tells where its door is.
-func startOperated(t *testing.T, r *registry, state string, known ...string) (addr, door string, stop func()) {
+func startNodeWithAdmin(t *testing.T, r *fakeDiscovery, state string, known ...string) (addr, adminAddr string, stop func()) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	doorLn, err := net.Listen("tcp", "127.0.0.1:0")
+	adminLn, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr, door = ln.Addr().String(), doorLn.Addr().String()
+	addr, adminAddr = ln.Addr().String(), adminLn.Addr().String()
 	cfg, err := loadConfig(writeConfig(t, addr, r.addr(), known...), state)
 	if err != nil {
 		t.Fatal(err)
 	}
 	n := New(cfg, slog.New(slog.DiscardHandler))
-	shut := n.ServeOperators(doorLn)
+	stopAdmin := n.ServeAdmin(adminLn)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- n.Run(ctx, ln) }()
@@ -215,14 +215,14 @@
 		if err := <-done; err != nil {
 			t.Error(err)
 		}
-		shut()
+		stopAdmin()
 	})
 	t.Cleanup(stop)
 	testkit.Eventually(t, "the node serves", func() bool { return n.NotReadyReason() == "" })
-	return addr, door, stop
+	return addr, adminAddr, stop
 }
 
-const ofStatus, ofOrder, ofPayout = "c=status,d=50000,dest=7", "c=order,d=50000,dest=7,k=key", "c=payout,d=50000,dest=7"
+const statusFields, orderFields, payoutFields = "c=status,d=50000,dest=7", "c=order,d=50000,dest=7,k=key", "c=payout,d=50000,dest=7"
 
 func mustAnswer(t *testing.T, addr, text, want string) {
 	t.Helper()
@@ -232,31 +232,31 @@
 }
 
 // Worth beyond a tenant's share counts little: the module has to know whose a message is, after a restart too.
-func TestTenantReachesTheModule(t *testing.T) {
+func TestTenantReachesSenderAlsoAfterRestart(t *testing.T) {
 	q := ingress.Request{ID: "a", Tenant: 1, Dest: 7, TTL: 50 * time.Second, ReceivedAt: time.Now()}
 	state := t.TempDir()
-	n := &Node{journal: openJournalAt(t, state), messages: map[string]*journal.Message{}, dests: map[int]bool{7: true}, start: time.Now()}
-	if refusal, ok := n.accept(arrival{Request: q}); !ok {
+	n := &Node{journal: openJournalAt(t, state), messages: map[string]*journal.Message{}, knownDests: map[int]bool{7: true}, clockStart: time.Now()}
+	if refusal, ok := n.accept(submission{Request: q}); !ok {
 		t.Fatalf("got %+v", refusal)
 	}
 	flushJournal(t, n.journal)
-	if got := n.arrived(n.messages["a"], time.Now()).Tenant; got != 1 {
+	if got := n.arrivedEvent(n.messages["a"], time.Now()).Tenant; got != 1 {
 		t.Errorf("tenant %d", got)
 	}
 	for _, p := range openJournalAt(t, state).Unsettled() {
-		if got := n.resumed(p).Tenant; got != 1 {
+		if got := n.resumedEvent(p).Tenant; got != 1 {
 			t.Errorf("tenant %d after a restart", got)
 		}
 	}
 }
 
-func TestDeliversAndForgets(t *testing.T) {
+func TestDeliveredMessageLeavesJournal(t *testing.T) {
 	t.Parallel()
 	p, state := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), t.TempDir()
-	r := newRegistry(t)
-	addr, stop := startNode(t, r, state, serving("e", p.Addr(), 7, "SERVING"))
+	r := newFakeDiscovery(t)
+	addr, stop := startNode(t, r, state, memberJSON("e", p.Addr(), 7, "SERVING"))
 	mustAnswer(t, addr, testkit.EncodeRESP("PING"), "+PONG")
-	mustAnswer(t, addr, testkit.EnqueueRequest("a", ofOrder, "body"), "+OK")
+	mustAnswer(t, addr, testkit.EnqueueRequest("a", orderFields, "body"), "+OK")
 	if req := p.Next(t); req.Header.Get("X-Trace-Id") != "a" || req.Header.Get("Idempotency-Key") != "key" {
 		t.Errorf("got %v", req.Header)
 	}
@@ -270,22 +270,22 @@
 }
 
 // held is the list of a destination that is known and has no endpoint to send to.
-func held() string { return serving("e0", "127.0.0.1:9", 7, "DRAINING") }
+func drainingMember() string { return memberJSON("e0", "127.0.0.1:9", 7, "DRAINING") }
 
-func TestHeldMessageIsTakenOnOnceAndRoomIsBounded(t *testing.T) {
+func TestDuplicateIsAcceptedOnceAndOpenMessagesAreBounded(t *testing.T) {
 	t.Parallel()
-	p, r := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newRegistry(t)
-	addr, _ := startNode(t, r, t.TempDir(), held())
-	mustAnswer(t, addr, testkit.EnqueueRequest("a", ofStatus, "x"), "+OK")
-	mustAnswer(t, addr, testkit.EnqueueRequest("a", ofStatus, "x"), "+OK") // the same one again
+	p, r := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newFakeDiscovery(t)
+	addr, _ := startNode(t, r, t.TempDir(), drainingMember())
+	mustAnswer(t, addr, testkit.EnqueueRequest("a", statusFields, "x"), "+OK")
+	mustAnswer(t, addr, testkit.EnqueueRequest("a", statusFields, "x"), "+OK") // the same one again
 	answers := map[string]int{}
 	for i := range 6 {
-		answers[strings.Fields(testkit.Exchange(t, addr, testkit.EnqueueRequest("m"+strconv.Itoa(i), ofStatus, "x")))[0]]++
+		answers[strings.Fields(testkit.Exchange(t, addr, testkit.EnqueueRequest("m"+strconv.Itoa(i), statusFields, "x")))[0]]++
 	}
 	if answers["-BUSY"] < 3 || answers["+OK"] < 1 { // four may be held in all
 		t.Errorf("got %v", answers)
 	}
-	r.tell(listOf(2, false, serving("e", p.Addr(), 7, "SERVING")))
+	r.publish(listJSON(2, false, memberJSON("e", p.Addr(), 7, "SERVING")))
 	seen := map[string]int{}
 	for range 1 + answers["+OK"] {
 		seen[p.Next(t).Header.Get("X-Trace-Id")]++
@@ -295,22 +295,22 @@
 	}
 }
 
-func TestDrainAndWholeList(t *testing.T) {
+func TestDrainingOrUnlistedEndpointGetsNoCalls(t *testing.T) {
 	t.Parallel()
-	first, second, r := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newRegistry(t)
-	addr, _ := startNode(t, r, t.TempDir(), serving("e1", first.Addr(), 7, "SERVING"))
-	mustAnswer(t, addr, testkit.EnqueueRequest("a", ofStatus, ""), "+OK")
+	first, second, r := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newFakeDiscovery(t)
+	addr, _ := startNode(t, r, t.TempDir(), memberJSON("e1", first.Addr(), 7, "SERVING"))
+	mustAnswer(t, addr, testkit.EnqueueRequest("a", statusFields, ""), "+OK")
 	first.Next(t)
 	for i, l := range []string{
-		listOf(2, false, serving("e1", first.Addr(), 7, "DRAINING"), serving("e2", second.Addr(), 7, "SERVING")),
-		listOf(3, true, serving("e1", first.Addr(), 7, "SERVING")), // e2 is not in it, and so gone
+		listJSON(2, false, memberJSON("e1", first.Addr(), 7, "DRAINING"), memberJSON("e2", second.Addr(), 7, "SERVING")),
+		listJSON(3, true, memberJSON("e1", first.Addr(), 7, "SERVING")), // e2 is not in it, and so gone
 	} {
 		from, other := []*testkit.Partner{second, first}[i], []*testkit.Partner{first, second}[i]
 		before, _ := other.Counts()
-		r.tell(l)
+		r.publish(l)
 		sentOn := func() bool {
 			// Until the list has come the other one is right; from the first call on the new one only it is.
-			mustAnswer(t, addr, testkit.EnqueueRequest(fmt.Sprintf("m%d", time.Now().UnixNano()), ofStatus, ""), "+OK")
+			mustAnswer(t, addr, testkit.EnqueueRequest(fmt.Sprintf("m%d", time.Now().UnixNano()), statusFields, ""), "+OK")
 			select {
 			case <-from.Received:
 				return true
@@ -334,7 +334,7 @@
 	}
 }
 
-func TestToldWaitIsKept(t *testing.T) {
+func TestRetryAfterIsHonored(t *testing.T) {
 	t.Parallel()
 	const wait = 700 * time.Millisecond
 	var mu sync.Mutex
@@ -352,20 +352,20 @@
 		}
 		return testkit.RespondWith(testkit.DeliveredResponse)(nc, nil)
 	})
-	r := newRegistry(t)
-	addr, _ := startNode(t, r, t.TempDir(), serving("e", p.Addr(), 7, "SERVING"))
-	mustAnswer(t, addr, testkit.EnqueueRequest("a", ofPayout, ""), "+OK")
+	r := newFakeDiscovery(t)
+	addr, _ := startNode(t, r, t.TempDir(), memberJSON("e", p.Addr(), 7, "SERVING"))
+	mustAnswer(t, addr, testkit.EnqueueRequest("a", payoutFields, ""), "+OK")
 	p.Next(t)
 	time.Sleep(100 * time.Millisecond) // what crosses the answer is let through for so long
-	mustAnswer(t, addr, testkit.EnqueueRequest("b", ofStatus, ""), "+OK")
+	mustAnswer(t, addr, testkit.EnqueueRequest("b", statusFields, ""), "+OK")
 	p.Next(t)
 	p.Next(t)
 }
 
-func TestDiscoverySilentAndBack(t *testing.T) {
+func TestNodeServesThroughDiscoveryOutage(t *testing.T) {
 	t.Parallel()
-	p, r := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newRegistry(t)
-	addr, _ := startNode(t, r, t.TempDir(), held())
+	p, r := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newFakeDiscovery(t)
+	addr, _ := startNode(t, r, t.TempDir(), drainingMember())
 	watching := func(least int) func() bool {
 		return func() bool {
 			r.mu.Lock()
@@ -374,26 +374,26 @@
 		}
 	}
 	testkit.Eventually(t, "a watch", watching(1))
-	mustAnswer(t, addr, testkit.EnqueueRequest("a", ofStatus, ""), "+OK") // without discovery all goes on
+	mustAnswer(t, addr, testkit.EnqueueRequest("a", statusFields, ""), "+OK") // without discovery all goes on
 	r.mu.Lock()
-	r.cutNow()
-	r.cut, r.cutNow = context.WithCancel(context.Background())
+	r.cancelWatches()
+	r.watchCtx, r.cancelWatches = context.WithCancel(context.Background())
 	r.mu.Unlock()
 	testkit.Eventually(t, "the watch is taken up again", watching(2))
-	r.tell(listOf(2, true, serving("e", p.Addr(), 7, "SERVING")))
+	r.publish(listJSON(2, true, memberJSON("e", p.Addr(), 7, "SERVING")))
 	p.Next(t)
 }
 
-func TestNoticeIsRetriedUntilTaken(t *testing.T) {
+func TestNoticeIsRetriedUntilAccepted(t *testing.T) {
 	t.Parallel()
-	p, r := testkit.NewPartner(t, testkit.RespondWith("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")), newRegistry(t)
-	r.refuse = 2
+	p, r := testkit.NewPartner(t, testkit.RespondWith("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")), newFakeDiscovery(t)
+	r.refusePosts = 2
 	state := t.TempDir()
-	addr, stop := startNode(t, r, state, serving("e", p.Addr(), 7, "SERVING"), serving("h", "127.0.0.1:9", 8, "DRAINING"))
-	mustAnswer(t, addr, testkit.EnqueueRequest("unsafe", ofPayout, ""), "+OK") // it may have run: failed
+	addr, stop := startNode(t, r, state, memberJSON("e", p.Addr(), 7, "SERVING"), memberJSON("h", "127.0.0.1:9", 8, "DRAINING"))
+	mustAnswer(t, addr, testkit.EnqueueRequest("unsafe", payoutFields, ""), "+OK") // it may have run: failed
 	mustAnswer(t, addr, testkit.EnqueueRequest("short", "c=status,d=300,dest=8", ""), "+OK")
-	testkit.Eventually(t, "the notice of a failure", func() bool { return r.state("unsafe") == "failed" })
-	testkit.Eventually(t, "the notice of a refusal", func() bool { return r.state("short") == "returned" })
+	testkit.Eventually(t, "the notice of a failure", func() bool { return r.noticeState("unsafe") == "failed" })
+	testkit.Eventually(t, "the notice of a refusal", func() bool { return r.noticeState("short") == "returned" })
 	stop()
 	if calls, _ := p.Counts(); calls != 1 {
 		t.Errorf("%d calls", calls)
@@ -439,12 +439,12 @@
 	return n.Run(ctx, ln)
 }
 
-type child struct {
+type childNode struct {
 	cmd  *exec.Cmd
 	addr string
 }
 
-func startChild(t *testing.T, r *registry, state string, known ...string) *child {
+func startChild(t *testing.T, r *fakeDiscovery, state string, known ...string) *childNode {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), "CORALYARD_TEST_CHILD=1", "ROUTER_STATE="+state,
@@ -462,12 +462,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &child{cmd, strings.TrimSpace(addr)}
+	c := &childNode{cmd, strings.TrimSpace(addr)}
 	mustAnswer(t, c.addr, testkit.EncodeRESP("PING"), "+PONG")
 	return c
 }
 
-func (c *child) kill(t *testing.T) {
+func (c *childNode) kill(t *testing.T) {
 	t.Helper()
 	if err := c.cmd.Process.Kill(); err != nil {
 		t.Fatal(err)
@@ -477,12 +477,12 @@
 
 // Killed with a call of each effect out: what may be repeated is delivered by the next life, what may not fails
 // without another call.
-func TestKilledWhileCallsAreOut(t *testing.T) {
+func TestKillWithCallsInFlight(t *testing.T) {
 	t.Parallel()
-	p, r, state := testkit.NewPartner(t, testkit.NeverRespond), newRegistry(t), t.TempDir()
-	known := serving("e", p.Addr(), 7, "SERVING")
+	p, r, state := testkit.NewPartner(t, testkit.NeverRespond), newFakeDiscovery(t), t.TempDir()
+	known := memberJSON("e", p.Addr(), 7, "SERVING")
 	c := startChild(t, r, state, known)
-	for id, fields := range map[string]string{"safe": ofStatus, "keyed": ofOrder, "unsafe": ofPayout} {
+	for id, fields := range map[string]string{"safe": statusFields, "keyed": orderFields, "unsafe": payoutFields} {
 		mustAnswer(t, c.addr, testkit.EnqueueRequest(id, fields, "body of "+id), "+OK")
 		if got := p.Next(t).Header.Get("X-Trace-Id"); got != id {
 			t.Fatalf("got a call for %q", got)
@@ -491,7 +491,7 @@
 	c.kill(t)
 
 	q := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse))
-	startChild(t, r, state, serving("e", q.Addr(), 7, "SERVING"))
+	startChild(t, r, state, memberJSON("e", q.Addr(), 7, "SERVING"))
 	seen := map[string]string{}
 	for range 2 {
 		req := q.Next(t)
@@ -500,26 +500,26 @@
 	if key, ok := seen["keyed"]; !ok || key != "key" || len(seen) != 2 {
 		t.Errorf("delivered: %v", seen)
 	}
-	testkit.Eventually(t, "the unsafe one fails", func() bool { return r.state("unsafe") == "failed" })
+	testkit.Eventually(t, "the unsafe one fails", func() bool { return r.noticeState("unsafe") == "failed" })
 	if calls, _ := q.Counts(); calls != 2 {
 		t.Errorf("%d calls", calls)
 	}
 }
 
 // Killed before anything was sent: all three effects are delivered, once each, in their order.
-func TestKilledWhileMessagesAreHeld(t *testing.T) {
+func TestKillBeforeFirstAttempt(t *testing.T) {
 	t.Parallel()
-	p, r, state := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newRegistry(t), t.TempDir()
-	c := startChild(t, r, state, held())
+	p, r, state := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newFakeDiscovery(t), t.TempDir()
+	c := startChild(t, r, state, drainingMember())
 	ids := []string{"safe", "keyed", "unsafe"}
-	for i, fields := range []string{ofStatus, ofOrder, ofPayout} {
+	for i, fields := range []string{statusFields, orderFields, payoutFields} {
 		mustAnswer(t, c.addr, testkit.EnqueueRequest(ids[i], fields, ""), "+OK")
 	}
 	c.kill(t)
-	c = startChild(t, r, state, held())
-	mustAnswer(t, c.addr, testkit.EnqueueRequest("safe", ofStatus, ""), "+OK") // handed in again: no second effect
+	c = startChild(t, r, state, drainingMember())
+	mustAnswer(t, c.addr, testkit.EnqueueRequest("safe", statusFields, ""), "+OK") // handed in again: no second effect
 	c.kill(t)
-	startChild(t, r, state, serving("e", p.Addr(), 7, "SERVING"))
+	startChild(t, r, state, memberJSON("e", p.Addr(), 7, "SERVING"))
 	seen := map[string]int{}
 	for range ids {
 		seen[p.Next(t).Header.Get("X-Trace-Id")]++
@@ -533,13 +533,13 @@
 }
 
 // A journal as a kill between two records leaves it, for each effect and each record.
-func TestEveryPointOfAKill(t *testing.T) {
+func TestRestartAfterEachJournalRecord(t *testing.T) {
 	t.Parallel()
 	for class, name := range []string{"safe", "keyed", "unsafe"} {
 		for point, records := range []string{"accepted", "attempt", "not run", "ended"} {
 			t.Run(name+" "+records, func(t *testing.T) {
 				t.Parallel()
-				p, r, state := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newRegistry(t), t.TempDir()
+				p, r, state := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newFakeDiscovery(t), t.TempDir()
 				j := openJournalAt(t, state)
 				m, err := j.Accept(&journal.Message{ID: "a", Key: "k", Class: class, Dest: 7, Deadline: time.Now().Add(50 * time.Second)})
 				if err != nil {
@@ -554,12 +554,12 @@
 					}
 				}
 				flushJournal(t, j)
-				startNode(t, r, state, serving("e", p.Addr(), 7, "SERVING"))
+				startNode(t, r, state, memberJSON("e", p.Addr(), 7, "SERVING"))
 				switch {
 				case records == "ended":
-					testkit.Eventually(t, "the owed notice", func() bool { return r.state("a") == "returned" })
+					testkit.Eventually(t, "the owed notice", func() bool { return r.noticeState("a") == "returned" })
 				case name == "unsafe" && records == "attempt":
-					testkit.Eventually(t, "the failure", func() bool { return r.state("a") == "failed" })
+					testkit.Eventually(t, "the failure", func() bool { return r.noticeState("a") == "failed" })
 				default:
 					p.Next(t)
 					return
@@ -574,7 +574,7 @@
 
 // The module must hear after a restart that a destination failed before it, or it would meet one that is coming
 // back cold with the whole backlog. A call that was merely out when the process died is no such sign.
-func TestFailuresAreRememberedAcrossARestart(t *testing.T) {
+func TestFailedAttemptsAreKnownAfterRestart(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name            string
@@ -594,9 +594,9 @@
 		j.Attempt(m, journal.Attempt{At: time.Now()})
 		c.write(j, m)
 		flushJournal(t, j)
-		n := &Node{start: time.Now()}
+		n := &Node{clockStart: time.Now()}
 		for _, p := range openJournalAt(t, dir).Unsettled() {
-			r := n.resumed(p)
+			r := n.resumedEvent(p)
 			if r.Failed != c.failed || r.MayHaveRun != c.touched || r.Attempts != 1 || (r.MayHaveRun && r.FirstRunSentAt > n.now()) {
 				t.Errorf("%s: got %+v", c.name, r)
 			}
@@ -604,9 +604,9 @@
 	}
 }
 
-func TestOverdueAndPastTheWindowEndAtOnce(t *testing.T) {
+func TestExpiredDeadlineOrWindowEndsMessageAtRestart(t *testing.T) {
 	t.Parallel()
-	p, r, state := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newRegistry(t), t.TempDir()
+	p, r, state := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newFakeDiscovery(t), t.TempDir()
 	j := openJournalAt(t, state)
 	late, err := j.Accept(&journal.Message{ID: "late", Class: 0, Dest: 7, Deadline: time.Now().Add(-time.Second)})
 	if err != nil {
@@ -619,24 +619,24 @@
 	j.Attempt(late, journal.Attempt{At: time.Now().Add(-time.Minute)})
 	j.Attempt(forgotten, journal.Attempt{At: time.Now().Add(-2 * time.Minute)}) // its key is remembered for one
 	flushJournal(t, j)
-	startNode(t, r, state, serving("e", p.Addr(), 7, "SERVING"))
-	testkit.Eventually(t, "the overdue one's end", func() bool { return r.state("late") == "returned" })
-	testkit.Eventually(t, "the forgotten key's end", func() bool { return r.state("forgotten") == "failed" })
+	startNode(t, r, state, memberJSON("e", p.Addr(), 7, "SERVING"))
+	testkit.Eventually(t, "the overdue one's end", func() bool { return r.noticeState("late") == "returned" })
+	testkit.Eventually(t, "the forgotten key's end", func() bool { return r.noticeState("forgotten") == "failed" })
 	if calls, _ := p.Counts(); calls != 0 {
 		t.Errorf("%d calls", calls)
 	}
 }
 
 // After SIGTERM clients are answered as ever, the process ends well by itself, and the next one has what was held.
-func TestSIGTERM(t *testing.T) {
+func TestSIGTERMAnswersClientsAndKeepsMessages(t *testing.T) {
 	t.Parallel()
-	p, r, state := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newRegistry(t), t.TempDir()
-	c := startChild(t, r, state, held())
+	p, r, state := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newFakeDiscovery(t), t.TempDir()
+	c := startChild(t, r, state, drainingMember())
 	nc, br := testkit.Dial(t, c.addr)
 	if err := c.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	for _, m := range []string{testkit.EnqueueRequest("a", ofStatus, ""), testkit.EnqueueRequest("b", ofPayout, "")} { // on an old connection
+	for _, m := range []string{testkit.EnqueueRequest("a", statusFields, ""), testkit.EnqueueRequest("b", payoutFields, "")} { // on an old connection
 		if _, err := io.WriteString(nc, m); err != nil {
 			t.Fatal(err)
 		}
@@ -644,11 +644,11 @@
 			t.Fatalf("got %q, %v", line, err)
 		}
 	}
-	mustAnswer(t, c.addr, testkit.EnqueueRequest("c", ofOrder, ""), "+OK") // and on a new one
+	mustAnswer(t, c.addr, testkit.EnqueueRequest("c", orderFields, ""), "+OK") // and on a new one
 	if err := c.cmd.Wait(); err != nil {
 		t.Fatal(err)
 	}
-	startChild(t, r, state, serving("e", p.Addr(), 7, "SERVING"))
+	startChild(t, r, state, memberJSON("e", p.Addr(), 7, "SERVING"))
 	seen := map[string]bool{}
 	for range 3 {
 		seen[p.Next(t).Header.Get("X-Trace-Id")] = true
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	maxDatagram = 256 // a longer one is not allowed between nodes
-	peerTries   = 20
-	peerPause   = 10 * time.Millisecond
+	maxDatagram           = 256 // a longer one is not allowed between nodes
+	peerBindAttempts      = 20
+	peerBindRetryInterval = 10 * time.Millisecond
 )
 
 // peers carries the module's notes between the nodes of a fleet, as datagrams: late, or not at all.
@@ -31,7 +31,7 @@
 }
 
 // listenToPeers opens the socket for notes. Without an address for it, or without other nodes, there are none.
-func listenToPeers(ctx context.Context, cfg config.Config) (*peers, error) {
+func listenPeers(ctx context.Context, cfg config.Config) (*peers, error) {
 	if cfg.PeerListen == "" || !cfg.Settings.PeerDatagrams || len(cfg.Peers) < 2 {
 		return nil, nil
 	}
@@ -48,7 +48,7 @@
 	if err != nil {
 		return nil, err
 	}
-	err = transient.Retry(ctx, startPatience, nil, func() error {
+	err = transient.Retry(ctx, startupRetryTimeout, nil, func() error {
 		p.conn, err = listenUDP(ctx, at)
 		return err
 	})
@@ -60,9 +60,9 @@
 
 // listenUDP opens a socket whose address a process before may hold for some moments more.
 func listenUDP(ctx context.Context, at netip.AddrPort) (conn *net.UDPConn, err error) {
-	for range peerTries {
+	for range peerBindAttempts {
 		conn, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(at))
-		if err == nil || !backoff.Sleep(ctx, peerPause) {
+		if err == nil || !backoff.Sleep(ctx, peerBindRetryInterval) {
 			break
 		}
 	}
@@ -70,7 +70,7 @@
 }
 
 // receive hands on what other nodes send, until the socket is closed. What comes from elsewhere is counted.
-func (p *peers) receive(ctx context.Context, log *slog.Logger, strangers *atomic.Int64, tell func(any) bool) {
+func (p *peers) receive(ctx context.Context, log *slog.Logger, unknownSenders *atomic.Int64, deliver func(any) bool) {
 	b := make([]byte, maxDatagram+1)
 	for {
 		n, from, err := p.conn.ReadFromUDPAddrPort(b)
@@ -86,17 +86,17 @@
 		}
 		number, ok := p.numbers[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 		if !ok || n > maxDatagram {
-			strangers.Add(1)
+			unknownSenders.Add(1)
 			continue // nobody of the fleet
 		}
 		text := append([]byte(nil), b[:n]...)
 		switch {
 		case n > 0 && text[0] == membership.Magic:
-			tell(memberNote{number, text})
+			deliver(membershipDatagram{number, text})
 		case n > 0 && text[0] == staleness.Magic:
-			tell(revisionNote{number, text})
+			deliver(revisionDatagram{number, text})
 		default:
-			tell(choice.DatagramReceived{From: number, Payload: text})
+			deliver(choice.DatagramReceived{From: number, Payload: text})
 		}
 	}
 }
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -16,7 +16,7 @@
 )
 
 // peerSockets are two nodes that know each other's addresses, and one that nobody knows.
-func peerSockets(t *testing.T) (a, b, stranger *peers) {
+func newPeerSockets(t *testing.T) (a, b, stranger *peers) {
 	t.Helper()
 	var all []*peers
 	for range 3 {
@@ -38,8 +38,8 @@
 	return all[0], all[1], all[2]
 }
 
-func TestNotesReachTheNodeTheyAreFor(t *testing.T) {
-	a, b, stranger := peerSockets(t)
+func TestDatagramsReachAddressedPeer(t *testing.T) {
+	a, b, stranger := newPeerSockets(t)
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	got := make(chan any, 8)
 	var strangers atomic.Int64
@@ -54,7 +54,7 @@
 	a.send(choice.SendDatagram{To: 1, Payload: []byte("a note")}, log)
 	a.send(choice.SendDatagram{To: 1, Payload: []byte("Membership's")}, log)
 	for _, want := range []any{
-		choice.DatagramReceived{From: 0, Payload: []byte("a note")}, memberNote{0, []byte("Membership's")},
+		choice.DatagramReceived{From: 0, Payload: []byte("a note")}, membershipDatagram{0, []byte("Membership's")},
 	} {
 		select {
 		case e := <-got:
@@ -76,28 +76,28 @@
 	}
 }
 
-func TestWithoutAFleetNoSocketIsOpened(t *testing.T) {
+func TestNoPeerSocketWithoutFleet(t *testing.T) {
 	var cfg config.Config
 	cfg.Settings.PeerDatagrams = true
-	if p, err := listenToPeers(t.Context(), cfg); p != nil || err != nil {
+	if p, err := listenPeers(t.Context(), cfg); p != nil || err != nil {
 		t.Errorf("%v, %v", p, err)
 	}
 	var none *peers
 	none.send(choice.SendDatagram{}, nil)
 	none.close()
 	cfg.PeerListen, cfg.Peers = "127.0.0.1:0", []string{"127.0.0.1:1", "127.0.0.1:2"}
-	p, err := listenToPeers(t.Context(), cfg)
+	p, err := listenPeers(t.Context(), cfg)
 	if err != nil || len(p.addrs) != 2 {
 		t.Fatalf("%v, %v", p, err)
 	}
 	p.close()
 	cfg.Peers[1] = "nowhere"
-	if _, err := listenToPeers(t.Context(), cfg); err == nil {
+	if _, err := listenPeers(t.Context(), cfg); err == nil {
 		t.Error("a list that can't be read was taken")
 	}
 }
 
-func TestTheSocketOfTheProcessBeforeIsWaitedFor(t *testing.T) {
+func TestPeerSocketBindIsRetried(t *testing.T) {
 	before, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
@@ -105,12 +105,12 @@
 	var cfg config.Config
 	cfg.Settings.PeerDatagrams = true
 	cfg.PeerListen, cfg.Peers = before.LocalAddr().String(), []string{"127.0.0.1:1", "127.0.0.1:2"}
-	if p, err := listenToPeers(t.Context(), cfg); err == nil {
+	if p, err := listenPeers(t.Context(), cfg); err == nil {
 		p.close()
 		t.Error("the socket is had twice")
 	}
-	time.AfterFunc(3*peerPause, func() { before.Close() })
-	p, err := listenToPeers(t.Context(), cfg)
+	time.AfterFunc(3*peerBindRetryInterval, func() { before.Close() })
+	p, err := listenPeers(t.Context(), cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -12,12 +12,12 @@
 
 // relay serves a successor that owns the node: clients move to it, outcomes are told, orders passed on. It returns
 // when the successor has gone, with the outcomes that it has not heard of, or, as left, when this process may end.
-func (n *Node) relay(ctx context.Context, l *handover.Link, gone <-chan struct{}) (unheard []called, left bool) {
-	down := make(chan struct{})
-	dones := make(chan handover.OrderDone)
-	cancels := make(chan handover.CallName)
+func (n *Node) relay(ctx context.Context, l *handover.Link, exitDue <-chan struct{}) (unreported []callResult, stopped bool) {
+	linkClosed := make(chan struct{})
+	results := make(chan handover.CommandResult)
+	cancels := make(chan handover.Attempt)
 	go func() { // ends with the link, which is closed below
-		defer close(down)
+		defer close(linkClosed)
 		for {
 			f, file, err := l.Receive()
 			if file != nil {
@@ -29,8 +29,8 @@
 			switch {
 			case f.Cancel != nil:
 				cancels <- *f.Cancel
-			case f.Done != nil:
-				dones <- *f.Done
+			case f.CommandResult != nil:
+				results <- *f.CommandResult
 			}
 		}
 	}()
@@ -39,67 +39,67 @@
 		for {
 			select {
 			case <-cancels:
-			case <-dones:
-			case <-down:
+			case <-results:
+			case <-linkClosed:
 				return
 			}
 		}
 	}()
-	orders := map[int]order{}
-	number := 0
-	tick := time.NewTicker(handover.AskPause)
+	forwarded := map[int]operatorCommand{}
+	lastNumber := 0
+	tick := time.NewTicker(handover.LockRetryInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case e := <-n.events:
 			switch e := e.(type) {
-			case arrival:
+			case submission:
 				e.reply <- ingress.Answer{HandedOver: true}
-			case called:
-				if l.Send(handover.Frame{Ended: &handover.EndedCall{
-					CallName: handover.CallName{ID: e.id, N: e.n}, Endpoint: e.endpoint.ID, Outcome: e.Outcome, Wait: e.RetryAfter, Took: e.took,
+			case callResult:
+				if l.Send(handover.Frame{CallResult: &handover.CallResult{
+					Attempt: handover.Attempt{ID: e.id, N: e.n}, Endpoint: e.endpoint.ID, Outcome: e.Outcome, Wait: e.RetryAfter, Took: e.took,
 					NoSlot: e.NoSlot, Closed: e.MessageDone, Reused: e.Reused, Report: e.Report,
 				}}, -1) != nil {
-					unheard = append(unheard, e)
+					unreported = append(unreported, e)
 				} else {
-					delete(n.out, e.attempt)
+					delete(n.inFlight, e.attemptID)
 				}
-			case order:
-				number++
-				if err := l.Send(handover.Frame{Order: &handover.LinkOrder{Number: number, Endpoint: e.endpoint, On: e.on}}, -1); err != nil {
+			case operatorCommand:
+				lastNumber++
+				if err := l.Send(handover.Frame{Command: &handover.Command{Number: lastNumber, Endpoint: e.endpoint, On: e.on}}, -1); err != nil {
 					e.done <- admin.ErrNotServing
 				} else {
-					orders[number] = e
+					forwarded[lastNumber] = e
 				}
 			}
 		case c := <-cancels:
-			if o, ok := n.out[attempt{c.ID, c.N}]; ok {
+			if o, ok := n.inFlight[attemptID{c.ID, c.N}]; ok {
 				o.cancel()
 			}
-		case d := <-dones:
-			if o, ok := orders[d.Number]; ok {
-				delete(orders, d.Number)
+		case d := <-results:
+			if o, ok := forwarded[d.Number]; ok {
+				delete(forwarded, d.Number)
 				switch {
 				case d.Unknown:
 					o.done <- admin.ErrUnknownEndpoint
-				case d.No != "":
-					o.done <- errors.New(d.No)
+				case d.Error != "":
+					o.done <- errors.New(d.Error)
 				default:
 					o.done <- nil
 				}
 			}
-		case <-down:
-			for _, o := range orders {
+		case <-linkClosed:
+			for _, o := range forwarded {
 				o.done <- admin.ErrNotServing
 			}
-			return append(unheard, n.callOff(unheard)...), ctx.Err() != nil
-		case <-gone: // what is still out has had its time
-			for _, o := range n.out {
+			return append(unreported, n.cancelCalls(unreported)...), ctx.Err() != nil
+		case <-exitDue: // what is still out has had its time
+			for _, o := range n.inFlight {
 				o.cancel()
 			}
-			gone = nil
+			exitDue = nil
 		case <-tick.C:
-			if ctx.Err() != nil && len(n.out) == 0 && (gone == nil || n.clients.ConnCount() == 0) {
+			if ctx.Err() != nil && len(n.inFlight) == 0 && (exitDue == nil || n.clients.ConnCount() == 0) {
 				return nil, true
 			}
 		}
@@ -107,19 +107,19 @@
 }
 
 // callOff ends the calls that are out and returns their outcomes, but for those that are known.
-func (n *Node) callOff(known []called) (ends []called) {
-	for _, o := range n.out {
+func (n *Node) cancelCalls(collected []callResult) (results []callResult) {
+	for _, o := range n.inFlight {
 		o.cancel()
 	}
-	for len(known)+len(ends) < len(n.out) { // each call that is called off ends by an event
+	for len(collected)+len(results) < len(n.inFlight) { // each call that is called off ends by an event
 		switch e := (<-n.events).(type) {
-		case called:
-			ends = append(ends, e)
-		case arrival:
+		case callResult:
+			results = append(results, e)
+		case submission:
 			e.reply <- ingress.Answer{HandedOver: true} // it stays, and asks again
-		case order:
+		case operatorCommand:
 			e.done <- admin.ErrNotServing
 		}
 	}
-	return ends
+	return results
 }
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -15,7 +15,7 @@
 )
 
 // variants are the settings with one value changed at a time: taken out, 0, negative, huge or of another type.
-func variants(t *testing.T) map[string]string {
+func settingsVariants(t *testing.T) map[string]string {
 	t.Helper()
 	out := map[string]string{}
 	var root map[string]any
@@ -57,12 +57,12 @@
 }
 
 // Settings that can't be served are told in one line at the start; any others are served.
-func TestSettingsAreServedOrRefusedInOneLine(t *testing.T) {
+func TestInvalidSettingsAreRejectedInOneLine(t *testing.T) {
 	t.Parallel()
-	r := newRegistry(t)
+	r := newFakeDiscovery(t)
 	served, refused := 0, 0
 	var stops []func()
-	for name, settings := range variants(t) {
+	for name, settings := range settingsVariants(t) {
 		path, state := filepath.Join(t.TempDir(), "config.json"), t.TempDir()
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -70,7 +70,7 @@
 		}
 		text := fmt.Sprintf(`{"name":"n","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 			"limits":{"cores":1,"memory_mb":192,"sockets":256,"disk_mb":3},"known":%s,"settings":%s}`,
-			ln.Addr(), r.addr(), listOf(1, true, held()), settings)
+			ln.Addr(), r.addr(), listJSON(1, true, drainingMember()), settings)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -92,7 +92,7 @@
 				t.Errorf("%s: %v", name, err)
 			}
 		})
-		for _, q := range []string{testkit.EncodeRESP("PING"), testkit.EnqueueRequest("a", ofStatus, ""), testkit.EnqueueRequest("b", ofOrder, ""), testkit.EnqueueRequest("c", ofPayout, "")} {
+		for _, q := range []string{testkit.EncodeRESP("PING"), testkit.EnqueueRequest("a", statusFields, ""), testkit.EnqueueRequest("b", orderFields, ""), testkit.EnqueueRequest("c", payoutFields, "")} {
 			if got := testkit.Exchange(t, ln.Addr().String(), q); !strings.HasPrefix(got, "+") && !strings.HasPrefix(got, "-") {
 				t.Errorf("%s: got %q", name, got)
 			}
--- a/internal/node/hard_test.go
+++ b/internal/node/silent_endpoint_test.go
@@ -9,17 +9,17 @@
 
 // An endpoint that takes calls and says nothing costs each its time-out and no more: slots, connections and
 // goroutines come back, and the messages get their ends.
-func TestSilentEndpointLeavesNothingBehind(t *testing.T) {
-	p, r := testkit.NewPartner(t, testkit.NeverRespond), newRegistry(t)
+func TestSilentEndpointLeaksNothing(t *testing.T) {
+	p, r := testkit.NewPartner(t, testkit.NeverRespond), newFakeDiscovery(t)
 	before := runtime.NumGoroutine()
-	addr, door, stop := startOperated(t, r, t.TempDir(), serving("e", p.Addr(), 7, "SERVING"))
+	addr, adminAddr, stop := startNodeWithAdmin(t, r, t.TempDir(), memberJSON("e", p.Addr(), 7, "SERVING"))
 	for _, id := range []string{"a", "b", "c"} {
 		mustAnswer(t, addr, testkit.EnqueueRequest(id, "c=payout,d=700,dest=7", ""), "+OK")
 	}
 	for _, id := range []string{"a", "b", "c"} {
-		testkit.Eventually(t, "the end of "+id, func() bool { return r.state(id) != "" })
+		testkit.Eventually(t, "the end of "+id, func() bool { return r.noticeState(id) != "" })
 	}
-	mustFigure(t, door, "router.active", "0|g")
+	mustMetric(t, adminAddr, "router.active", "0|g")
 	stop()
 	// The partner's and the registry's own end when their connections do.
 	testkit.Eventually(t, "no goroutine is left", func() bool { return runtime.NumGoroutine() <= before+2 })
--- a/internal/node/start_test.go
+++ b/internal/node/startup_test.go
@@ -17,13 +17,13 @@
 )
 
 // beginNode starts a node with a section registry, without waiting for anything.
-func beginNode(t *testing.T, state, section string) (addr, door string) {
+func launchNode(t *testing.T, state, section string) (addr, adminAddr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	doorLn, err := net.Listen("tcp", "127.0.0.1:0")
+	adminLn, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	n := New(cfg, slog.New(slog.NewTextHandler(t.Output(), nil)))
-	shut := n.ServeOperators(doorLn)
+	stopAdmin := n.ServeAdmin(adminLn)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- n.Run(ctx, ln) }()
@@ -47,12 +47,12 @@
 		if err := <-done; err != nil {
 			t.Error(err)
 		}
-		shut()
+		stopAdmin()
 	})
-	return ln.Addr().String(), doorLn.Addr().String()
+	return ln.Addr().String(), adminLn.Addr().String()
 }
 
-func keepListAt(t *testing.T, dir, partner string, revision int64) {
+func cacheListAt(t *testing.T, dir, partner string, revision int64) {
 	t.Helper()
 	k := listwatch.NewCache(dir, 1<<16)
 	l := listwatch.List{Revision: revision, Complete: true, Members: []listwatch.Member{
@@ -63,11 +63,11 @@
 	}
 }
 
-const nobody = "127.0.0.1:1"
+const unreachableAddr = "127.0.0.1:1"
 
 // What a node does while no list server answers: with a list that it has kept it serves, and fails nobody for what that
 // does not name; without one of use it takes nothing and says why.
-func TestAStartWithoutAListServer(t *testing.T) {
+func TestStartWithoutListServer(t *testing.T) {
 	for name, c := range map[string]struct {
 		keep, section, spoil string
 		why                  string // empty where it serves
@@ -86,7 +86,7 @@
 			p := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse))
 			dir := t.TempDir()
 			if c.keep != "" {
-				keepListAt(t, dir, p.Addr(), 5)
+				cacheListAt(t, dir, p.Addr(), 5)
 			}
 			path := filepath.Join(dir, "list.json")
 			if c.spoil != "" {
@@ -101,10 +101,10 @@
 					t.Fatal(err)
 				}
 			}
-			addr, door := beginNode(t, dir, `{"addresses":["`+nobody+`"],`+c.section+`}`)
+			addr, adminAddr := launchNode(t, dir, `{"addresses":["`+unreachableAddr+`"],`+c.section+`}`)
 			if c.why != "" {
 				time.Sleep(100 * time.Millisecond) // longer than a list that is kept for 50 ms takes
-				code, body := testkit.CallAdmin(t, door, "GET", "/ops/readiness")
+				code, body := testkit.CallAdmin(t, adminAddr, "GET", "/ops/readiness")
 				if code != 503 || !strings.Contains(body, c.why) || !strings.Contains(body, "since") {
 					t.Errorf("readiness: %d %s", code, body)
 				}
@@ -112,9 +112,9 @@
 					t.Errorf("PING: %s", got)
 				}
 			} else {
-				testkit.Eventually(t, "the node serves", func() bool { code, _ := testkit.CallAdmin(t, door, "GET", "/ops/readiness"); return code == 204 })
+				testkit.Eventually(t, "the node serves", func() bool { code, _ := testkit.CallAdmin(t, adminAddr, "GET", "/ops/readiness"); return code == 204 })
 				mustAnswer(t, addr, testkit.EncodeRESP("PING"), "+PONG")
-				mustAnswer(t, addr, testkit.EnqueueRequest("m1", ofStatus, "x"), "+OK")
+				mustAnswer(t, addr, testkit.EnqueueRequest("m1", statusFields, "x"), "+OK")
 				if req := p.Next(t); req.Header.Get("X-Trace-Id") != "m1" {
 					t.Error("another message is delivered")
 				}
@@ -144,22 +144,22 @@
 
 // With a server's list, what it does not name is unknown, and the figures tell how the start went. A kept list that is
 // ahead of every server is given up.
-func TestAStartWithAListServer(t *testing.T) {
+func TestStartWithListServer(t *testing.T) {
 	p := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse))
-	r := newRegistry(t)
+	r := newFakeDiscovery(t)
 	dir := t.TempDir()
-	keepListAt(t, dir, nobody, 1<<40)
-	addr, door := beginNode(t, dir, fmt.Sprintf(`{"addresses":[%q],"keep":true}`, r.addr()))
-	r.tell(listOf(5, true, serving("q", p.Addr(), 7, "SERVING")))
+	cacheListAt(t, dir, unreachableAddr, 1<<40)
+	addr, adminAddr := launchNode(t, dir, fmt.Sprintf(`{"addresses":[%q],"keep":true}`, r.addr()))
+	r.publish(listJSON(5, true, memberJSON("q", p.Addr(), 7, "SERVING")))
 	testkit.Eventually(t, "the server's list holds", func() bool {
-		_, text := testkit.CallAdmin(t, door, "GET", "/ops/stats")
+		_, text := testkit.CallAdmin(t, adminAddr, "GET", "/ops/stats")
 		return strings.Contains(text, "router.list_revision:5|")
 	})
-	mustAnswer(t, addr, testkit.EnqueueRequest("m1", ofStatus, "x"), "+OK")
+	mustAnswer(t, addr, testkit.EnqueueRequest("m1", statusFields, "x"), "+OK")
 	p.Next(t)
 	mustAnswer(t, addr, testkit.EnqueueRequest("m2", "c=status,d=50000,dest=8", "x"), "-ERR unknown destination")
 	testkit.Eventually(t, "the start is told", func() bool {
-		_, text := testkit.CallAdmin(t, door, "GET", "/ops/stats")
+		_, text := testkit.CallAdmin(t, adminAddr, "GET", "/ops/stats")
 		return !strings.Contains(text, "router.start_list_ms:-1|") && !strings.Contains(text, "router.start_delivery_ms:-1|")
 	})
 }
--- a/internal/node/successors.go
+++ b/internal/node/successors.go
@@ -10,10 +10,10 @@
 	"harrierramp/internal/handover"
 )
 
-const successorGrace = 500 * time.Millisecond // for a process to say what it comes for
+const successorRequestTimeout = 500 * time.Millisecond // for a process to say what it comes for
 
 // successors hands each process that asks to the loop, until ln is closed.
-func (n *Node) successors(ctx context.Context, ln *net.UnixListener) {
+func (n *Node) acceptSuccessors(ctx context.Context, ln *net.UnixListener) {
 	for {
 		nc, err := ln.AcceptUnix()
 		if err != nil {
@@ -22,12 +22,12 @@
 			}
 			continue
 		}
-		l := &handover.Link{C: nc}
-		if err := nc.SetReadDeadline(time.Now().Add(successorGrace)); err == nil {
+		l := &handover.Link{Conn: nc}
+		if err := nc.SetReadDeadline(time.Now().Add(successorRequestTimeout)); err == nil {
 			var f handover.Frame
 			if f, _, err = l.Receive(); err == nil && f.Ask && nc.SetReadDeadline(time.Time{}) == nil {
 				select {
-				case n.asks <- l:
+				case n.handoverRequests <- l:
 					continue
 				case <-ctx.Done():
 				}
--- a/internal/node/upgrade_test.go
+++ b/internal/node/upgrade_test.go
@@ -26,21 +26,21 @@
 
 // platform holds the clients' socket, as it does in service, and starts processes of one node on it.
 type platform struct {
-	t        *testing.T
-	r        *registry
-	state    string
-	known    []string
-	listener *net.TCPListener
-	passed   *os.File
+	t         *testing.T
+	discovery *fakeDiscovery
+	state     string
+	known     []string
+	listener  *net.TCPListener
+	passed    *os.File
 }
 
-func newPlatform(t *testing.T, r *registry, known ...string) *platform {
+func newPlatform(t *testing.T, r *fakeDiscovery, known ...string) *platform {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &platform{t: t, r: r, state: t.TempDir(), known: known, listener: ln.(*net.TCPListener)}
+	p := &platform{t: t, discovery: r, state: t.TempDir(), known: known, listener: ln.(*net.TCPListener)}
 	if p.passed, err = p.listener.File(); err != nil {
 		t.Fatal(err)
 	}
@@ -53,9 +53,9 @@
 // process is one process of the node.
 type process struct {
 	*exec.Cmd
-	door  string
-	ended chan struct{}
-	err   error
+	adminAddr string
+	exited    chan struct{}
+	err       error
 }
 
 // start starts a process with more of an environment; its door is open when start returns.
@@ -63,7 +63,7 @@
 	p.t.Helper()
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(append(os.Environ(), "CORALYARD_TEST_CHILD=upgrade", "ROUTER_STATE="+p.state,
-		"ROUTER_CONFIG="+writeConfig(p.t, p.addr(), p.r.addr(), p.known...)), env...)
+		"ROUTER_CONFIG="+writeConfig(p.t, p.addr(), p.discovery.addr(), p.known...)), env...)
 	cmd.Stderr = os.Stderr
 	cmd.ExtraFiles = []*os.File{p.passed}
 	out, err := cmd.StdoutPipe()
@@ -73,15 +73,15 @@
 	if err := cmd.Start(); err != nil {
 		p.t.Fatal(err)
 	}
-	c := &process{Cmd: cmd, ended: make(chan struct{})}
+	c := &process{Cmd: cmd, exited: make(chan struct{})}
 	line, err := bufio.NewReader(out).ReadString('\n')
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	c.door = strings.TrimSpace(line)
+	c.adminAddr = strings.TrimSpace(line)
 	go func() {
 		c.err = cmd.Wait()
-		close(c.ended)
+		close(c.exited)
 	}()
 	p.t.Cleanup(func() { c.kill(p.t) })
 	return c
@@ -96,29 +96,29 @@
 }
 
 func (c *process) ready(t *testing.T) bool {
-	code, _ := testkit.CallAdmin(t, c.door, "GET", "/ops/readiness")
+	code, _ := testkit.CallAdmin(t, c.adminAddr, "GET", "/ops/readiness")
 	return code == http.StatusNoContent
 }
 
 func (c *process) kill(t *testing.T) {
 	select {
-	case <-c.ended:
+	case <-c.exited:
 	default:
 		if err := c.Process.Kill(); err != nil && !errors.Is(err, os.ErrProcessDone) {
 			t.Error(err)
 		}
-		<-c.ended
+		<-c.exited
 	}
 }
 
 // term ends it as the platform does, and wants it to end well.
-func (c *process) term(t *testing.T) {
+func (c *process) terminate(t *testing.T) {
 	t.Helper()
 	if err := c.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	select {
-	case <-c.ended:
+	case <-c.exited:
 	case <-time.After(testkit.WaitTimeout):
 		t.Fatal("it does not end")
 	}
@@ -133,7 +133,7 @@
 	if err != nil {
 		return err
 	}
-	door, err := net.Listen("tcp", "127.0.0.1:0")
+	adminLn, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
@@ -144,30 +144,30 @@
 	n := New(cfg, slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError})))
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
-	defer n.ServeOperators(door)()
-	fmt.Println(door.Addr())
+	defer n.ServeAdmin(adminLn)()
+	fmt.Println(adminLn.Addr())
 	return n.Run(ctx, ln)
 }
 
 // One call is out and messages are held when the successor comes: the call ends at the old process and counts at
 // the new, nothing is sent or taken on twice, and connections go on, whatever has been read of a request.
-func TestUpgradeUnderWay(t *testing.T) {
+func TestUpgradeWithCallInFlight(t *testing.T) {
 	t.Parallel()
 	answer := make(chan struct{})
 	p, r := testkit.NewPartner(t, func(nc net.Conn, _ *http.Request) bool {
 		<-answer
 		_, err := io.WriteString(nc, testkit.DeliveredResponse)
 		return err == nil
-	}), newRegistry(t)
-	node := newPlatform(t, r, serving("e", p.Addr(), 7, "SERVING"), serving("f", "127.0.0.1:9", 8, "DRAINING"))
+	}), newFakeDiscovery(t)
+	node := newPlatform(t, r, memberJSON("e", p.Addr(), 7, "SERVING"), memberJSON("f", "127.0.0.1:9", 8, "DRAINING"))
 	old := node.serve()
-	mustAnswer(t, node.addr(), testkit.EnqueueRequest("out", ofPayout, ""), "+OK")
+	mustAnswer(t, node.addr(), testkit.EnqueueRequest("out", payoutFields, ""), "+OK")
 	p.Next(t)
 	mustAnswer(t, node.addr(), testkit.EnqueueRequest("held", "c=payout,d=50000,dest=8", ""), "+OK")
 	idle, idleR := testkit.Dial(t, node.addr())
 	testkit.MustExchange(t, idle, idleR, testkit.EncodeRESP("PING"), "+PONG")
 	half, halfR := testkit.Dial(t, node.addr())
-	text := testkit.EnqueueRequest("half", ofStatus, "body")
+	text := testkit.EnqueueRequest("half", statusFields, "body")
 	if _, err := io.WriteString(half, text[:30]); err != nil {
 		t.Fatal(err)
 	}
@@ -177,36 +177,36 @@
 		t.Error("both say that they serve")
 	}
 	testkit.MustExchange(t, half, halfR, text[30:], "+OK")
-	testkit.MustExchange(t, idle, idleR, testkit.EnqueueRequest("out", ofPayout, ""), "+OK") // taken on before: no second effect
+	testkit.MustExchange(t, idle, idleR, testkit.EnqueueRequest("out", payoutFields, ""), "+OK") // taken on before: no second effect
 	testkit.MustExchange(t, idle, idleR, testkit.EnqueueRequest("held", "c=payout,d=50000,dest=8", ""), "+OK")
-	mustFigure(t, next.door, "router.active", "3|g")
-	mustFigure(t, old.door, "router.active", "0|g")
+	mustMetric(t, next.adminAddr, "router.active", "3|g")
+	mustMetric(t, old.adminAddr, "router.active", "0|g")
 	close(answer)
 	if got := p.Next(t).Header.Get("X-Trace-Id"); got != "half" {
 		t.Errorf("got a call for %q", got)
 	}
-	mustFigure(t, next.door, "router.ok.payout", "1|c")
-	mustFigure(t, next.door, "router.ok.status", "1|c")
-	old.term(t)
+	mustMetric(t, next.adminAddr, "router.ok.payout", "1|c")
+	mustMetric(t, next.adminAddr, "router.ok.status", "1|c")
+	old.terminate(t)
 	testkit.MustExchange(t, idle, idleR, testkit.EncodeRESP("PING"), "+PONG")
 	testkit.MustExchange(t, half, halfR, testkit.EncodeRESP("PING"), "+PONG")
-	r.tell(listOf(2, false, serving("f", p.Addr(), 8, "SERVING")))
+	r.publish(listJSON(2, false, memberJSON("f", p.Addr(), 8, "SERVING")))
 	if got := p.Next(t).Header.Get("X-Trace-Id"); got != "held" {
 		t.Errorf("got a call for %q", got)
 	}
 	if calls, _ := p.Counts(); calls != 3 {
 		t.Errorf("%d calls for 3 messages", calls)
 	}
-	mustFigure(t, next.door, "router.ok.payout", "2|c")
-	mustFigure(t, next.door, "router.errors.payout", "0|c")
-	mustFigure(t, next.door, "router.active", "0|g")
+	mustMetric(t, next.adminAddr, "router.ok.payout", "2|c")
+	mustMetric(t, next.adminAddr, "router.errors.payout", "0|c")
+	mustMetric(t, next.adminAddr, "router.active", "0|g")
 }
 
 // Clients go on handing in messages over several upgrades: none is turned away or unheard, each is delivered once.
 func TestUpgradesUnderLoad(t *testing.T) {
 	t.Parallel()
-	p, r := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newRegistry(t)
-	node := newPlatform(t, r, serving("e", p.Addr(), 7, "SERVING"))
+	p, r := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newFakeDiscovery(t)
+	node := newPlatform(t, r, memberJSON("e", p.Addr(), 7, "SERVING"))
 	process := node.serve()
 	stop := make(chan struct{})
 	go func() { // the endpoint waits for whoever takes note of its calls
@@ -229,7 +229,7 @@
 					return
 				default:
 				}
-				if _, err := io.WriteString(nc, testkit.EnqueueRequest(fmt.Sprint(w, "-", sent[w]), ofPayout, "body")); err != nil {
+				if _, err := io.WriteString(nc, testkit.EnqueueRequest(fmt.Sprint(w, "-", sent[w]), payoutFields, "body")); err != nil {
 					t.Error(err)
 					return
 				}
@@ -247,7 +247,7 @@
 	}
 	for range 3 {
 		next := node.serve()
-		process.term(t)
+		process.terminate(t)
 		process = next
 	}
 	close(stop)
@@ -256,7 +256,7 @@
 	for _, n := range sent {
 		total += n
 	}
-	mustFigure(t, process.door, "router.active", "0|g")
+	mustMetric(t, process.adminAddr, "router.active", "0|g")
 	testkit.Eventually(t, "all is delivered", func() bool { calls, _ := p.Counts(); return calls >= total })
 	seen := map[string]bool{}
 	p.Mu.Lock()
@@ -274,45 +274,45 @@
 }
 
 // What operators have told outlasts an upgrade, a drain too; orders reach the node at either door.
-func TestOrdersOutlastAnUpgrade(t *testing.T) {
+func TestOperatorOverridesSurviveUpgrade(t *testing.T) {
 	t.Parallel()
-	p, r := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newRegistry(t)
-	node := newPlatform(t, r, serving("e", p.Addr(), 7, "SERVING"))
+	p, r := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newFakeDiscovery(t)
+	node := newPlatform(t, r, memberJSON("e", p.Addr(), 7, "SERVING"))
 	old := node.serve()
-	testkit.MustCallAdmin(t, old.door, "PUT", "/ops/endpoints/down?id=e", 204)
-	testkit.MustCallAdmin(t, old.door, "PUT", "/ops/drain/start", 204)
+	testkit.MustCallAdmin(t, old.adminAddr, "PUT", "/ops/endpoints/down?id=e", 204)
+	testkit.MustCallAdmin(t, old.adminAddr, "PUT", "/ops/drain/start", 204)
 	next := node.serve()
-	mustFigure(t, next.door, "router.pool_ejected", "1|g")
+	mustMetric(t, next.adminAddr, "router.pool_ejected", "1|g")
 	if got := testkit.Exchange(t, node.addr(), testkit.EncodeRESP("PING")); got == "+PONG" {
 		t.Error("the drain is lost")
 	}
-	testkit.MustCallAdmin(t, old.door, "PUT", "/ops/endpoints/up?id=nobody", 404)
-	testkit.MustCallAdmin(t, old.door, "PUT", "/ops/drain/stop", 204)
+	testkit.MustCallAdmin(t, old.adminAddr, "PUT", "/ops/endpoints/up?id=nobody", 404)
+	testkit.MustCallAdmin(t, old.adminAddr, "PUT", "/ops/drain/stop", 204)
 	mustAnswer(t, node.addr(), testkit.EncodeRESP("PING"), "+PONG")
-	mustAnswer(t, node.addr(), testkit.EnqueueRequest("a", ofStatus, ""), "+OK")
+	mustAnswer(t, node.addr(), testkit.EnqueueRequest("a", statusFields, ""), "+OK")
 	if calls, _ := p.Counts(); calls != 0 {
 		t.Errorf("%d calls at an endpoint that is out", calls)
 	}
-	testkit.MustCallAdmin(t, old.door, "PUT", "/ops/endpoints/up?id=e", 204)
+	testkit.MustCallAdmin(t, old.adminAddr, "PUT", "/ops/endpoints/up?id=e", 204)
 	p.Next(t)
-	old.term(t)
+	old.terminate(t)
 }
 
 // The old process is killed, with a call out, before or after the handover: the message that may not be repeated
 // fails, the one that may is sent again, and the drain holds.
-func TestOldProcessIsKilled(t *testing.T) {
+func TestPredecessorKilledDuringUpgrade(t *testing.T) {
 	t.Parallel()
 	for _, after := range []bool{false, true} {
 		t.Run(fmt.Sprint("after the handover ", after), func(t *testing.T) {
 			t.Parallel()
-			p, r := testkit.NewPartner(t, testkit.NeverRespond), newRegistry(t)
-			node := newPlatform(t, r, serving("e", p.Addr(), 7, "SERVING"))
+			p, r := testkit.NewPartner(t, testkit.NeverRespond), newFakeDiscovery(t)
+			node := newPlatform(t, r, memberJSON("e", p.Addr(), 7, "SERVING"))
 			old := node.serve()
-			mustAnswer(t, node.addr(), testkit.EnqueueRequest("unsafe", ofPayout, ""), "+OK")
+			mustAnswer(t, node.addr(), testkit.EnqueueRequest("unsafe", payoutFields, ""), "+OK")
 			p.Next(t)
-			mustAnswer(t, node.addr(), testkit.EnqueueRequest("safe", ofStatus, ""), "+OK")
+			mustAnswer(t, node.addr(), testkit.EnqueueRequest("safe", statusFields, ""), "+OK")
 			p.Next(t)
-			testkit.MustCallAdmin(t, old.door, "PUT", "/ops/drain/start", 204)
+			testkit.MustCallAdmin(t, old.adminAddr, "PUT", "/ops/drain/start", 204)
 			var next *process
 			if after {
 				next = node.serve()
@@ -328,23 +328,23 @@
 				old.kill(t)
 				testkit.Eventually(t, "it is ready", func() bool { return next.ready(t) })
 			}
-			testkit.Eventually(t, "the failure is told", func() bool { return r.state("unsafe") == "failed" })
+			testkit.Eventually(t, "the failure is told", func() bool { return r.noticeState("unsafe") == "failed" })
 			if got := p.Next(t).Header.Get("X-Trace-Id"); got != "safe" {
 				t.Errorf("got a call for %q", got)
 			}
 			if got := testkit.Exchange(t, node.addr(), testkit.EncodeRESP("PING")); got == "+PONG" {
 				t.Error("the drain is lost")
 			}
-			mustFigure(t, next.door, "router.errors.payout", "1|c")
+			mustMetric(t, next.adminAddr, "router.errors.payout", "1|c")
 		})
 	}
 }
 
 // The new process ends, having served for a while or in the middle of the handover: the old one goes on.
-func TestNewProcessFails(t *testing.T) {
+func TestPredecessorResumesWhenSuccessorFails(t *testing.T) {
 	t.Parallel()
-	p, r := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newRegistry(t)
-	node := newPlatform(t, r, serving("e", p.Addr(), 7, "SERVING"), serving("f", "127.0.0.1:9", 8, "DRAINING"))
+	p, r := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newFakeDiscovery(t)
+	node := newPlatform(t, r, memberJSON("e", p.Addr(), 7, "SERVING"), memberJSON("f", "127.0.0.1:9", 8, "DRAINING"))
 	old := node.serve()
 	mustAnswer(t, node.addr(), testkit.EnqueueRequest("a", "c=payout,d=50000,dest=8", ""), "+OK")
 
@@ -353,36 +353,36 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := errors.Join(c.From.Close(), c.Lock.Close()); err != nil {
+	if err := errors.Join(c.Predecessor.Close(), c.Lock.Close()); err != nil {
 		t.Fatal(err)
 	}
 	testkit.Eventually(t, "the old one serves again", func() bool { return old.ready(t) })
 	mustAnswer(t, node.addr(), testkit.EnqueueRequest("b", "c=payout,d=50000,dest=8", ""), "+OK")
 
 	next := node.serve()
-	mustAnswer(t, node.addr(), testkit.EnqueueRequest("c", ofPayout, ""), "+OK")
+	mustAnswer(t, node.addr(), testkit.EnqueueRequest("c", payoutFields, ""), "+OK")
 	p.Next(t)
-	testkit.MustCallAdmin(t, next.door, "PUT", "/ops/endpoints/down?id=e", 204)
+	testkit.MustCallAdmin(t, next.adminAddr, "PUT", "/ops/endpoints/down?id=e", 204)
 	next.kill(t)
 	testkit.Eventually(t, "the old one serves again", func() bool { return old.ready(t) })
 	mustAnswer(t, node.addr(), testkit.EnqueueRequest("a", "c=payout,d=50000,dest=8", ""), "+OK") // still known
-	mustAnswer(t, node.addr(), testkit.EnqueueRequest("d", ofPayout, ""), "+OK")                  // for an endpoint that is out
-	mustFigure(t, old.door, "router.active", "3|g")
-	r.tell(listOf(2, false, serving("f", p.Addr(), 8, "SERVING")))
+	mustAnswer(t, node.addr(), testkit.EnqueueRequest("d", payoutFields, ""), "+OK")              // for an endpoint that is out
+	mustMetric(t, old.adminAddr, "router.active", "3|g")
+	r.publish(listJSON(2, false, memberJSON("f", p.Addr(), 8, "SERVING")))
 	seen := map[string]bool{}
 	for range 2 {
 		seen[p.Next(t).Header.Get("X-Trace-Id")] = true
 	}
-	testkit.MustCallAdmin(t, old.door, "PUT", "/ops/endpoints/up?id=e", 204)
+	testkit.MustCallAdmin(t, old.adminAddr, "PUT", "/ops/endpoints/up?id=e", 204)
 	seen[p.Next(t).Header.Get("X-Trace-Id")] = true
 	if calls, _ := p.Counts(); len(seen) != 3 || seen["c"] || calls != 4 {
 		t.Errorf("sent afterwards: %v, of %d calls", seen, calls)
 	}
-	old.term(t)
+	old.terminate(t)
 }
 
 // A plain start on a folder whose path is too long for a socket's address is able to hand over as well.
-func TestLongPathOfState(t *testing.T) {
+func TestHandoverSocketWithLongStatePath(t *testing.T) {
 	t.Parallel()
 	dir := filepath.Join(t.TempDir(), strings.Repeat("long", 40))
 	if err := os.Mkdir(dir, 0o700); err != nil {
@@ -407,8 +407,8 @@
 
 // Another process that has the socket may make it a blocking one at any moment: an accept still heeds a pause and a
 // close, and closing it here does not end it there.
-func TestPassedListenerIsNeverStuck(t *testing.T) {
-	node := newPlatform(t, newRegistry(t))
+func TestPassedListenerObeysDeadlineAndClose(t *testing.T) {
+	node := newPlatform(t, newFakeDiscovery(t))
 	number, err := syscall.Dup(int(node.passed.Fd()))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/outbox/outbox.go
+++ b/internal/outbox/outbox.go
@@ -16,33 +16,35 @@
 )
 
 const (
-	maxPost    = 64 << 10 // of a post, which maxNotices keeps to
-	maxNotices = 32       // in one post: with the longest ids, every byte escaped, its body stays under 64 KiB
+	maxPostBytes      = 64 << 10 // of a post, which maxNotices keeps to
+	maxNoticesPerPost = 32       // in one post: with the longest ids, every byte escaped, its body stays under 64 KiB
 
-	agentTimeout = 200 * time.Millisecond // a notice is overdue 300 ms after its message's time: there is time for two posts
-	agentPause   = 50 * time.Millisecond
+	agentTimeout  = 200 * time.Millisecond // a notice is overdue 300 ms after its message's time: there is time for two posts
+	agentMaxPause = 50 * time.Millisecond
 
 	serviceTimeout = 500 * time.Millisecond
 	// A list service that took longer than serviceTimeout for every post would never be heard to take any, and be given
 	// each again and again.
-	servicePatience = 4 * time.Second
+	serviceMaxTimeout = 4 * time.Second
 )
 
 // Pace is how posts are repeated that are not taken.
-type Pace struct {
-	Timeout, Patience time.Duration // a post is given up after Timeout, later ones after up to Patience
-	LastPause         time.Duration // pauses between posts grow up to this
+type RetryPolicy struct {
+	Timeout, MaxTimeout time.Duration // a post is given up after Timeout, later ones after up to Patience
+	MaxPause            time.Duration // pauses between posts grow up to this
 }
 
 // AgentPace is for an agent on the node's own machine, which answers at once and at no cost.
-func AgentPace() Pace { return Pace{agentTimeout, agentTimeout, agentPause} }
+func AgentRetryPolicy() RetryPolicy { return RetryPolicy{agentTimeout, agentTimeout, agentMaxPause} }
 
 // ServicePace is for a list service that a fleet shares and that may be slow.
-func ServicePace() Pace { return Pace{serviceTimeout, servicePatience, backoff.MaxDelay} }
+func ServiceRetryPolicy() RetryPolicy {
+	return RetryPolicy{serviceTimeout, serviceMaxTimeout, backoff.MaxDelay}
+}
 
 // Notice tells the platform how a message ended that was taken on and not delivered.
 type Notice struct {
-	Of      *journal.Message `json:"-"`
+	Message *journal.Message `json:"-"`
 	ID      string           `json:"id"`
 	State   string           `json:"state"`
 	AfterMS int64            `json:"after_ms,omitempty"`
@@ -51,9 +53,9 @@
 // NewNotice is the notice of a message that has its final answer.
 func NewNotice(p *journal.Message) Notice {
 	if p.Ended.Failed {
-		return Notice{Of: p, ID: p.ID, State: "failed"}
+		return Notice{Message: p, ID: p.ID, State: "failed"}
 	}
-	return Notice{Of: p, ID: p.ID, State: "returned", AfterMS: p.Ended.RetryAfter.Milliseconds()}
+	return Notice{Message: p, ID: p.ID, State: "returned", AfterMS: p.Ended.RetryAfter.Milliseconds()}
 }
 
 // Run posts the notices that come, in order, until ctx ends. A post that is not taken is made again, for a
@@ -61,37 +63,37 @@
 // done; the journal keeps the rest for the next start. After each post that was given up for its time, one waits twice as
 // long for the next, as far as the pace allows.
 func Run(
-	ctx context.Context, log *slog.Logger, client *http.Client, at *listwatch.Addresses, pace Pace, notices <-chan []Notice,
-	done func([]Notice),
+	ctx context.Context, log *slog.Logger, client *http.Client, addrs *listwatch.Addresses, policy RetryPolicy, notices <-chan []Notice,
+	accepted func([]Notice),
 ) {
-	wait := pace.Timeout
-	for turn := 0; ; {
+	timeout := policy.Timeout
+	for serverIndex := 0; ; {
 		var batch []Notice
 		select {
 		case batch = <-notices:
 		case <-ctx.Done():
 			return
 		}
-		pause := backoff.Backoff{Initial: backoff.InitialDelay, Max: pace.LastPause}
+		pause := backoff.Backoff{Initial: backoff.InitialDelay, Max: policy.MaxPause}
 		for len(batch) > 0 {
-			some := batch[:min(len(batch), maxNotices)]
-			addr, here, cancel := at.Pick(ctx, turn)
-			err := post(here, client, addr, some, wait)
+			chunk := batch[:min(len(batch), maxNoticesPerPost)]
+			addr, addrCtx, cancel := addrs.Pick(ctx, serverIndex)
+			err := post(addrCtx, client, addr, chunk, timeout)
 			switch {
 			case err == nil:
-				batch = batch[len(some):]
+				batch = batch[len(chunk):]
 				pause.Reset()
-				wait = max(wait/2, pace.Timeout)
-				done(some)
-			case here.Err() != nil:
+				timeout = max(timeout/2, policy.Timeout)
+				accepted(chunk)
+			case addrCtx.Err() != nil:
 				pause.Reset() // it has moved, or the node ends
 			default:
-				turn++
+				serverIndex++
 				if errors.Is(err, context.DeadlineExceeded) {
-					wait = min(2*wait, pace.Patience)
+					timeout = min(2*timeout, policy.MaxTimeout)
 				}
-				log.Debug("notices_not_taken", "addr", addr, "count", len(some), "err", err)
-				backoff.Sleep(here, pause.Next())
+				log.Debug("notices_not_taken", "addr", addr, "count", len(chunk), "err", err)
+				backoff.Sleep(addrCtx, pause.Next())
 			}
 			cancel()
 			if ctx.Err() != nil {
@@ -102,8 +104,8 @@
 }
 
 // post makes one post of notices, an object a line.
-func post(ctx context.Context, client *http.Client, addr string, batch []Notice, wait time.Duration) error {
-	ctx, cancel := context.WithTimeout(ctx, wait)
+func post(ctx context.Context, client *http.Client, addr string, batch []Notice, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var body bytes.Buffer
 	lines := json.NewEncoder(&body)
--- a/internal/outbox/outbox_test.go
+++ b/internal/outbox/outbox_test.go
@@ -16,7 +16,7 @@
 
 // A backlog of notices, as after a long outage of the platform, goes out whole in bodies that the protocol
 // allows, and each is settled once.
-func TestBacklogOfNoticesKeepsToTheBodyLimit(t *testing.T) {
+func TestNoticeBacklogStaysWithinBodyLimit(t *testing.T) {
 	const count = 100
 	sizes := make(chan int, count)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -38,7 +38,7 @@
 	notices := make(chan []Notice, 1)
 	notices <- batch
 	settled := 0
-	Run(ctx, slog.New(slog.DiscardHandler), srv.Client(), listwatch.NewAddresses([]string{srv.Listener.Addr().String()}), AgentPace(), notices, func(done []Notice) {
+	Run(ctx, slog.New(slog.DiscardHandler), srv.Client(), listwatch.NewAddresses([]string{srv.Listener.Addr().String()}), AgentRetryPolicy(), notices, func(done []Notice) {
 		if settled += len(done); settled >= count {
 			cancel()
 		}
@@ -48,14 +48,14 @@
 	}
 	close(sizes)
 	for n := range sizes {
-		if n > maxPost {
+		if n > maxPostBytes {
 			t.Errorf("a body of %d bytes", n)
 		}
 	}
 }
 
 // A list service that takes longer than usual for every post hears of a notice a few times at most, and not for ever.
-func TestASlowListServiceIsWaitedFor(t *testing.T) {
+func TestSlowListServiceGetsLongerTimeout(t *testing.T) {
 	posts := make(chan struct{}, 100)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		posts <- struct{}{}
@@ -68,7 +68,7 @@
 	notices := make(chan []Notice, 1)
 	notices <- []Notice{NewNotice(&journal.Message{ID: "a", Ended: &journal.Ending{}})}
 	settled := 0
-	Run(ctx, slog.New(slog.DiscardHandler), srv.Client(), listwatch.NewAddresses([]string{srv.Listener.Addr().String()}), ServicePace(), notices, func(done []Notice) {
+	Run(ctx, slog.New(slog.DiscardHandler), srv.Client(), listwatch.NewAddresses([]string{srv.Listener.Addr().String()}), ServiceRetryPolicy(), notices, func(done []Notice) {
 		settled += len(done)
 		cancel()
 	})
--- a/internal/gap/gap_test.go
+++ b/internal/pausemonitor/pausemonitor_test.go
@@ -1,4 +1,4 @@
-package gap
+package pausemonitor
 
 import (
 	"testing"
@@ -9,7 +9,7 @@
 
 const ms = time.Millisecond
 
-func TestWhatAGapDoes(t *testing.T) {
+func TestPauseDetection(t *testing.T) {
 	for name, c := range map[string]struct {
 		gap   time.Duration   // after a second of ticks
 		heard []time.Duration // after its end
@@ -17,20 +17,20 @@
 	}{
 		"none":                       {0, nil, 0},
 		"a late tick":                {900 * ms, nil, 0},
-		"nobody is heard":            {10 * time.Second, nil, Bound},
-		"something lay in a buffer":  {10 * time.Second, []time.Duration{10 * ms}, Bound},
+		"nobody is heard":            {10 * time.Second, nil, MaxStale},
+		"something lay in a buffer":  {10 * time.Second, []time.Duration{10 * ms}, MaxStale},
 		"something is said after it": {10 * time.Second, []time.Duration{10 * ms, 240 * ms}, 250 * ms},
 		"a minute":                   {time.Minute, []time.Duration{150 * ms}, 150 * ms},
 	} {
-		var g Gap
+		var g Monitor
 		now := time.Duration(0)
 		for ; now <= time.Second; now += 50 * ms {
-			if changed, _ := g.Step(now, now); changed || g.Blind() {
+			if changed, _ := g.Step(now, now); changed || g.Stale() {
 				t.Fatalf("%s: blind at %v", name, now)
 			}
 		}
 		now += c.gap - 50*ms
-		end, blind := now, time.Duration(0)
+		end, staleFor := now, time.Duration(0)
 		before := now - max(c.gap, 50*ms)
 		for ; now < end+3*time.Second; now += 50 * ms {
 			heard := time.Duration(0)
@@ -39,29 +39,29 @@
 					heard = end + h
 				}
 			}
-			if g.Step(now, heard); g.Blind() {
-				blind = now - end + 50*ms
+			if g.Step(now, heard); g.Stale() {
+				staleFor = now - end + 50*ms
 			}
 		}
-		long := c.gap
-		if c.gap <= After {
-			long = 0
+		wantUnread := c.gap
+		if c.gap <= MinPause {
+			wantUnread = 0
 		}
-		for at, want := range map[time.Duration]time.Duration{before - ms: 0, end - ms: long, end + Settle: long, end + Settle + ms: 0} {
-			if got := g.Lain(at); got != want {
+		for at, want := range map[time.Duration]time.Duration{before - ms: 0, end - ms: wantUnread, end + ReceiveDelay: wantUnread, end + ReceiveDelay + ms: 0} {
+			if got := g.UnreadFor(at); got != want {
 				t.Errorf("%s: what is read %v after its end may have lain for %v, want %v", name, at-end, got, want)
 			}
 		}
-		if blind != c.blind {
-			t.Errorf("%s: blind for %v, want %v", name, blind, c.blind)
+		if staleFor != c.blind {
+			t.Errorf("%s: blind for %v, want %v", name, staleFor, c.blind)
 		}
 	}
 }
 
 // Whatever the ticks and whatever is heard: never blind for longer than the bound while it runs, never without a gap.
-func TestBlindnessIsBounded(t *testing.T) {
+func TestStalePeriodIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var g Gap
+		var g Monitor
 		now, heard, since, gaps := time.Duration(0), time.Duration(0), time.Duration(0), int64(0)
 		for i := range rapid.IntRange(1, 200).Draw(t, "ticks") {
 			pause := time.Duration(rapid.Int64Range(0, int64(2*time.Second)).Draw(t, "pause"))
@@ -69,15 +69,15 @@
 			if rapid.Bool().Draw(t, "heard") {
 				heard = now
 			}
-			if pause > After && i > 0 {
+			if pause > MinPause && i > 0 {
 				since = now
 				gaps++
 			}
 			g.Step(now, heard)
-			if g.Count != gaps || g.Blind() && (gaps == 0 || now-since >= Bound) || pause > After && i > 0 && !g.Blind() {
-				t.Fatalf("%d gaps of %d, blind %v, %v after the last", g.Count, gaps, g.Blind(), now-since)
+			if g.Pauses != gaps || g.Stale() && (gaps == 0 || now-since >= MaxStale) || pause > MinPause && i > 0 && !g.Stale() {
+				t.Fatalf("%d gaps of %d, blind %v, %v after the last", g.Pauses, gaps, g.Stale(), now-since)
 			}
-			if wait := g.Wait(now); wait <= 0 || wait > Tick {
+			if wait := g.UntilNextStep(now); wait <= 0 || wait > StepInterval {
 				t.Fatalf("it wants to be asked after %v", wait)
 			}
 		}
--- a/internal/statedir/statedir.go
+++ b/internal/statedir/statedir.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	fileName = "node.json"
+	identityFile = "node.json"
 	// Format is that of everything in the folder. It rises when an older build could not read what a newer one writes.
-	Format  = 1
-	maxFile = 4 << 10
+	Format           = 1
+	maxIdentityBytes = 4 << 10
 )
 
 // identity is the folder's mark.
@@ -39,7 +39,7 @@
 	case !info.IsDir():
 		return fmt.Errorf("state folder %s is a file", dir)
 	}
-	f, err := os.Open(filepath.Join(dir, fileName))
+	f, err := os.Open(filepath.Join(dir, identityFile))
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
 	}
@@ -47,13 +47,13 @@
 		return fmt.Errorf("state folder: %w", err)
 	}
 	defer f.Close()
-	raw, err := io.ReadAll(io.LimitReader(f, maxFile))
+	raw, err := io.ReadAll(io.LimitReader(f, maxIdentityBytes))
 	if err != nil {
 		return fmt.Errorf("state folder: %w", err)
 	}
 	var id identity
 	if err := json.Unmarshal(raw, &id); err != nil {
-		return fmt.Errorf("state folder %s: %s can't be read (%w); if the folder is this node's, remove that file", dir, fileName, err)
+		return fmt.Errorf("state folder %s: %s can't be read (%w); if the folder is this node's, remove that file", dir, identityFile, err)
 	}
 	if id.Format > Format {
 		return fmt.Errorf("state folder %s has format %d of a newer version, and this one reads %d; start the newer version", dir, id.Format, Format)
@@ -70,7 +70,7 @@
 	if err != nil {
 		return fmt.Errorf("state folder: %w", err)
 	}
-	path := filepath.Join(dir, fileName)
+	path := filepath.Join(dir, identityFile)
 	if old, err := os.ReadFile(path); err == nil && string(old) == string(raw) {
 		return nil
 	}
