--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -43,7 +43,7 @@
 	rate            float64 // whole lists a second
 	tokens          float64
 	refilledAt      time.Duration
-	nextSlot        [priorities]time.Duration // until when turns of a class are given out
+	promisedUntil   [priorities]time.Duration // until when turns of a class are given out
 	reservations    map[uint64]time.Duration
 	lastReservation uint64
 	sweptAt         time.Duration
@@ -52,79 +52,79 @@
 // NewGate makes a gate for so many whole lists a second; 0 or less admits everything. first is any number that an
 // earlier process of the server does not give out, so that its turns are not taken for this one's.
 func NewLimiter(rate float64, first uint64) *Limiter {
-	g := &Limiter{rate: rate, reservations: map[uint64]time.Duration{}, lastReservation: first}
-	g.tokens = g.burst()
-	return g
+	l := &Limiter{rate: rate, reservations: map[uint64]time.Duration{}, lastReservation: first}
+	l.tokens = l.burst()
+	return l
 }
 
-func (g *Limiter) burst() float64 { return max(1, g.rate*burstWindow.Seconds()) }
+func (l *Limiter) burst() float64 { return max(1, l.rate*burstWindow.Seconds()) }
 
 // floor is how far an ask of a class may take the tokens down: the urgent ones go before what is promised to others.
-func (g *Limiter) minTokens(p Priority) float64 {
+func (l *Limiter) minTokens(p Priority) float64 {
 	switch p {
 	case Renewal:
-		return -renewalBorrowBursts * g.burst()
+		return -renewalBorrowBursts * l.burst()
 	case PartialList:
-		return -g.burst()
+		return -l.burst()
 	}
 	return 0
 }
 
 // Ask tells whether an ask may be served now. If not, wait is when to come, and turn what to say then: a number that no
 // other ask was given, or 0 where too many have one. held is the turn that the ask says it has, 0 for none.
-func (g *Limiter) Admit(now time.Duration, p Priority, presented uint64) (ok bool, wait time.Duration, reservation uint64) {
-	if g == nil || g.rate <= 0 {
+func (l *Limiter) Admit(now time.Duration, p Priority, presented uint64) (ok bool, wait time.Duration, reservation uint64) {
+	if l == nil || l.rate <= 0 {
 		return true, 0, 0
 	}
-	g.refill(now)
-	due, reserved := g.reservations[presented]
-	queued := p == FullList && g.nextSlot[FullList] > now // others have been promised what comes next
-	if reserved && now >= due {
+	l.refill(now)
+	dueAt, reserved := l.reservations[presented]
+	queued := p == FullList && l.promisedUntil[FullList] > now // others have been promised what comes next
+	if reserved && now >= dueAt {
 		queued = false
 	}
-	if left := g.tokens - requestCost[p]; !queued && left >= g.minTokens(p)-1e-9 {
-		g.tokens = left
-		delete(g.reservations, presented)
+	if remaining := l.tokens - requestCost[p]; !queued && remaining >= l.minTokens(p)-1e-9 {
+		l.tokens = remaining
+		delete(l.reservations, presented)
 		return true, 0, 0
 	}
-	if reserved && now < due { // it comes too soon
-		return false, max(due-now, minWait), presented
+	if reserved && now < dueAt { // it comes too soon
+		return false, max(dueAt-now, minWait), presented
 	}
-	delete(g.reservations, presented)
-	at := max(g.nextSlot[p], now) + g.refillTime(requestCost[p])
+	delete(l.reservations, presented)
+	admitAt := max(l.promisedUntil[p], now) + l.refillTime(requestCost[p])
 	if !reserved { // the turns that are out hold the tokens to come; short of them, it takes that long to have one
-		at = max(at, now+g.refillTime(g.minTokens(p)+requestCost[p]-g.tokens))
-		g.nextSlot[p] = at
+		admitAt = max(admitAt, now+l.refillTime(l.minTokens(p)+requestCost[p]-l.tokens))
+		l.promisedUntil[p] = admitAt
 	} else {
-		at = now + g.refillTime(g.minTokens(p)+requestCost[p]-g.tokens)
+		admitAt = now + l.refillTime(l.minTokens(p)+requestCost[p]-l.tokens)
 	}
-	at = max(at, now+minWait)
-	if p != FullList || len(g.reservations) >= maxReservations {
-		return false, at - now, 0
+	admitAt = max(admitAt, now+minWait)
+	if p != FullList || len(l.reservations) >= maxReservations {
+		return false, admitAt - now, 0
 	}
-	g.lastReservation++
-	g.reservations[g.lastReservation] = at
-	return false, at - now, g.lastReservation
+	l.lastReservation++
+	l.reservations[l.lastReservation] = admitAt
+	return false, admitAt - now, l.lastReservation
 }
 
 // span is how long so many tokens take to come.
-func (g *Limiter) refillTime(tokens float64) time.Duration {
-	return time.Duration(max(tokens, 0) / g.rate * float64(time.Second))
+func (l *Limiter) refillTime(tokens float64) time.Duration {
+	return time.Duration(max(tokens, 0) / l.rate * float64(time.Second))
 }
 
-func (g *Limiter) refill(now time.Duration) {
-	g.tokens = min(g.tokens+g.rate*(now-g.refilledAt).Seconds(), g.burst())
-	g.refilledAt = now
-	if now-g.sweptAt < reservationTTL {
+func (l *Limiter) refill(now time.Duration) {
+	l.tokens = min(l.tokens+l.rate*(now-l.refilledAt).Seconds(), l.burst())
+	l.refilledAt = now
+	if now-l.sweptAt < reservationTTL {
 		return
 	}
-	g.sweptAt = now
-	for reservation, due := range g.reservations {
+	l.sweptAt = now
+	for reservation, due := range l.reservations {
 		if now-due > reservationTTL {
-			delete(g.reservations, reservation)
+			delete(l.reservations, reservation)
 		}
 	}
 }
 
 // Out is how many turns are given out and not yet taken.
-func (g *Limiter) Outstanding() int { return len(g.reservations) }
+func (l *Limiter) Outstanding() int { return len(l.reservations) }
--- a/internal/admission/pacer.go
+++ b/internal/admission/pacer.go
@@ -51,25 +51,25 @@
 }
 
 // Cycle is the time in which each member of the fleet has its turn once.
-func (t *Pacer) Cycle() time.Duration { return t.cycle }
+func (p *Pacer) Cycle() time.Duration { return p.cycle }
 
 // First is how long to wait after something that all members notice at the same moment: a start of the whole fleet, or
 // the end of a server.
-func (t *Pacer) InitialDelay() time.Duration {
-	return time.Duration((t.phase + t.phaseWidth*t.rng.Float64()) * float64(t.cycle))
+func (p *Pacer) InitialDelay() time.Duration {
+	return time.Duration((p.phase + p.phaseWidth*p.rng.Float64()) * float64(p.cycle))
 }
 
 // Again is how long to wait after an ask that has failed, and took so long.
-func (t *Pacer) RetryDelay(took time.Duration) time.Duration {
-	jitter := time.Duration((t.rng.Float64() - 0.5) * t.phaseWidth * float64(t.cycle))
-	return max(t.cycle+jitter-max(took, 0), min(t.cycle, MinCycle)/2)
+func (p *Pacer) RetryDelay(took time.Duration) time.Duration {
+	jitter := time.Duration((p.rng.Float64() - 0.5) * p.phaseWidth * float64(p.cycle))
+	return max(p.cycle+jitter-max(took, 0), min(p.cycle, MinCycle)/2)
 }
 
 // Told is how long to wait after an ask that was told to come after a wait: never less, and at most twice that. ok is
 // whether the wait makes sense; if not, the member goes by its own cycle.
-func (t *Pacer) RetryAfter(wait time.Duration) (d time.Duration, ok bool) {
+func (p *Pacer) RetryAfter(wait time.Duration) (d time.Duration, ok bool) {
 	if wait <= 0 || wait > MaxRetryAfter {
-		return t.RetryDelay(0), false
+		return p.RetryDelay(0), false
 	}
-	return wait + time.Duration(t.rng.Float64()*float64(min(wait, maxRetryAfterJitter))), true
+	return wait + time.Duration(p.rng.Float64()*float64(min(wait, maxRetryAfterJitter))), true
 }
--- a/internal/auditlog/audit.go
+++ b/internal/auditlog/audit.go
@@ -31,7 +31,7 @@
 	return a
 }
 
-const serving = "SERVING"
+const phaseServing = "SERVING"
 
 // Finding is the calls of one process of a node at an endpoint, by one version of the list, after that endpoint had been
 // withdrawn or drained and the grace was over.
@@ -64,7 +64,7 @@
 
 // span is a time in which an endpoint was not to be called, by the service's clock; until is 0 for now.
 type withdrawal struct {
-	revision, from, until int64
+	revision, fromMS, untilMS int64
 }
 
 // spans are the times in which each endpoint was out.
@@ -72,12 +72,12 @@
 	out := map[string][]withdrawal{}
 	for _, c := range h.Changes {
 		all := out[c.ID]
-		gone := len(all) > 0 && all[len(all)-1].until == 0
+		withdrawn := len(all) > 0 && all[len(all)-1].untilMS == 0
 		switch {
-		case c.Phase != serving && !gone:
-			out[c.ID] = append(all, withdrawal{revision: c.Revision, from: c.AtMS})
-		case c.Phase == serving && gone:
-			all[len(all)-1].until = max(c.AtMS, 1)
+		case c.Phase != phaseServing && !withdrawn:
+			out[c.ID] = append(all, withdrawal{revision: c.Revision, fromMS: c.AtMS})
+		case c.Phase == phaseServing && withdrawn:
+			all[len(all)-1].untilMS = max(c.AtMS, 1)
 		}
 	}
 	return out
@@ -98,7 +98,7 @@
 }
 
 // Missing notes a node whose record can't be had, and why.
-func (a *Auditor) AddMissing(node, why string) { a.addUnknown(node, 0, "%s", why) }
+func (a *Auditor) AddMissing(node, reason string) { a.addUnknown(node, 0, "%s", reason) }
 
 // life is one process's part of a record.
 type processLog struct {
@@ -114,20 +114,20 @@
 }
 
 type call struct {
-	endpoint    string
-	revision    int64
-	from, until int64 // written between, node's clock; until 0 while the process may still write it
-	outcome     Outcome
+	endpoint                  string
+	revision                  int64
+	writtenFrom, writtenUntil int64 // written between, node's clock; until 0 while the process may still write it
+	outcome                   Outcome
 }
 
 type staleNote struct {
-	at     int64
+	atMS   int64
 	reason string
 }
 
 // Add takes a node's record in. A record that can't be read is told among what is unknown.
 func (a *Auditor) Add(node string, raw []byte) {
-	lines, damaged, err := Parse(raw)
+	entries, damaged, err := Parse(raw)
 	a.report.Nodes++
 	if err != nil {
 		a.addUnknown(node, 0, "%v", err)
@@ -138,21 +138,21 @@
 	}
 	processes := map[uint32]*processLog{}
 	var current *processLog
-	for _, l := range lines {
-		if l.Header != nil {
+	for _, e := range entries {
+		if e.Header != nil {
 			previous := current
-			if current = processes[l.Header.Incarnation]; current == nil && previous != nil && l.AtMS >= previous.lastMS {
-				previous.endedMS = l.AtMS // a folder has one process at a time
+			if current = processes[e.Header.Incarnation]; current == nil && previous != nil && e.AtMS >= previous.lastMS {
+				previous.endedMS = e.AtMS // a folder has one process at a time
 			}
 			if current == nil {
-				current = &processLog{header: *l.Header, pending: map[int64]int{}, clockError: -1}
-				processes[l.Header.Incarnation] = current
+				current = &processLog{header: *e.Header, pending: map[int64]int{}, clockError: -1}
+				processes[e.Header.Incarnation] = current
 			}
 		}
 		if current == nil { // its head was damaged
 			continue
 		}
-		current.add(l)
+		current.add(e)
 	}
 	withdrawals := a.History.withdrawals()
 	for _, n := range slices.Sorted(maps.Keys(processes)) {
@@ -160,47 +160,47 @@
 	}
 }
 
-func (x *processLog) add(l Entry) {
-	x.lostEntries, x.lastMS = x.lostEntries+l.LostEntries, max(x.lastMS, l.AtMS)
-	for _, b := range l.Starts {
-		x.pending[b.Seq] = len(x.calls)
-		x.calls = append(x.calls, call{endpoint: b.Endpoint, revision: l.Revision, from: l.AtMS})
+func (p *processLog) add(entry Entry) {
+	p.lostEntries, p.lastMS = p.lostEntries+entry.LostEntries, max(p.lastMS, entry.AtMS)
+	for _, b := range entry.Starts {
+		p.pending[b.Seq] = len(p.calls)
+		p.calls = append(p.calls, call{endpoint: b.Endpoint, revision: entry.Revision, writtenFrom: entry.AtMS})
 	}
-	for _, e := range l.Ends {
-		i, known := x.pending[e.Seq]
+	for _, e := range entry.Ends {
+		i, known := p.pending[e.Seq]
 		if !known {
 			continue
 		}
-		c := &x.calls[i]
+		c := &p.calls[i]
 		if c.outcome = e.Outcome; e.Outcome != OutcomeUnsent {
-			c.from, c.until = e.WriteStartMS, e.WriteStartMS+e.WriteTookMS
+			c.writtenFrom, c.writtenUntil = e.WriteStartMS, e.WriteStartMS+e.WriteTookMS
 		}
-		delete(x.pending, e.Seq)
+		delete(p.pending, e.Seq)
 	}
-	if s := l.ClockSync; s != nil {
+	if s := entry.ClockSync; s != nil {
 		// The server read its clock between the exchange's beginning and its end.
-		if half := (s.TookMS + 1) / 2; x.clockError < 0 || half < x.clockError {
-			x.clockOffset, x.clockError = s.ServerMS-(s.EndedMS-s.TookMS/2), half
+		if half := (s.TookMS + 1) / 2; p.clockError < 0 || half < p.clockError {
+			p.clockOffset, p.clockError = s.ServerMS-(s.EndedMS-s.TookMS/2), half
 		}
 	}
-	if l.StaleReason != "" {
-		x.staleNotes = append(x.staleNotes, staleNote{l.AtMS, l.StaleReason})
+	if entry.StaleReason != "" {
+		p.staleNotes = append(p.staleNotes, staleNote{entry.AtMS, entry.StaleReason})
 	}
 }
 
 // why is the last trouble up to a moment.
-func (x *processLog) staleReasonAt(at int64) string {
-	why := "not told"
-	for _, t := range x.staleNotes {
-		if t.at <= at {
-			why = t.reason
+func (p *processLog) staleReasonAt(atMS int64) string {
+	reason := "not told"
+	for _, note := range p.staleNotes {
+		if note.atMS <= atMS {
+			reason = note.reason
 		}
 	}
-	return why
+	return reason
 }
 
-func (a *Auditor) addUnknown(node string, n uint32, format string, args ...any) {
-	a.report.Unknown = append(a.report.Unknown, Unknown{node, n, fmt.Sprintf(format, args...)})
+func (a *Auditor) addUnknown(node string, incarnation uint32, format string, args ...any) {
+	a.report.Unknown = append(a.report.Unknown, Unknown{node, incarnation, fmt.Sprintf(format, args...)})
 }
 
 // hold looks at every call of a life.
@@ -221,10 +221,10 @@
 	grace, slack := a.Grace.Milliseconds(), a.Slack.Milliseconds()+p.clockError
 	for _, c := range p.calls {
 		a.report.Calls++
-		if c.until == 0 {
-			c.until = p.endedMS
+		if c.writtenUntil == 0 {
+			c.writtenUntil = p.endedMS
 		}
-		if c.outcome == OutcomeUnsent || c.from+p.clockOffset < a.SinceMS {
+		if c.outcome == OutcomeUnsent || c.writtenFrom+p.clockOffset < a.SinceMS {
 			continue
 		}
 		if c.revision < a.History.Floor {
@@ -239,7 +239,7 @@
 			f := found[k]
 			if f == nil {
 				f = &Finding{
-					Node: p.header.Node, Incarnation: p.header.Incarnation, Endpoint: c.endpoint, Revision: c.revision, WithdrawnRevision: w.revision, Reason: p.staleReasonAt(c.from),
+					Node: p.header.Node, Incarnation: p.header.Incarnation, Endpoint: c.endpoint, Revision: c.revision, WithdrawnRevision: w.revision, Reason: p.staleReasonAt(c.writtenFrom),
 				}
 				if c.revision >= w.revision {
 					f.Reason = "it knew"
@@ -272,20 +272,20 @@
 )
 
 // judge holds a call against a time in which its endpoint was out, and tells how long after the withdrawal it was made.
-func (c call) classify(s withdrawal, offset, grace, slack int64) (verdict, int64) {
-	from, until := c.from+offset, c.until+offset
-	if c.until == 0 { // from its beginning on, nobody knows when it was written, if it was
+func (c call) classify(w withdrawal, offset, grace, slack int64) (verdict, int64) {
+	from, until := c.writtenFrom+offset, c.writtenUntil+offset
+	if c.writtenUntil == 0 { // from its beginning on, nobody knows when it was written, if it was
 		until = 1 << 62
 	}
-	begins, ends := s.from+grace, int64(1<<62)
-	if s.until != 0 {
-		ends = s.until
+	lateFrom, lateUntil := w.fromMS+grace, int64(1<<62)
+	if w.untilMS != 0 {
+		lateUntil = w.untilMS
 	}
 	switch {
-	case until+slack < begins || from-slack > ends:
+	case until+slack < lateFrom || from-slack > lateUntil:
 		return inTime, 0
-	case from-slack > begins && until+slack < ends && c.outcome == OutcomeAnswered:
-		return late, until - s.from
+	case from-slack > lateFrom && until+slack < lateUntil && c.outcome == OutcomeAnswered:
+		return late, until - w.fromMS
 	}
 	return unsure, 0
 }
--- a/internal/auditlog/auditlog_test.go
+++ b/internal/auditlog/auditlog_test.go
@@ -19,9 +19,9 @@
 
 func (c *fakeClock) now() time.Time { return c.at }
 
-func openLog(t testing.TB, dir string, most int64, life uint32, c *fakeClock) *Log {
+func openLog(t testing.TB, dir string, maxBytes int64, incarnation uint32, c *fakeClock) *Log {
 	t.Helper()
-	r, err := Open(dir, most, Header{Node: "n", Incarnation: life}, c.now)
+	r, err := Open(dir, maxBytes, Header{Node: "n", Incarnation: incarnation}, c.now)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,8 +80,8 @@
 // However much is written, the files stay within their bound, each can be read by itself, and the newest lines stand.
 func TestLogSizeIsBounded(t *testing.T) {
 	dir, c := t.TempDir(), &fakeClock{time.Now()}
-	const most = 32 << 10
-	r := openLog(t, dir, most, 3, c)
+	const maxBytes = 32 << 10
+	r := openLog(t, dir, maxBytes, 3, c)
 	for i := range 5000 {
 		if err := r.Write(Entry{Revision: 1, Starts: []CallStart{{int64(i), "endpoint"}}}); err != nil {
 			t.Fatal(err)
@@ -99,12 +99,12 @@
 		}
 		size += info.Size()
 	}
-	if size > most+512 || size < most/2 {
-		t.Errorf("%d bytes, %d at most", size, most)
+	if size > maxBytes+512 || size < maxBytes/2 {
+		t.Errorf("%d bytes, %d at most", size, maxBytes)
 	}
 	r.Close()
 	c.at = c.at.Add(MaxAge + time.Hour)
-	openLog(t, dir, most, 4, c).Close()
+	openLog(t, dir, maxBytes, 4, c).Close()
 	if _, err := os.Stat(filepath.Join(dir, PreviousName)); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("the older part is still there: %v", err)
 	}
@@ -181,10 +181,10 @@
 		endpoints[names[i]] = &state{}
 	}
 	lines := map[string][]Entry{}
-	offset, heard, seq := map[string]int64{}, map[string]int64{}, int64(0)
+	offset, knownRevision, seq := map[string]int64{}, map[string]int64{}, int64(0)
 	for i := range nodes {
 		n := fmt.Sprint("n", i)
-		offset[n], heard[n] = rng.Int64N(10*3600_000)-5*3600_000, 1
+		offset[n], knownRevision[n] = rng.Int64N(10*3600_000)-5*3600_000, 1
 		lines[n] = []Entry{{Header: &Header{Format: Format, Node: n, Incarnation: 1}}}
 	}
 	w.history = History{Floor: 1, Head: 1}
@@ -193,7 +193,7 @@
 			id := names[rng.IntN(len(names))]
 			e, phase := endpoints[id], "DELETED"
 			if w.history.Head++; e.gone != 0 {
-				e.gone, phase = 0, serving
+				e.gone, phase = 0, phaseServing
 			} else {
 				e.gone = now
 			}
@@ -202,7 +202,7 @@
 		n := fmt.Sprint("n", rng.IntN(nodes))
 		at := now + offset[n]
 		if rng.IntN(3) == 0 {
-			heard[n] = w.history.Head
+			knownRevision[n] = w.history.Head
 		}
 		if rng.IntN(4) == 0 {
 			lines[n] = append(lines[n], Entry{AtMS: at + rng.Int64N(3000), ClockSync: &ClockSync{now - rng.Int64N(20), at, 20}})
@@ -211,14 +211,14 @@
 		how := []Outcome{OutcomeAnswered, OutcomeAnswered, OutcomeAnswered, OutcomeAnswered, OutcomeAnswered, OutcomeUnknown, OutcomeUnsent}[rng.IntN(7)]
 		seq++
 		calls--
-		lines[n] = append(lines[n], Entry{AtMS: at, Revision: heard[n], Starts: []CallStart{{seq, id}}})
+		lines[n] = append(lines[n], Entry{AtMS: at, Revision: knownRevision[n], Starts: []CallStart{{seq, id}}})
 		if rng.IntN(20) > 0 {
 			lines[n] = append(lines[n], Entry{AtMS: at + 5, Ends: []CallEnd{{seq, how, at, 2}}})
 		} else if how = OutcomeUnknown; rng.IntN(2) == 0 {
 			how = OutcomeAnswered // a kill came between
 		}
 		if gone := endpoints[id].gone; how != OutcomeUnsent && gone != 0 && now > gone+grace {
-			w.lateCalls[callKey{n, id, heard[n]}]++
+			w.lateCalls[callKey{n, id, knownRevision[n]}]++
 		}
 	}
 	for n, all := range lines {
@@ -280,11 +280,11 @@
 		if len(raw) == 0 || flip == 0 {
 			return
 		}
-		spoilt := append([]byte(nil), good...)
-		spoilt[(at%len(good)+len(good))%len(good)] ^= flip
-		lines, damaged, err := Parse(spoilt)
+		damagedLog := append([]byte(nil), good...)
+		damagedLog[(at%len(good)+len(good))%len(good)] ^= flip
+		lines, damaged, err := Parse(damagedLog)
 		if err == nil && len(lines) == 2 && damaged == 0 {
-			t.Errorf("a flipped byte is not told: %q", spoilt)
+			t.Errorf("a flipped byte is not told: %q", damagedLog)
 		}
 	})
 }
--- a/internal/auditlog/log.go
+++ b/internal/auditlog/log.go
@@ -87,8 +87,8 @@
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // appendTo adds the line in its written form.
-func (l Entry) appendEncoded(b []byte) ([]byte, error) {
-	raw, err := json.Marshal(l)
+func (e Entry) appendEncoded(b []byte) ([]byte, error) {
+	raw, err := json.Marshal(e)
 	if err != nil {
 		return b, fmt.Errorf("acts: %w", err)
 	}
@@ -107,14 +107,14 @@
 	now          func() time.Time
 	file         *os.File
 	size         int64
-	lost         int
+	lostEntries  int
 	buffer       []byte
 }
 
 // Open goes on with the record in a folder, or begins one, of so many bytes at most.
 func Open(dir string, maxBytes int64, header Header, now func() time.Time) (*Log, error) {
 	header.Format = Format
-	r := &Log{dir: dir, maxFileBytes: max(maxBytes/2, 4<<10), header: header, now: now}
+	l := &Log{dir: dir, maxFileBytes: max(maxBytes/2, 4<<10), header: header, now: now}
 	f, err := os.OpenFile(filepath.Join(dir, CurrentName), os.O_RDWR|os.O_CREATE|os.O_APPEND, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("acts: %w", err)
@@ -123,64 +123,64 @@
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("acts: %w", err), f.Close())
 	}
-	r.file, r.size = f, info.Size()
-	if before, err := os.Stat(filepath.Join(dir, PreviousName)); err == nil && now().Sub(before.ModTime()) > MaxAge {
+	l.file, l.size = f, info.Size()
+	if previous, err := os.Stat(filepath.Join(dir, PreviousName)); err == nil && now().Sub(previous.ModTime()) > MaxAge {
 		if err := os.Remove(filepath.Join(dir, PreviousName)); err != nil {
 			return nil, errors.Join(fmt.Errorf("acts: %w", err), f.Close())
 		}
 	}
-	if r.size > 0 { // what a kill has torn ends here
+	if l.size > 0 { // what a kill has torn ends here
 		if _, err := f.Write([]byte("\n")); err != nil {
 			return nil, errors.Join(fmt.Errorf("acts: %w", err), f.Close())
 		}
-		r.size++
+		l.size++
 	}
-	return r, r.Write(Entry{Header: &r.header})
+	return l, l.Write(Entry{Header: &l.header})
 }
 
 // Write writes a line down; its moment is now.
-func (r *Log) Write(l Entry) error {
-	l.AtMS, l.LostEntries = r.now().UnixMilli(), r.lost
-	if len(l.StaleReason) > maxReasonLen {
-		l.StaleReason = l.StaleReason[:maxReasonLen]
+func (l *Log) Write(e Entry) error {
+	e.AtMS, e.LostEntries = l.now().UnixMilli(), l.lostEntries
+	if len(e.StaleReason) > maxReasonLen {
+		e.StaleReason = e.StaleReason[:maxReasonLen]
 	}
-	err := r.rotate()
+	err := l.rotate()
 	if err == nil {
-		err = r.writeEntry(l)
+		err = l.writeEntry(e)
 	}
 	if err != nil {
-		r.lost++
+		l.lostEntries++
 		return err
 	}
-	r.lost = 0
+	l.lostEntries = 0
 	return nil
 }
 
-func (r *Log) writeEntry(l Entry) (err error) {
-	if r.buffer, err = l.appendEncoded(r.buffer[:0]); err != nil {
+func (l *Log) writeEntry(e Entry) (err error) {
+	if l.buffer, err = e.appendEncoded(l.buffer[:0]); err != nil {
 		return err
 	}
-	n, err := r.file.Write(r.buffer)
-	r.size += int64(n)
+	n, err := l.file.Write(l.buffer)
+	l.size += int64(n)
 	if err == nil {
 		return nil
 	}
 	if n > 0 { // what stands there is no line
-		if end := r.file.Truncate(r.size - int64(n)); end != nil {
-			return fmt.Errorf("acts: %w", errors.Join(err, end))
+		if truncateErr := l.file.Truncate(l.size - int64(n)); truncateErr != nil {
+			return fmt.Errorf("acts: %w", errors.Join(err, truncateErr))
 		}
-		r.size -= int64(n)
+		l.size -= int64(n)
 	}
 	return fmt.Errorf("acts: %w", err)
 }
 
 // turn begins a new file where the one that is written has grown to its bound. What was before that goes.
-func (r *Log) rotate() error {
-	if r.size < r.maxFileBytes {
+func (l *Log) rotate() error {
+	if l.size < l.maxFileBytes {
 		return nil
 	}
-	path := filepath.Join(r.dir, CurrentName)
-	err := os.Rename(path, filepath.Join(r.dir, PreviousName))
+	path := filepath.Join(l.dir, CurrentName)
+	err := os.Rename(path, filepath.Join(l.dir, PreviousName))
 	if err != nil && !errors.Is(err, os.ErrNotExist) { // gone already: the new one could not be made
 		return fmt.Errorf("acts: %w", err)
 	}
@@ -188,14 +188,14 @@
 	if err != nil {
 		return fmt.Errorf("acts: %w", err)
 	}
-	err = r.file.Close()
-	r.file, r.size = f, 0
-	return errors.Join(err, r.writeEntry(Entry{Header: &r.header, AtMS: r.now().UnixMilli()}))
+	err = l.file.Close()
+	l.file, l.size = f, 0
+	return errors.Join(err, l.writeEntry(Entry{Header: &l.header, AtMS: l.now().UnixMilli()}))
 }
 
 // Close closes the file. What is in it stays.
-func (r *Log) Close() error {
-	if err := r.file.Close(); err != nil {
+func (l *Log) Close() error {
+	if err := l.file.Close(); err != nil {
 		return fmt.Errorf("acts: %w", err)
 	}
 	return nil
@@ -222,36 +222,36 @@
 
 // Parse reads lines. Those that are cut, flipped or of no sense are counted, and the rest is used; a record of a later
 // form is refused as a whole, and so is one without any head.
-func Parse(raw []byte) (lines []Entry, damaged int, err error) {
+func Parse(raw []byte) (entries []Entry, damaged int, err error) {
 	headers := 0
-	for text := range bytes.SplitSeq(raw, []byte("\n")) {
-		if len(text) == 0 {
+	for line := range bytes.SplitSeq(raw, []byte("\n")) {
+		if len(line) == 0 {
 			continue
 		}
-		l, ok := parseEntry(text)
+		e, ok := parseEntry(line)
 		if !ok {
 			damaged++
 			continue
 		}
-		if l.Header != nil {
-			if headers++; l.Header.Format > Format {
-				return nil, damaged, fmt.Errorf("%w: form %d, and this one reads %d", ErrNewer, l.Header.Format, Format)
+		if e.Header != nil {
+			if headers++; e.Header.Format > Format {
+				return nil, damaged, fmt.Errorf("%w: form %d, and this one reads %d", ErrNewer, e.Header.Format, Format)
 			}
 		}
-		lines = append(lines, l)
+		entries = append(entries, e)
 	}
 	if headers == 0 {
 		return nil, damaged, fmt.Errorf("%w: %d lines that can't be read", ErrNoHeader, damaged)
 	}
-	return lines, damaged, nil
+	return entries, damaged, nil
 }
 
-func parseEntry(text []byte) (l Entry, ok bool) {
-	if len(text) <= checksumLen || len(text) > maxEntryBytes {
-		return l, false
+func parseEntry(line []byte) (e Entry, ok bool) {
+	if len(line) <= checksumLen || len(line) > maxEntryBytes {
+		return e, false
 	}
-	if fmt.Sprintf("%08x", crc32.Checksum(text[checksumLen:], castagnoli)) != string(text[:checksumLen]) {
-		return l, false
+	if fmt.Sprintf("%08x", crc32.Checksum(line[checksumLen:], castagnoli)) != string(line[:checksumLen]) {
+		return e, false
 	}
-	return l, json.Unmarshal(text[checksumLen:], &l) == nil
+	return e, json.Unmarshal(line[checksumLen:], &e) == nil
 }
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -239,7 +239,7 @@
 				return err
 			}
 			if o.asJSON {
-				return json.NewEncoder(c.OutOrStdout()).Encode(v.Changes)
+				return json.NewEncoder(c.OutOrStdout()).Encode(v.Revisions)
 			}
 			t := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', tabwriter.AlignRight)
 			fmt.Fprintln(t, "REVISION\tAGO\tAPPLIED\tOF\t50%\t99%\tALL\t")
@@ -249,7 +249,7 @@
 				}
 				return formatSeconds(ms)
 			}
-			for _, h := range v.Changes {
+			for _, h := range v.Revisions {
 				fmt.Fprintf(t, "%d\t%s\t%d\t%d\t%s\t%s\t%s\t\n", h.Revision, formatSeconds(h.AgeMS), h.Applied, h.Nodes, after(h.HalfMS), after(h.P99MS), after(h.AllMS))
 			}
 			return t.Flush()
--- a/internal/listwatch/backoff_test.go
+++ b/internal/listwatch/backoff_test.go
@@ -8,25 +8,25 @@
 )
 
 // busiestSecond is the most asks within a second that a fleet makes whose every ask fails, all from the same moment on.
-func busiestSecondOfFleet(fleet int, asks bool) int {
+func busiestSecondOfFleet(fleet int, throughDiscovery bool) int {
 	return busiestSecond(fleet, func() backoff.Backoff {
-		if asks {
+		if throughDiscovery {
 			return DiscoveryBackoff(fleet)
 		}
 		return AgentBackoff()
 	})
 }
 
-func busiestSecond(fleet int, pauses func() backoff.Backoff) int {
+func busiestSecond(fleet int, newBackoff func() backoff.Backoff) int {
 	const length = 120
 	counts := make([]int, length*10)
 	for range fleet {
-		pause := pauses()
-		if pause.Max == 0 { // all ask at once, and hear
+		retry := newBackoff()
+		if retry.Max == 0 { // all ask at once, and hear
 			counts[0]++
 			continue
 		}
-		for at := pause.Next(); at < length*time.Second; at += pause.Next() {
+		for at := retry.Next(); at < length*time.Second; at += retry.Next() {
 			counts[at/(100*time.Millisecond)]++
 		}
 	}
@@ -59,16 +59,16 @@
 }
 
 func TestBackoffResetsOnSuccess(t *testing.T) {
-	pause := DiscoveryBackoff(10)
-	first := pause.Next()
+	retry := DiscoveryBackoff(10)
+	first := retry.Next()
 	for range 5 {
-		pause.Next()
+		retry.Next()
 	}
-	if late := pause.Next(); late < 4*first/2 {
+	if late := retry.Next(); late < 4*first/2 {
 		t.Errorf("a pause of %v after %v: it does not grow", late, first)
 	}
-	pause.Reset()
-	if again := pause.Next(); again > 10*retrySpacing {
+	retry.Reset()
+	if again := retry.Next(); again > 10*retrySpacing {
 		t.Errorf("the first pause after a success is %v, more than %v", again, 10*retrySpacing)
 	}
 }
--- a/internal/listwatch/cache.go
+++ b/internal/listwatch/cache.go
@@ -49,8 +49,8 @@
 
 // Read returns the list that was kept, and when; none was if its revision is 0. The time is zero if it is not known. A
 // file that is longer than its room, cut, or flipped anywhere is an error.
-func (k *Cache) Read() (List, time.Time, error) {
-	f, err := os.Open(k.path)
+func (c *Cache) Read() (List, time.Time, error) {
+	f, err := os.Open(c.path)
 	if errors.Is(err, os.ErrNotExist) {
 		return List{}, time.Time{}, nil
 	}
@@ -85,19 +85,19 @@
 }
 
 // Changed notes that a list has come.
-func (k *Cache) MarkDirty(revision int64) { k.Dirty = revision > 0 }
+func (c *Cache) MarkDirty(revision int64) { c.Dirty = revision > 0 }
 
 // Wait is how long it is until the file is due.
-func (k *Cache) UntilDue(now time.Time) time.Duration {
-	if !k.Dirty {
+func (c *Cache) UntilDue(now time.Time) time.Duration {
+	if !c.Dirty {
 		return time.Hour
 	}
-	return max(k.nextWrite.Sub(now), 0)
+	return max(c.nextWrite.Sub(now), 0)
 }
 
 // Write replaces the file as a whole.
-func (k *Cache) Write(l List) error {
-	k.nextWrite = time.Now().Add(cacheWriteInterval)
+func (c *Cache) Write(l List) error {
+	c.nextWrite = time.Now().Add(cacheWriteInterval)
 	sum, err := l.checksum()
 	if err != nil {
 		return fmt.Errorf("kept list: %w", err)
@@ -106,8 +106,8 @@
 	if err != nil {
 		return fmt.Errorf("kept list: %w", err)
 	}
-	if int64(len(raw)) > k.maxBytes {
-		return fmt.Errorf("kept list: %d bytes, and room for %d", len(raw), k.maxBytes)
+	if int64(len(raw)) > c.maxBytes {
+		return fmt.Errorf("kept list: %d bytes, and room for %d", len(raw), c.maxBytes)
 	}
-	return atomicfile.Replace(k.path, raw)
+	return atomicfile.Replace(c.path, raw)
 }
--- a/internal/listwatch/cache_test.go
+++ b/internal/listwatch/cache_test.go
@@ -64,7 +64,7 @@
 	if _, at, err := k.Read(); err != nil || time.Since(at) > time.Minute {
 		t.Fatalf("kept at %v, %v", at, err)
 	}
-	told := 0
+	rejected := 0
 	for i := range whole {
 		for bit := range 8 {
 			raw := slices.Clone(whole)
@@ -76,13 +76,13 @@
 			}
 			got, _, err := k.Read()
 			if err != nil {
-				told++
+				rejected++
 			} else if fmt.Sprint(got) != fmt.Sprint(want) {
 				t.Fatalf("byte %d, bit %d: %+v is taken", i, bit, got)
 			}
 		}
 	}
-	if told < 4*len(whole) {
-		t.Errorf("%d of %d damages are told", told, 8*len(whole))
+	if rejected < 4*len(whole) {
+		t.Errorf("%d of %d damages are told", rejected, 8*len(whole))
 	}
 }
--- a/internal/listwatch/dial.go
+++ b/internal/listwatch/dial.go
@@ -48,15 +48,15 @@
 	}
 	start()
 	started, pending := 1, 1
-	again := time.NewTicker(dialRaceInterval)
-	defer again.Stop()
+	ticker := time.NewTicker(dialRaceInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case r := <-results:
 			if pending--; r.err == nil || pending == 0 {
 				return r.conn, r.err
 			}
-		case <-again.C:
+		case <-ticker.C:
 			if started < maxRacingDials {
 				start()
 				started++
--- a/internal/listwatch/dial_test.go
+++ b/internal/listwatch/dial_test.go
@@ -22,7 +22,7 @@
 }
 
 func TestRaceDialsPastHangingDial(t *testing.T) {
-	hangs := func(ctx context.Context) (net.Conn, error) {
+	hang := func(ctx context.Context) (net.Conn, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -34,25 +34,25 @@
 		begun int32
 	}{
 		"at once":             {dials: []func(context.Context) (net.Conn, error){nil}, begun: 1},
-		"the first hangs":     {dials: []func(context.Context) (net.Conn, error){hangs, nil}, took: dialRaceInterval, begun: 2},
-		"two hang":            {dials: []func(context.Context) (net.Conn, error){hangs, hangs, nil}, took: 2 * dialRaceInterval, begun: 3},
+		"the first hangs":     {dials: []func(context.Context) (net.Conn, error){hang, nil}, took: dialRaceInterval, begun: 2},
+		"two hang":            {dials: []func(context.Context) (net.Conn, error){hang, hang, nil}, took: 2 * dialRaceInterval, begun: 3},
 		"refused":             {dials: []func(context.Context) (net.Conn, error){func(context.Context) (net.Conn, error) { return nil, refused }}, err: refused, begun: 1},
-		"all hang to the end": {dials: []func(context.Context) (net.Conn, error){hangs, hangs, hangs, hangs}, took: time.Second, err: context.DeadlineExceeded, begun: maxRacingDials},
+		"all hang to the end": {dials: []func(context.Context) (net.Conn, error){hang, hang, hang, hang}, took: time.Second, err: context.DeadlineExceeded, begun: maxRacingDials},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				var begun, closed atomic.Int32
+				var started, closed atomic.Int32
 				ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 				defer cancel()
 				began := time.Now()
 				conn, err := raceDials(ctx, func(ctx context.Context) (net.Conn, error) {
-					if dial := c.dials[begun.Add(1)-1]; dial != nil {
+					if dial := c.dials[started.Add(1)-1]; dial != nil {
 						return dial(ctx)
 					}
 					return closeCounter{closed: &closed}, nil
 				})
-				if took := time.Since(began); took != c.took || !errors.Is(err, c.err) || begun.Load() != c.begun {
-					t.Errorf("after %v, %d dials: %v, %v", took, begun.Load(), conn, err)
+				if took := time.Since(began); took != c.took || !errors.Is(err, c.err) || started.Load() != c.begun {
+					t.Errorf("after %v, %d dials: %v, %v", took, started.Load(), conn, err)
 				}
 				synctest.Wait()
 				if closed.Load() != 0 {
@@ -65,9 +65,9 @@
 
 func TestRaceDialsClosesLosingConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var begun, closed atomic.Int32
+		var started, closed atomic.Int32
 		conn, err := raceDials(t.Context(), func(context.Context) (net.Conn, error) {
-			if begun.Add(1) == 1 {
+			if started.Add(1) == 1 {
 				time.Sleep(2 * dialRaceInterval) // it comes up after the other
 			}
 			return closeCounter{closed: &closed}, nil
--- a/internal/listwatch/failover.go
+++ b/internal/listwatch/failover.go
@@ -34,49 +34,49 @@
 )
 
 // NewLinks follows a server that beats so often, from its first line on.
-func NewFailover(now, heartbeat time.Duration) *Failover {
-	return &Failover{silentAfter: 3 * heartbeat, switchAfter: 12 * heartbeat, recoveredAfter: 8 * heartbeat, currentHeardAt: now, steadySince: now}
+func NewFailover(now, interval time.Duration) *Failover {
+	return &Failover{silentAfter: 3 * interval, switchAfter: 12 * interval, recoveredAfter: 8 * interval, currentHeardAt: now, steadySince: now}
 }
 
 // Heard notes that the first server has said something.
-func (l *Failover) CurrentHeard(now time.Duration) {
-	if now-l.currentHeardAt > l.silentAfter {
-		l.steadySince = now
+func (f *Failover) CurrentHeard(now time.Duration) {
+	if now-f.currentHeardAt > f.silentAfter {
+		f.steadySince = now
 	}
-	l.currentHeardAt = now
+	f.currentHeardAt = now
 }
 
 // HeardOther notes that the other has, and whether that was more than the first has told.
-func (l *Failover) CandidateHeard(now time.Duration, ahead bool) {
-	l.candidateHeardAt, l.candidateActive, l.candidateAhead = now, true, l.candidateAhead || ahead
+func (f *Failover) CandidateHeard(now time.Duration, ahead bool) {
+	f.candidateHeardAt, f.candidateActive, f.candidateAhead = now, true, f.candidateAhead || ahead
 }
 
 // Lost notes that the other's connection has ended.
-func (l *Failover) CandidateLost() {
-	l.hasCandidate, l.candidateActive, l.candidateAhead = false, false, false
+func (f *Failover) CandidateLost() {
+	f.hasCandidate, f.candidateActive, f.candidateAhead = false, false, false
 }
 
 // Silent tells whether the first server is doubted now.
-func (l *Failover) Silent(now time.Duration) bool { return now-l.currentHeardAt > l.silentAfter }
+func (f *Failover) Silent(now time.Duration) bool { return now-f.currentHeardAt > f.silentAfter }
 
 // Step tells what to do at a moment.
-func (l *Failover) Step(now time.Duration) Action {
-	silent := l.Silent(now)
+func (f *Failover) Step(now time.Duration) Action {
+	silent := f.Silent(now)
 	switch {
-	case !l.hasCandidate && silent:
-		l.hasCandidate, l.candidateHeardAt = true, now
+	case !f.hasCandidate && silent:
+		f.hasCandidate, f.candidateHeardAt = true, now
 		return OpenCandidate
-	case !l.hasCandidate:
+	case !f.hasCandidate:
 		return NoAction
-	case l.candidateActive && now-l.candidateHeardAt <= l.silentAfter && (l.candidateAhead || now-l.currentHeardAt > l.switchAfter):
-		l.currentHeardAt, l.steadySince = now, now
-		l.CandidateLost()
+	case f.candidateActive && now-f.candidateHeardAt <= f.silentAfter && (f.candidateAhead || now-f.currentHeardAt > f.switchAfter):
+		f.currentHeardAt, f.steadySince = now, now
+		f.CandidateLost()
 		return SwitchToCandidate
-	case !silent && now-l.steadySince >= l.recoveredAfter:
-		l.CandidateLost()
+	case !silent && now-f.steadySince >= f.recoveredAfter:
+		f.CandidateLost()
 		return DropCandidate
-	case now-l.candidateHeardAt > l.switchAfter && silent:
-		l.candidateHeardAt, l.candidateActive, l.candidateAhead = now, false, false
+	case now-f.candidateHeardAt > f.switchAfter && silent:
+		f.candidateHeardAt, f.candidateActive, f.candidateAhead = now, false, false
 		return ReplaceCandidate
 	}
 	return NoAction
--- a/internal/listwatch/failover_test.go
+++ b/internal/listwatch/failover_test.go
@@ -23,31 +23,31 @@
 )
 
 // playLinks steps the links of a server whose beats are heard as given, and another's beside it, and returns the acts.
-func runFailover(span time.Duration, first, other func(now time.Duration) (heard, more bool)) (acts []string) {
+func runFailover(span time.Duration, current, candidate func(now time.Duration) (heard, more bool)) (actions []string) {
 	l := NewFailover(0, testHeartbeat)
 	open := false
 	for now := time.Duration(0); now < span; now += 10 * time.Millisecond {
-		if heard, _ := first(now); heard {
+		if heard, _ := current(now); heard {
 			l.CurrentHeard(now)
 		}
-		if heard, more := other(now); heard && open {
+		if heard, more := candidate(now); heard && open {
 			l.CandidateHeard(now, more)
 		}
 		switch l.Step(now) {
 		case OpenCandidate:
 			open = true
-			acts = append(acts, fmt.Sprint("open ", now))
+			actions = append(actions, fmt.Sprint("open ", now))
 		case DropCandidate:
 			open = false
-			acts = append(acts, fmt.Sprint("drop ", now))
+			actions = append(actions, fmt.Sprint("drop ", now))
 		case SwitchToCandidate:
-			acts = append(acts, fmt.Sprint("leave ", now))
-			return acts
+			actions = append(actions, fmt.Sprint("leave ", now))
+			return actions
 		case ReplaceCandidate:
-			acts = append(acts, fmt.Sprint("renew ", now))
+			actions = append(actions, fmt.Sprint("renew ", now))
 		}
 	}
-	return acts
+	return actions
 }
 
 func TestFailoverActions(t *testing.T) {
@@ -83,37 +83,37 @@
 // Whatever is heard when: a server that beats is never left, and no act comes without the one that it follows.
 func TestFailoverInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l, now, beside, heard, knew := NewFailover(0, testHeartbeat), time.Duration(0), false, time.Duration(0), false
+		l, now, hasCandidate, lastHeard, candidateAhead := NewFailover(0, testHeartbeat), time.Duration(0), false, time.Duration(0), false
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += time.Duration(rapid.Int64Range(0, int64(4*testHeartbeat)).Draw(t, "pause"))
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
 				l.CurrentHeard(now)
-				heard = now
+				lastHeard = now
 			case 1:
-				if beside {
+				if hasCandidate {
 					more := rapid.Bool().Draw(t, "more")
 					l.CandidateHeard(now, more)
-					knew = knew || more
+					candidateAhead = candidateAhead || more
 				}
 			case 2:
-				if beside {
+				if hasCandidate {
 					l.CandidateLost()
-					beside, knew = false, false
+					hasCandidate, candidateAhead = false, false
 				}
 			}
-			act := l.Step(now)
-			silent := now-heard > 3*testHeartbeat
+			action := l.Step(now)
+			silent := now-lastHeard > 3*testHeartbeat
 			switch {
-			case act == OpenCandidate && (beside || !silent), (act == DropCandidate || act == SwitchToCandidate || act == ReplaceCandidate) && !beside, act == SwitchToCandidate && !silent && !knew:
-				t.Fatalf("act %d, beside %v, silent %v", act, beside, silent)
+			case action == OpenCandidate && (hasCandidate || !silent), (action == DropCandidate || action == SwitchToCandidate || action == ReplaceCandidate) && !hasCandidate, action == SwitchToCandidate && !silent && !candidateAhead:
+				t.Fatalf("act %d, beside %v, silent %v", action, hasCandidate, silent)
 			}
-			if beside = beside || act == OpenCandidate; act == DropCandidate || act == SwitchToCandidate {
-				beside, knew = false, false
+			if hasCandidate = hasCandidate || action == OpenCandidate; action == DropCandidate || action == SwitchToCandidate {
+				hasCandidate, candidateAhead = false, false
 			}
-			knew = knew && act != ReplaceCandidate
-			if act == SwitchToCandidate {
-				heard = now
+			candidateAhead = candidateAhead && action != ReplaceCandidate
+			if action == SwitchToCandidate {
+				lastHeard = now
 			}
 		}
 	})
@@ -166,8 +166,8 @@
 }
 
 func watchTwoServers(t *testing.T) *twoServerWatch {
-	before := List{Revision: 5, Complete: true, Members: membersOf("a", "b")}
-	x := &twoServerWatch{servers: []*heartbeatServer{newHeartbeatServer(t, before), newHeartbeatServer(t, before)}, revisions: make(chan int64, 100), candidateRequests: make(chan struct{}, 1)}
+	initial := List{Revision: 5, Complete: true, Members: membersOf("a", "b")}
+	x := &twoServerWatch{servers: []*heartbeatServer{newHeartbeatServer(t, initial), newHeartbeatServer(t, initial)}, revisions: make(chan int64, 100), candidateRequests: make(chan struct{}, 1)}
 	var addrs []string
 	for _, s := range x.servers {
 		addrs = append(addrs, s.srv.Listener.Addr().String())
--- a/internal/listwatch/follow_test.go
+++ b/internal/listwatch/follow_test.go
@@ -215,7 +215,7 @@
 }
 
 // watch runs a Watcher in virtual time and records what it tells, and when.
-func runWatcher(t *testing.T, client *http.Client, after int64, span time.Duration) (told []string) {
+func runWatcher(t *testing.T, client *http.Client, after int64, span time.Duration) (seen []string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), span)
 	defer cancel()
@@ -223,10 +223,10 @@
 	w := Watcher{
 		Log: slog.New(slog.DiscardHandler), Client: client, Servers: NewAddresses([]string{"agent"}), ResponseTimeout: AgentResponseTimeout,
 		Backoff: AgentBackoff(), OnActivity: func() {}, OnServerChange: func() {},
-		OnList: func(l List) { told = append(told, fmt.Sprint(l.Revision, " ", time.Since(began).Round(time.Second/2))) },
+		OnList: func(l List) { seen = append(seen, fmt.Sprint(l.Revision, " ", time.Since(began).Round(time.Second/2))) },
 	}
 	w.Run(ctx, after)
-	return told
+	return seen
 }
 
 // What a watch misses that has fallen silent is known before it counts as told, 6 s after, also where the first ask anew
@@ -241,30 +241,30 @@
 			t.Errorf("told %v", got)
 		}
 	})
-	for back := 5 * time.Second; back < 10*time.Second; back += 130 * time.Millisecond { // discovery is back then
+	for restoredAt := 5 * time.Second; restoredAt < 10*time.Second; restoredAt += 130 * time.Millisecond { // discovery is back then
 		inVirtualTime(t, func(t *testing.T) {
 			began := time.Now()
-			up := func(nc net.Conn) {
-				if time.Since(began) >= back {
+			serveOnceRestored := func(nc net.Conn) {
+				if time.Since(began) >= restoredAt {
 					writePieces(0, responseHead, list(2))(nc)
 				}
 			}
-			var at time.Duration
+			var knownAt time.Duration
 			ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 			defer cancel()
 			w := Watcher{
-				Log: slog.New(slog.DiscardHandler), Client: fakeAgent(writePieces(0, responseHead, list(1)), up), Servers: NewAddresses([]string{"agent"}),
+				Log: slog.New(slog.DiscardHandler), Client: fakeAgent(writePieces(0, responseHead, list(1)), serveOnceRestored), Servers: NewAddresses([]string{"agent"}),
 				ResponseTimeout: AgentResponseTimeout, Backoff: AgentBackoff(),
 				OnActivity: func() {}, OnServerChange: func() {}, OnList: func(l List) {
 					if l.Revision == 2 {
-						at = time.Since(began)
+						knownAt = time.Since(began)
 						cancel()
 					}
 				},
 			}
 			w.Run(ctx, 0)
-			if late := at - back; at == 0 || late > time.Second {
-				t.Errorf("back at %v, known at %v", back, at)
+			if late := knownAt - restoredAt; knownAt == 0 || late > time.Second {
+				t.Errorf("back at %v, known at %v", restoredAt, knownAt)
 			}
 		})
 	}
@@ -274,7 +274,7 @@
 // before the whole list has been asked for anew, and then what that says holds.
 func TestLowerRevisionRequestsFullList(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		var asked []string
+		var requests []string
 		answers := []string{
 			`{"revision":9,"complete":true,"members":[]}` + "\n" + `{"revision":8,"complete":false,"members":[{"id":"a"}]}` + "\n",
 			`{"revision":4,"complete":true,"members":[]}` + "\n" + `{"revision":5,"complete":false,"members":[]}` + "\n",
@@ -282,14 +282,14 @@
 		client := fakeAgent(writePieces(0, responseHead+answers[0]), writePieces(0, responseHead+answers[1]))
 		transport := client.Transport
 		client.Transport = roundTripper(func(r *http.Request) (*http.Response, error) {
-			asked = append(asked, r.URL.Query().Get("after"))
+			requests = append(requests, r.URL.Query().Get("after"))
 			return transport.RoundTrip(r)
 		})
 		if got := runWatcher(t, client, 7, 3*time.Second); !slices.Equal(got, []string{"9 0s", "4 0s", "5 0s"}) {
 			t.Errorf("told %v", got)
 		}
-		if !slices.Equal(asked, []string{"7", "0"}) {
-			t.Errorf("asked after %v", asked)
+		if !slices.Equal(requests, []string{"7", "0"}) {
+			t.Errorf("asked after %v", requests)
 		}
 	})
 }
@@ -301,7 +301,7 @@
 		return fmt.Sprintf("{\"revision\":%d,\"complete\":false,\"members\":[]}\n", revision)
 	}
 	inVirtualTime(t, func(t *testing.T) {
-		var asked []string
+		var requests []string
 		moved := make(chan struct{})
 		old := func(nc net.Conn) {
 			io.WriteString(nc, responseHead+list(5))
@@ -311,26 +311,26 @@
 		client := fakeAgent(old, writePieces(10*time.Millisecond, responseHead, list(7)))
 		transport := client.Transport
 		client.Transport = roundTripper(func(r *http.Request) (*http.Response, error) {
-			asked = append(asked, r.URL.Host+" "+r.URL.Query().Get("after"))
+			requests = append(requests, r.URL.Host+" "+r.URL.Query().Get("after"))
 			return transport.RoundTrip(r)
 		})
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
 		at := NewAddresses([]string{"old"})
-		var told []int64
+		var revisions []int64
 		w := Watcher{
 			Log: slog.New(slog.DiscardHandler), Client: client, Servers: at, ResponseTimeout: AgentResponseTimeout,
 			Backoff: AgentBackoff(), OnActivity: func() {}, OnServerChange: func() {},
 			OnList: func(l List) {
-				if told = append(told, l.Revision); l.Revision == 5 {
+				if revisions = append(revisions, l.Revision); l.Revision == 5 {
 					at.Set([]string{"new"})
 					close(moved)
 				}
 			},
 		}
 		w.Run(ctx, 0)
-		if !slices.Equal(told, []int64{5, 7}) || !slices.Equal(asked, []string{"old 0", "new 5"}) {
-			t.Errorf("told %v, asked %v", told, asked)
+		if !slices.Equal(revisions, []int64{5, 7}) || !slices.Equal(requests, []string{"old 0", "new 5"}) {
+			t.Errorf("told %v, asked %v", revisions, requests)
 		}
 	})
 }
--- a/internal/listwatch/listwatch.go
+++ b/internal/listwatch/listwatch.go
@@ -178,13 +178,13 @@
 func newBufferedReader(r io.Reader) *bufio.Reader { return bufio.NewReaderSize(r, 16<<10) }
 
 // messages hands on each message, and tells whole that one has come, to the end, which is always an error.
-func (f *messageReader) readAll(message func([]byte) error, complete func()) error {
-	for d := json.NewDecoder(f); ; {
+func (m *messageReader) readAll(message func([]byte) error, complete func()) error {
+	for d := json.NewDecoder(m); ; {
 		var raw json.RawMessage
 		if err := d.Decode(&raw); err != nil {
 			return err
 		}
-		f.endMessage(d.Buffered())
+		m.endMessage(d.Buffered())
 		complete()
 		if err := message(raw); err != nil {
 			return err
@@ -192,33 +192,33 @@
 	}
 }
 
-func (f *messageReader) Read(p []byte) (int, error) {
-	for len(f.pending) == 0 {
-		piece, err := f.r.ReadSlice('\n')
-		if err != nil && !errors.Is(err, bufio.ErrBufferFull) && len(piece) == 0 {
+func (m *messageReader) Read(p []byte) (int, error) {
+	for len(m.pending) == 0 {
+		chunk, err := m.r.ReadSlice('\n')
+		if err != nil && !errors.Is(err, bufio.ErrBufferFull) && len(chunk) == 0 {
 			return 0, err
 		}
-		if len(bytes.TrimSpace(piece)) > 0 {
-			f.inMessage = true
-		} else if !f.inMessage {
+		if len(bytes.TrimSpace(chunk)) > 0 {
+			m.inMessage = true
+		} else if !m.inMessage {
 			if err == nil {
-				f.onEmptyLine()
+				m.onEmptyLine()
 			}
 			continue
 		}
-		if f.size += len(piece); f.size > maxMessage {
+		if m.size += len(chunk); m.size > maxMessage {
 			return 0, fmt.Errorf("a message over %d bytes", maxMessage)
 		}
-		f.pending = piece
+		m.pending = chunk
 	}
-	n := copy(p, f.pending)
-	f.pending = f.pending[n:]
+	n := copy(p, m.pending)
+	m.pending = m.pending[n:]
 	return n, nil
 }
 
 // ended notes that a message has ended, behind which the decoder has read so much.
-func (f *messageReader) endMessage(buffered io.Reader) {
+func (m *messageReader) endMessage(buffered io.Reader) {
 	rest, _ := io.ReadAll(buffered) // of a buffer: no error
-	f.size = len(rest)
-	f.inMessage = len(bytes.TrimSpace(rest)) > 0
+	m.size = len(rest)
+	m.inMessage = len(bytes.TrimSpace(rest)) > 0
 }
--- a/internal/listwatch/listwatch_test.go
+++ b/internal/listwatch/listwatch_test.go
@@ -89,12 +89,12 @@
 
 // Who is told when to come asks the same server again then, with its turn; a wait without sense turns it to the next.
 func TestWatcherHonorsRetryAfter(t *testing.T) {
-	var asks []string
+	var requests []string
 	var times []time.Time
 	answers := []string{"120", "", "x", "-5", "0", "99999999999999999999", "9223372036854775807"}
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asks, times = append(asks, r.URL.RawQuery), append(times, time.Now())
-		if n := len(asks) - 1; n < len(answers) {
+		requests, times = append(requests, r.URL.RawQuery), append(times, time.Now())
+		if n := len(requests) - 1; n < len(answers) {
 			if answers[n] != "" {
 				w.Header().Set("Retry-After-Ms", answers[n])
 				w.Header().Set("Registry-Turn", "77")
@@ -106,16 +106,16 @@
 	}))
 	defer srv.Close()
 	ctx, cancel := context.WithCancel(t.Context())
-	turns, later, turned, counted := &fixedPacer{}, 0, 0, 0
+	pacer, retries, serverChanges, counted := &fixedPacer{}, 0, 0, 0
 	w := Watcher{
-		Log: slog.New(slog.DiscardHandler), Client: http.DefaultClient, Servers: NewAddresses([]string{srv.Listener.Addr().String()}), Pacer: turns,
-		PaceStart: true, OnRequest: func() { counted++ }, OnRetryLater: func() { later++ }, OnServerChange: func() { turned++ }, OnActivity: func() {}, OnList: func(List) { cancel() },
+		Log: slog.New(slog.DiscardHandler), Client: http.DefaultClient, Servers: NewAddresses([]string{srv.Listener.Addr().String()}), Pacer: pacer,
+		PaceStart: true, OnRequest: func() { counted++ }, OnRetryLater: func() { retries++ }, OnServerChange: func() { serverChanges++ }, OnActivity: func() {}, OnList: func(List) { cancel() },
 	}
 	w.Run(ctx, 0)
-	if len(asks) != len(answers)+1 || counted != len(asks) || later != 1 || turned != len(answers)-1 || len(turns.hints) != 6 {
-		t.Fatalf("%d asks, %d counted, %d told, %d turned, %v", len(asks), counted, later, turned, turns.hints)
+	if len(requests) != len(answers)+1 || counted != len(requests) || retries != 1 || serverChanges != len(answers)-1 || len(pacer.hints) != 6 {
+		t.Fatalf("%d asks, %d counted, %d told, %d turned, %v", len(requests), counted, retries, serverChanges, pacer.hints)
 	}
-	if !strings.Contains(asks[1], "turn=77") || strings.Contains(asks[2], "turn") || times[1].Sub(times[0]) < 120*time.Millisecond {
-		t.Errorf("asks %q after %v", asks, times[1].Sub(times[0]))
+	if !strings.Contains(requests[1], "turn=77") || strings.Contains(requests[2], "turn") || times[1].Sub(times[0]) < 120*time.Millisecond {
+		t.Errorf("asks %q after %v", requests, times[1].Sub(times[0]))
 	}
 }
--- a/internal/listwatch/propagation_test.go
+++ b/internal/listwatch/propagation_test.go
@@ -23,7 +23,7 @@
 	list := func(revision int) string {
 		return fmt.Sprintf("{\"revision\":%d,\"complete\":true,\"members\":[]}\n", revision)
 	}
-	ends := func(pieces ...string) func(net.Conn) {
+	writeAndClose := func(pieces ...string) func(net.Conn) {
 		return func(nc net.Conn) { writePieces(0, pieces...)(nc); nc.Close() }
 	}
 	failures := []struct {
@@ -31,14 +31,14 @@
 		serve func(net.Conn)
 	}{
 		{"no dial", nil},
-		{"an end", ends()},
-		{"503", ends("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")},
+		{"an end", writeAndClose()},
+		{"503", writeAndClose("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")},
 		{"silence", writePieces(0)},
 		{"a head", writePieces(0, responseHead)},
 		{"half a list", writePieces(0, responseHead, list(1)[:10])},
 		{"a list, then silence", writePieces(0, responseHead, list(1))},
 		{"a list, then empty lines inside the next", writePieces(time.Second/2, append([]string{responseHead, list(1), list(2)[:10]}, emptyLines(20)...)...)},
-		{"a list, then its end", ends(responseHead, list(1))},
+		{"a list, then its end", writeAndClose(responseHead, list(1))},
 	}
 	for name, c := range map[string]struct {
 		patience time.Duration
@@ -50,8 +50,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var worst time.Duration
-			var by string
-			play := func(which []int) {
+			var worstCase string
+			run := func(which []int) {
 				var names []string
 				var serve []func(net.Conn)
 				for _, i := range which {
@@ -60,43 +60,43 @@
 				inVirtualTime(t, func(t *testing.T) {
 					ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 					defer cancel()
-					var asks []time.Time
-					var known time.Time
+					var requests []time.Time
+					var knownAt time.Time
 					w := Watcher{
 						Log: slog.New(slog.DiscardHandler), Client: fakeAgent(append(serve, writePieces(0, responseHead, list(9)))...),
 						Servers: NewAddresses([]string{"agent"}), ResponseTimeout: c.patience, Backoff: c.pauses(), OnActivity: func() {}, OnServerChange: func() {},
-						OnRequest: func() { asks = append(asks, time.Now()) },
+						OnRequest: func() { requests = append(requests, time.Now()) },
 						OnList: func(l List) {
 							if l.Revision == 9 {
-								known = time.Now()
+								knownAt = time.Now()
 								cancel()
 							}
 						},
 					}
 					w.Run(ctx, 0)
-					if known.IsZero() || len(asks) <= len(serve) {
-						t.Fatalf("%s: never known, after %d asks", strings.Join(names, "; "), len(asks))
+					if knownAt.IsZero() || len(requests) <= len(serve) {
+						t.Fatalf("%s: never known, after %d asks", strings.Join(names, "; "), len(requests))
 					}
-					took := known.Sub(asks[len(serve)-1])
+					took := knownAt.Sub(requests[len(serve)-1])
 					if took > worst {
-						worst, by = took, strings.Join(names, "; ")
+						worst, worstCase = took, strings.Join(names, "; ")
 					}
 					if took >= propagationDeadline {
 						t.Errorf("%s: known after %v", strings.Join(names, "; "), took)
 					}
 				})
 			}
-			var sequences func(so []int)
-			sequences = func(so []int) {
-				if len(so) > 0 {
-					play(so)
+			var sequences func(prefix []int)
+			sequences = func(prefix []int) {
+				if len(prefix) > 0 {
+					run(prefix)
 				}
-				for i := 0; len(so) < 3 && i < len(failures); i++ {
-					sequences(append(so[:len(so):len(so)], i))
+				for i := 0; len(prefix) < 3 && i < len(failures); i++ {
+					sequences(append(prefix[:len(prefix):len(prefix)], i))
 				}
 			}
 			sequences(nil)
-			t.Logf("at the worst after %v: %s", worst, by)
+			t.Logf("at the worst after %v: %s", worst, worstCase)
 		})
 	}
 }
--- a/internal/listwatch/validator.go
+++ b/internal/listwatch/validator.go
@@ -55,46 +55,46 @@
 }
 
 // NewDoubt begins with what is known.
-func NewValidator(d Validator, known iter.Seq[Member]) *Validator {
-	d.known = map[string]bool{}
+func NewValidator(v Validator, known iter.Seq[Member]) *Validator {
+	v.known = map[string]bool{}
 	for m := range known {
-		d.known[m.ID] = true
+		v.known[m.ID] = true
 	}
-	return &d
+	return &v
 }
 
 // Check is what watch does with each list of the server at addr.
-func (d *Validator) Check(ctx context.Context, addr string, l List) (List, error) {
-	if l.Revision < d.Revision && !d.acceptOlder(addr, l) {
-		d.RejectedLists.Add(1)
-		return l, fmt.Errorf("%w: revision %d after %d", errOlderList, l.Revision, d.Revision)
+func (v *Validator) Check(ctx context.Context, addr string, l List) (List, error) {
+	if l.Revision < v.Revision && !v.acceptOlder(addr, l) {
+		v.RejectedLists.Add(1)
+		return l, fmt.Errorf("%w: revision %d after %d", errOlderList, l.Revision, v.Revision)
 	}
-	d.Unconfirmed = false
-	if lost := d.missing(l); losesTooMany(lost, len(d.known)) {
-		d.HeldLists.Add(1)
-		d.Log.Warn("list_doubted", "revision", l.Revision, "lost", lost, "known", len(d.known))
-		l = d.recheck(ctx, l)
-		d.Log.Warn("list_taken", "revision", l.Revision, "lost", d.missing(l))
+	v.Unconfirmed = false
+	if missing := v.countMissing(l); losesTooMany(missing, len(v.known)) {
+		v.HeldLists.Add(1)
+		v.Log.Warn("list_doubted", "revision", l.Revision, "lost", missing, "known", len(v.known))
+		l = v.recheck(ctx, l)
+		v.Log.Warn("list_taken", "revision", l.Revision, "lost", v.countMissing(l))
 	}
-	d.record(l)
+	v.record(l)
 	return l, nil
 }
 
 // ahead tells whether what is known is not to be held against a server that tells less.
-func (d *Validator) acceptOlder(addr string, l List) bool {
-	if !d.Unconfirmed || !l.Complete {
+func (v *Validator) acceptOlder(addr string, l List) bool {
+	if !v.Unconfirmed || !l.Complete {
 		return false
 	}
-	if d.olderServers == nil {
-		d.olderServers, d.olderSince = map[string]bool{}, time.Now()
+	if v.olderServers == nil {
+		v.olderServers, v.olderSince = map[string]bool{}, time.Now()
 	}
-	d.olderServers[addr] = true
-	for _, a := range d.Servers.all() {
-		if !d.olderServers[a] && time.Since(d.olderSince) < unconfirmedTimeout {
+	v.olderServers[addr] = true
+	for _, a := range v.Servers.all() {
+		if !v.olderServers[a] && time.Since(v.olderSince) < unconfirmedTimeout {
 			return false
 		}
 	}
-	d.Log.Warn("kept_list_ahead", "kept", d.Revision, "told", l.Revision)
+	v.Log.Warn("kept_list_ahead", "kept", v.Revision, "told", l.Revision)
 	return true
 }
 
@@ -102,45 +102,45 @@
 func losesTooMany(lost, known int) bool { return lost >= minSuspiciousLoss && 2*lost > known }
 
 // lost is how many of those known a whole list leaves out.
-func (d *Validator) missing(l List) int {
+func (v *Validator) countMissing(l List) int {
 	if !l.Complete {
 		return 0
 	}
-	lost := len(d.known)
+	missing := len(v.known)
 	for _, m := range l.Members {
-		if d.known[m.ID] {
-			lost--
+		if v.known[m.ID] {
+			missing--
 		}
 	}
-	return lost
+	return missing
 }
 
-func (d *Validator) record(l List) {
-	if d.Revision = l.Revision; l.Complete {
-		clear(d.known)
+func (v *Validator) record(l List) {
+	if v.Revision = l.Revision; l.Complete {
+		clear(v.known)
 	}
 	for _, m := range l.Members {
-		if d.known[m.ID] = true; m.Phase == "DELETED" {
-			delete(d.known, m.ID)
+		if v.known[m.ID] = true; m.Phase == "DELETED" {
+			delete(v.known, m.ID)
 		}
 	}
 }
 
 // reconsider asks all servers for a later list that is not doubtful, for as long as the list may be held.
-func (d *Validator) recheck(ctx context.Context, l List) List {
-	ctx, cancel := context.WithTimeout(ctx, d.HoldFor)
+func (v *Validator) recheck(ctx context.Context, l List) List {
+	ctx, cancel := context.WithTimeout(ctx, v.HoldFor)
 	defer cancel()
 	for {
-		for _, addr := range d.Servers.all() {
-			later, err := fetchList(ctx, d.Client, addr, d.Revision)
+		for _, addr := range v.Servers.all() {
+			later, err := fetchList(ctx, v.Client, addr, v.Revision)
 			if err != nil {
-				d.Log.Debug("list_no_second_opinion", "addr", addr, "err", err)
+				v.Log.Debug("list_no_second_opinion", "addr", addr, "err", err)
 				continue
 			}
 			if later.Revision > l.Revision {
 				l = later
 			}
-			if !losesTooMany(d.missing(l), len(d.known)) {
+			if !losesTooMany(v.countMissing(l), len(v.known)) {
 				return l
 			}
 		}
--- a/internal/listwatch/watcher.go
+++ b/internal/listwatch/watcher.go
@@ -60,20 +60,20 @@
 }
 
 // Move sends to the addresses whatever is asked of discovery from now on, and ends what is being asked elsewhere.
-func (r *Addresses) Set(addrs []string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if !slices.Equal(addrs, r.addrs) {
-		close(r.changed)
-		r.addrs, r.first, r.changed = addrs, rand.N(len(addrs)), make(chan struct{})
+func (a *Addresses) Set(addrs []string) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if !slices.Equal(addrs, a.addrs) {
+		close(a.changed)
+		a.addrs, a.first, a.changed = addrs, rand.N(len(addrs)), make(chan struct{})
 	}
 }
 
 // Here returns the address for whoever has turned away from so many, and a context that ends when discovery moves.
-func (r *Addresses) Pick(ctx context.Context, offset int) (string, context.Context, context.CancelFunc) {
-	r.mu.Lock()
-	addr, changed := r.addrs[(r.first+offset)%len(r.addrs)], r.changed
-	r.mu.Unlock()
+func (a *Addresses) Pick(ctx context.Context, offset int) (string, context.Context, context.CancelFunc) {
+	a.mu.Lock()
+	addr, changed := a.addrs[(a.first+offset)%len(a.addrs)], a.changed
+	a.mu.Unlock()
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
 		select {
@@ -86,10 +86,10 @@
 }
 
 // all are the addresses.
-func (r *Addresses) all() []string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.addrs
+func (a *Addresses) all() []string {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.addrs
 }
 
 // Turns are when a member of a fleet asks for the list. turns.Turn is one.
@@ -161,7 +161,7 @@
 // Run follows the list from a revision until the context ends. Each watch that ends turns it to the next server, but
 // for one that says when to come, which is asked again then. With Beat a server that falls silent is doubted: see Links.
 func (w *Watcher) Run(ctx context.Context, after int64) {
-	f := follower{Watcher: w, after: after, events: make(chan streamEvent, 16), startedAt: time.Now()}
+	f := follower{Watcher: w, revision: after, events: make(chan streamEvent, 16), startedAt: time.Now()}
 	defer f.streams.Wait()
 	if w.Pacer != nil && w.PaceStart {
 		backoff.Sleep(ctx, w.Pacer.InitialDelay())
@@ -190,7 +190,7 @@
 // follower is a Watcher at work. One goroutine owns it, and hears from the streams by a channel.
 type follower struct {
 	*Watcher
-	after     int64
+	revision  int64
 	events    chan streamEvent
 	streams   sync.WaitGroup
 	startedAt time.Time
@@ -203,7 +203,7 @@
 	ctx       context.Context
 	cancel    context.CancelFunc
 	startedAt time.Time
-	lists     int
+	listCount int
 	heard     bool          // a message, or an empty line between messages
 	heartbeat time.Duration // of the server; 0 where it has none
 }
@@ -223,31 +223,31 @@
 func (f *follower) openStream(ctx context.Context, offset int, reservation uint64) *stream {
 	s := &stream{offset: offset, startedAt: time.Now()}
 	s.addr, s.ctx, s.cancel = f.Servers.Pick(ctx, offset)
-	url := fmt.Sprintf("http://%s/registry/instances?watch=1&after=%d", s.addr, f.after)
-	w := FollowOptions{ResponseTimeout: cmp.Or(f.ResponseTimeout, IdleTimeout), IdleTimeout: IdleTimeout}
-	emit := func(m streamEvent) {
-		m.stream = s
+	url := fmt.Sprintf("http://%s/registry/instances?watch=1&after=%d", s.addr, f.revision)
+	opts := FollowOptions{ResponseTimeout: cmp.Or(f.ResponseTimeout, IdleTimeout), IdleTimeout: IdleTimeout}
+	emit := func(e streamEvent) {
+		e.stream = s
 		select {
-		case f.events <- m:
+		case f.events <- e:
 		case <-ctx.Done():
 		}
 	}
 	if f.Pacer != nil {
-		w.ResponseTimeout, w.IdleTimeout = serviceResponseTimeout, ServiceIdleTimeout
+		opts.ResponseTimeout, opts.IdleTimeout = serviceResponseTimeout, ServiceIdleTimeout
 		if reservation != 0 {
 			url += fmt.Sprintf("&turn=%d", reservation)
 		}
 	}
 	if f.HeartbeatInterval > 0 {
 		url += fmt.Sprintf("&beat=%d", f.HeartbeatInterval.Milliseconds())
-		w.OnOpen = func(heartbeat time.Duration) { emit(streamEvent{opened: true, heartbeat: heartbeat}) }
+		opts.OnOpen = func(heartbeat time.Duration) { emit(streamEvent{opened: true, heartbeat: heartbeat}) }
 	}
-	w.OnActivity = func() { emit(streamEvent{}) }
+	opts.OnActivity = func() { emit(streamEvent{}) }
 	if f.OnRequest != nil {
 		f.OnRequest()
 	}
 	f.streams.Go(func() {
-		err := Follow(s.ctx, f.Client, url, w, func(message []byte) error {
+		err := Follow(s.ctx, f.Client, url, opts, func(message []byte) error {
 			emit(streamEvent{message: message})
 			return nil
 		})
@@ -284,9 +284,9 @@
 		}
 	}
 	for {
-		var m streamEvent
+		var e streamEvent
 		select {
-		case m = <-f.events:
+		case e = <-f.events:
 		case <-ticks:
 			if failover == nil {
 				continue
@@ -326,26 +326,26 @@
 			return current, ctx.Err()
 		}
 		switch {
-		case m.stream != current && m.stream != candidate:
+		case e.stream != current && e.stream != candidate:
 			continue // one that was left
-		case m.err != nil && m.stream == current:
-			if candidate == nil || candidate.lists == 0 {
-				return current, m.err
+		case e.err != nil && e.stream == current:
+			if candidate == nil || candidate.listCount == 0 {
+				return current, e.err
 			}
 			f.OnServerChange()
 			current, candidate = candidate, nil
 			failover = f.newFailover(current)
-		case m.err != nil:
+		case e.err != nil:
 			dropCandidate()
-		case m.opened:
-			if m.stream.heartbeat = m.heartbeat; m.stream == current {
+		case e.opened:
+			if e.stream.heartbeat = e.heartbeat; e.stream == current {
 				failover = f.newFailover(current)
 			}
 		default:
-			known := f.after
-			err := f.handleLine(m, current, failover)
-			if err == nil && m.stream == candidate && requested && m.message != nil {
-				if requested = false; f.after > known { // it knows more
+			known := f.revision
+			err := f.handleEvent(e, current, failover)
+			if err == nil && e.stream == candidate && requested && e.message != nil {
+				if requested = false; f.revision > known { // it knows more
 					f.Log.Warn("list_server_left", "addr", current.addr, "for", candidate.addr)
 					f.OnServerChange()
 					current.cancel()
@@ -355,7 +355,7 @@
 				}
 				dropCandidate() // it knows no more
 			}
-			if err != nil && m.stream == current {
+			if err != nil && e.stream == current {
 				return current, err
 			} else if err != nil {
 				dropCandidate()
@@ -372,9 +372,9 @@
 	}
 }
 
-func (f *follower) reportDelay(why string) {
+func (f *follower) reportDelay(reason string) {
 	if f.OnDelay != nil {
-		f.OnDelay(why)
+		f.OnDelay(reason)
 	}
 }
 
@@ -401,11 +401,11 @@
 }
 
 // hear takes one line of a stream.
-func (f *follower) handleLine(m streamEvent, current *stream, failover *Failover) error {
-	m.stream.heard = true
-	if m.message == nil {
+func (f *follower) handleEvent(e streamEvent, current *stream, failover *Failover) error {
+	e.stream.heard = true
+	if e.message == nil {
 		f.OnActivity()
-		if failover != nil && m.stream == current {
+		if failover != nil && e.stream == current {
 			failover.CurrentHeard(f.now())
 		} else if failover != nil {
 			failover.CandidateHeard(f.now(), false)
@@ -413,24 +413,24 @@
 		return nil
 	}
 	var l List
-	err := json.Unmarshal(m.message, &l)
+	err := json.Unmarshal(e.message, &l)
 	switch {
 	case err != nil:
 	case f.Check != nil:
-		l, err = f.Check(m.stream.ctx, m.stream.addr, l)
-	case l.Revision < f.after:
+		l, err = f.Check(e.stream.ctx, e.stream.addr, l)
+	case l.Revision < f.revision:
 		// A change that was overtaken, or a discovery that has begun anew. Its whole list, asked for anew, tells.
-		err = fmt.Errorf("%w: revision %d after %d", errOlderList, l.Revision, f.after)
-		f.after = 0
+		err = fmt.Errorf("%w: revision %d after %d", errOlderList, l.Revision, f.revision)
+		f.revision = 0
 	}
 	if err != nil {
 		return err
 	}
-	if failover != nil && m.stream != current {
-		failover.CandidateHeard(f.now(), l.Revision > f.after)
+	if failover != nil && e.stream != current {
+		failover.CandidateHeard(f.now(), l.Revision > f.revision)
 	}
-	f.after = l.Revision
-	m.stream.lists++
+	f.revision = l.Revision
+	e.stream.listCount++
 	f.Backoff.Reset()
 	f.OnList(l)
 	return nil
@@ -457,7 +457,7 @@
 		}
 		return wait, statusErr.Reservation
 	}
-	if s.lists > 0 { // all who followed that server have lost it
+	if s.listCount > 0 { // all who followed that server have lost it
 		return w.Pacer.InitialDelay(), 0
 	}
 	return w.Pacer.RetryDelay(time.Since(s.startedAt)), 0
--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -262,8 +262,8 @@
 	c.nextProbeAt = c.now + c.scaled(c.cfg.PingInterval)
 	c.periods++
 	if c.periods%syncPeriods == 1 {
-		if some := c.randomAlive(1, -1); len(some) > 0 {
-			c.sendDigest(some[0])
+		if alive := c.randomAlive(1, -1); len(alive) > 0 {
+			c.sendDigest(alive[0])
 		}
 	}
 	if c.periods%reconnectPeriods == 0 {
@@ -341,9 +341,9 @@
 }
 
 // Receive takes a datagram that came from a member's address.
-func (c *Core) Receive(now time.Duration, from int, text []byte) {
+func (c *Core) Receive(now time.Duration, from int, payload []byte) {
 	c.now = now
-	m, ok := decode(text)
+	m, ok := decode(payload)
 	if !ok || from < 0 || from >= len(c.members) || from == c.cfg.Self {
 		c.Counts.Rejected++
 		return
@@ -539,7 +539,7 @@
 		}
 		return cmp.Compare(a.transmissions, b.transmissions)
 	})
-	most := retransmitMult * bits.Len(uint(len(c.members)))
+	maxTransmissions := retransmitMult * bits.Len(uint(len(c.members)))
 	for _, i := range c.gossipQueue {
 		var fits bool
 		if b, fits = appendClaim(b, c.claimOf(i)); !fits {
@@ -548,7 +548,7 @@
 		c.members[i].transmissions++
 	}
 	c.gossipQueue = slices.DeleteFunc(c.gossipQueue, func(i int) bool {
-		if c.members[i].transmissions < most {
+		if c.members[i].transmissions < maxTransmissions {
 			return false
 		}
 		c.members[i].transmissions = -1
--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -40,26 +40,26 @@
 // compare answers a digest: with some of the buckets that differ, or with a word that none does.
 func (c *Core) handleDigest(from int, m message) {
 	own := c.digests()
-	var differ []int
+	var differing []int
 	for i := range own {
 		if own[i] != m.digest[i] {
-			differ = append(differ, i)
+			differing = append(differing, i)
 		}
 	}
-	if len(differ) == 0 {
+	if len(differing) == 0 {
 		c.agreedAt = c.now
 		c.send(from, message{kind: kindInSync, seq: m.seq})
 		return
 	}
-	c.rng.Shuffle(len(differ), func(a, b int) { differ[a], differ[b] = differ[b], differ[a] })
-	for _, bucket := range differ[:min(len(differ), maxSyncBuckets)] {
+	c.rng.Shuffle(len(differing), func(a, b int) { differing[a], differing[b] = differing[b], differing[a] })
+	for _, bucket := range differing[:min(len(differing), maxSyncBuckets)] {
 		c.sendEntries(from, bucket, true)
 	}
 }
 
 // sendEntries sends what this node holds of a bucket's members; what does not fit goes another time.
-func (c *Core) sendEntries(to, bucket int, want bool) {
-	b := message{kind: kindEntries, seq: c.seq, incarnation: c.Incarnation(), bucket: uint8(bucket), wantReply: want}.header()
+func (c *Core) sendEntries(to, bucket int, wantReply bool) {
+	b := message{kind: kindEntries, seq: c.seq, incarnation: c.Incarnation(), bucket: uint8(bucket), wantReply: wantReply}.header()
 	first := c.rng.IntN(len(c.members))
 	for k := range c.members {
 		i := (first + k) % len(c.members)
@@ -100,10 +100,10 @@
 }
 
 // Agreed is when another member had the same view; never is 0. Health is 0 unless this node is slow itself.
-func (c *Core) LastAgreement() (at time.Duration, health int) { return c.agreedAt, c.healthScore }
+func (c *Core) Health() (at time.Duration, health int) { return c.agreedAt, c.healthScore }
 
 // Present counts those who are not gone, this node too.
-func (c *Core) PresentCount() (present, suspect int) {
+func (c *Core) MemberCounts() (present, suspect int) {
 	for i := range c.members {
 		if !c.members[i].state.Gone() {
 			present++
--- a/internal/membership/sim_test.go
+++ b/internal/membership/sim_test.go
@@ -486,11 +486,11 @@
 	f := newFleet(t, 100, 1).startAll()
 	f.run(time.Minute)
 	for i, c := range f.cores {
-		if at, _ := c.LastAgreement(); f.now-at > 40*time.Second {
+		if at, _ := c.Health(); f.now-at > 40*time.Second {
 			t.Errorf("%d agreed with another %v ago", i, f.now-at)
 		}
 	}
-	if present, suspect := f.cores[0].PresentCount(); present != 100 || suspect != 0 {
+	if present, suspect := f.cores[0].MemberCounts(); present != 100 || suspect != 0 {
 		t.Errorf("%d present, %d suspect", present, suspect)
 	}
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -96,8 +96,8 @@
 
 // PublishFellows brings the figures of membership up to date.
 func (s *Set) PublishMembership(core *membership.Core, now time.Duration) {
-	present, suspects := core.PresentCount()
-	agreed, health := core.LastAgreement()
+	present, suspects := core.MemberCounts()
+	agreed, health := core.Health()
 	s.present.Store(int64(present))
 	s.suspect.Store(int64(suspects))
 	s.lastAgreementAgoMS.Store(-1)
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -134,11 +134,11 @@
 		return nil
 	}
 	core, now := n.membership.core, n.now()
-	agreed, health := core.LastAgreement()
+	agreed, health := core.Health()
 	v := &admin.MembershipView{
 		Number: n.cfg.Settings.Number, Incarnation: core.Incarnation(), AgreedMS: millisSince(now, agreed), Health: health,
 	}
-	v.Present, v.Suspect = core.PresentCount()
+	v.Present, v.Suspect = core.MemberCounts()
 	for _, m := range core.View() {
 		v.Members = append(v.Members, admin.Member{
 			Number: m.Member, Addr: n.peers.addrs[m.Member].String(), State: m.State.String(), Reason: string(m.Reason),
--- a/internal/rollout/reporter.go
+++ b/internal/rollout/reporter.go
@@ -24,62 +24,62 @@
 }
 
 // NewTeller begins at a moment with what holds then. Its incarnation must rise with each process of the node.
-func NewReporter(now time.Duration, c Report, rng *rand.Rand) *Reporter {
-	t := &Reporter{rng: rng, report: c, dirty: true}
-	t.dueAt = now + t.jitter(reportSpread)
-	return t
+func NewReporter(now time.Duration, report Report, rng *rand.Rand) *Reporter {
+	r := &Reporter{rng: rng, report: report, dirty: true}
+	r.dueAt = now + r.jitter(reportSpread)
+	return r
 }
 
-func (t *Reporter) jitter(d time.Duration) time.Duration {
-	return time.Duration(t.rng.Float64() * float64(d))
+func (r *Reporter) jitter(d time.Duration) time.Duration {
+	return time.Duration(r.rng.Float64() * float64(d))
 }
 
 // Update notes what the node acts on now, whether it is ready, and whether it is shut out.
-func (t *Reporter) Update(now time.Duration, revision int64, ready, fenced bool, lagReason string) {
-	if t.report.Revision == revision && t.report.Ready == ready && t.report.Fenced == fenced {
+func (r *Reporter) Update(now time.Duration, revision int64, ready, fenced bool, lagReason string) {
+	if r.report.Revision == revision && r.report.Ready == ready && r.report.Fenced == fenced {
 		return
 	}
-	t.report.Revision, t.report.Ready, t.report.Fenced = revision, ready, fenced
+	r.report.Revision, r.report.Ready, r.report.Fenced = revision, ready, fenced
 	if lagReason != "" {
-		t.report.LagReason = lagReason
+		r.report.LagReason = lagReason
 	}
-	if !t.dirty {
-		t.dirty = true
-		t.dueAt = min(t.dueAt, now+minReportInterval/4+t.jitter(reportSpread-minReportInterval/4))
+	if !r.dirty {
+		r.dirty = true
+		r.dueAt = min(r.dueAt, now+minReportInterval/4+r.jitter(reportSpread-minReportInterval/4))
 	}
 }
 
 // Wake is when Next has to be asked; 0 while a claim is on its way.
-func (t *Reporter) WakeAt() time.Duration {
-	if t.inFlight {
+func (r *Reporter) WakeAt() time.Duration {
+	if r.inFlight {
 		return 0
 	}
-	return t.dueAt
+	return r.dueAt
 }
 
 // Next is the claim that is due, if one is. Its end comes by Done.
-func (t *Reporter) Next(now time.Duration) (Report, bool) {
-	if t.inFlight || now < t.dueAt {
+func (r *Reporter) Next(now time.Duration) (Report, bool) {
+	if r.inFlight || now < r.dueAt {
 		return Report{}, false
 	}
-	t.report.Seq++
-	t.inFlight, t.dirty = true, false
-	return t.report, true
+	r.report.Seq++
+	r.inFlight, r.dirty = true, false
+	return r.report, true
 }
 
 // Done notes whether a server has taken the claim.
-func (t *Reporter) Done(now time.Duration, accepted bool) {
-	t.inFlight = false
+func (r *Reporter) Done(now time.Duration, accepted bool) {
+	r.inFlight = false
 	if !accepted {
-		t.dirty = true
-		t.retryDelay = min(max(2*t.retryDelay, minReportInterval), maxRetryDelay)
-		t.dueAt = now + t.retryDelay/2 + t.jitter(t.retryDelay/2)
+		r.dirty = true
+		r.retryDelay = min(max(2*r.retryDelay, minReportInterval), maxRetryDelay)
+		r.dueAt = now + r.retryDelay/2 + r.jitter(r.retryDelay/2)
 		return
 	}
-	t.retryDelay = 0
-	if t.dirty { // something has changed meanwhile
-		t.dueAt = now + minReportInterval
+	r.retryDelay = 0
+	if r.dirty { // something has changed meanwhile
+		r.dueAt = now + minReportInterval
 		return
 	}
-	t.dueAt = now + ReportInterval*3/4 + t.jitter(ReportInterval/2)
+	r.dueAt = now + ReportInterval*3/4 + r.jitter(ReportInterval/2)
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -35,7 +35,7 @@
 		}
 	}
 	v := x.Snapshot(30 * s)
-	if c := v.Changes[1]; c.Revision != 11 || c.Nodes != 4 || c.Applied != 3 || c.HalfMS != 3000 || c.AllMS != -1 || c.AgeMS != 20_000 {
+	if c := v.Revisions[1]; c.Revision != 11 || c.Nodes != 4 || c.Applied != 3 || c.HalfMS != 3000 || c.AllMS != -1 || c.AgeMS != 20_000 {
 		t.Errorf("%+v", c)
 	}
 	if v.Nodes[0].BehindMS != 18_000 || v.Nodes[3].BehindMS != 20_000 || v.Head != 12 {
@@ -91,8 +91,8 @@
 	for r := range int64(3 * maxTrackedRevisions) {
 		x.Advance(s, r+2)
 	}
-	if v := x.Snapshot(s); len(v.Nodes) != MaxNodes || len(v.Changes) != maxTrackedRevisions {
-		t.Errorf("%d nodes, %d changes", len(v.Nodes), len(v.Changes))
+	if v := x.Snapshot(s); len(v.Nodes) != MaxNodes || len(v.Revisions) != maxTrackedRevisions {
+		t.Errorf("%d nodes, %d changes", len(v.Nodes), len(v.Revisions))
 	}
 	if err := x.Apply(2*evictAfter, newReport("late", 1, 1, 1)); err != nil {
 		t.Error(err)
@@ -117,16 +117,16 @@
 			}
 		}
 		views := []Snapshot{tables[0].Snapshot(s), tables[1].Snapshot(s), tables[2].Snapshot(s)}
-		one, other := Merge(views), Merge([]Snapshot{views[2], views[0], views[1]})
-		if len(one.Nodes) != len(want) {
-			t.Fatalf("%d nodes of %d", len(one.Nodes), len(want))
+		merged, reordered := Merge(views), Merge([]Snapshot{views[2], views[0], views[1]})
+		if len(merged.Nodes) != len(want) {
+			t.Fatalf("%d nodes of %d", len(merged.Nodes), len(want))
 		}
-		for i, r := range one.Nodes {
-			if c := want[r.Name]; r.Incarnation != c.Incarnation || r.Seq != c.Seq || other.Nodes[i].Seq != r.Seq {
+		for i, r := range merged.Nodes {
+			if c := want[r.Name]; r.Incarnation != c.Incarnation || r.Seq != c.Seq || reordered.Nodes[i].Seq != r.Seq {
 				t.Fatalf("%+v, and the latest is %+v", r.Report, c)
 			}
-			if (r.Revision < one.Head) != (r.BehindMS > 0) {
-				t.Fatalf("%+v with head %d", r, one.Head)
+			if (r.Revision < merged.Head) != (r.BehindMS > 0) {
+				t.Fatalf("%+v with head %d", r, merged.Head)
 			}
 		}
 	})
@@ -142,10 +142,10 @@
 	}{{"at rest", time.Hour, 0.8, 1.5}, {"a change a second", time.Second, 20, 60}, {"a change in 10 ms", 10 * time.Millisecond, 20, 60}} {
 		rng := rand.New(rand.NewPCG(1, 1))
 		const nodes, minutes = 50, 10
-		told, latest := 0, time.Duration(0)
-		var tellers []*Reporter
+		reports, maxDelay := 0, time.Duration(0)
+		var reporters []*Reporter
 		for i := range nodes {
-			tellers = append(tellers, NewReporter(0, newReport(fmt.Sprint(i), 1, 0, 1), rng))
+			reporters = append(reporters, NewReporter(0, newReport(fmt.Sprint(i), 1, 0, 1), rng))
 		}
 		changed, revision := time.Duration(0), int64(1)
 		for now := time.Duration(0); now < minutes*time.Minute; now += 10 * time.Millisecond {
@@ -153,16 +153,16 @@
 				changed = now
 				revision++
 			}
-			for _, x := range tellers {
+			for _, x := range reporters {
 				x.Update(now, revision, true, false, "")
 				if _, ok := x.Next(now); ok {
-					told++
-					latest = max(latest, now-changed)
+					reports++
+					maxDelay = max(maxDelay, now-changed)
 					x.Done(now, true)
 				}
 			}
 		}
-		if rate := float64(told) / nodes / minutes; rate < c.least || rate > c.most {
+		if rate := float64(reports) / nodes / minutes; rate < c.least || rate > c.most {
 			t.Errorf("%s: %.1f claims a node and minute", c.name, rate)
 		}
 	}
--- a/internal/rollout/table.go
+++ b/internal/rollout/table.go
@@ -43,20 +43,20 @@
 	ErrTableFull = errors.New("the table is full")
 )
 
-func (c Report) validate(head int64) error {
-	for name, word := range map[string]string{"name": c.Name, "build": c.Build, "config": c.Config, "door": c.AdminAddr} {
+func (r Report) validate(head int64) error {
+	for field, value := range map[string]string{"name": r.Name, "build": r.Build, "config": r.Config, "door": r.AdminAddr} {
 		bad := func(r rune) bool { return r <= ' ' || r > '~' }
-		if len(word) > maxFieldLen || name == "name" && word == "" || slices.ContainsFunc([]rune(word), bad) {
-			return fmt.Errorf("%w: %s %.70q", ErrInvalid, name, word)
+		if len(value) > maxFieldLen || field == "name" && value == "" || slices.ContainsFunc([]rune(value), bad) {
+			return fmt.Errorf("%w: %s %.70q", ErrInvalid, field, value)
 		}
 	}
 	switch {
-	case len(c.LagReason) > 2*maxFieldLen:
-		return fmt.Errorf("%w: why has %d bytes", ErrInvalid, len(c.LagReason))
-	case c.Incarnation <= 0 || c.Seq <= 0 || c.Revision < 0:
-		return fmt.Errorf("%w: incarnation %d, seq %d, revision %d", ErrInvalid, c.Incarnation, c.Seq, c.Revision)
-	case c.Revision > head:
-		return fmt.Errorf("%w: revision %d is not given yet, the last is %d", ErrInvalid, c.Revision, head)
+	case len(r.LagReason) > 2*maxFieldLen:
+		return fmt.Errorf("%w: why has %d bytes", ErrInvalid, len(r.LagReason))
+	case r.Incarnation <= 0 || r.Seq <= 0 || r.Revision < 0:
+		return fmt.Errorf("%w: incarnation %d, seq %d, revision %d", ErrInvalid, r.Incarnation, r.Seq, r.Revision)
+	case r.Revision > head:
+		return fmt.Errorf("%w: revision %d is not given yet, the last is %d", ErrInvalid, r.Revision, head)
 	}
 	return nil
 }
@@ -82,9 +82,9 @@
 
 // View is what a table tells.
 type Snapshot struct {
-	Head    int64              `json:"head"`
-	Nodes   []NodeStatus       `json:"nodes"`
-	Changes []RevisionProgress `json:"changes"`
+	Head      int64              `json:"head"`
+	Nodes     []NodeStatus       `json:"nodes"`
+	Revisions []RevisionProgress `json:"changes"`
 }
 
 type nodeEntry struct {
@@ -103,11 +103,11 @@
 //
 // Invariants: one row a name, of its latest incarnation and claim; no row claims more than head; changes rise.
 type Table struct {
-	head     int64
-	nodes    map[string]*nodeEntry
-	changes  []trackedRevision
-	Rejected int64 // claims
-	version  int64
+	head      int64
+	nodes     map[string]*nodeEntry
+	revisions []trackedRevision
+	Rejected  int64 // claims
+	version   int64
 }
 
 // Version is another after each claim that was taken, each row that was dropped and each revision.
@@ -129,15 +129,15 @@
 			nodes++
 		}
 	}
-	t.changes = append(t.changes, trackedRevision{revision: head, publishedAt: now, nodes: nodes})
-	t.changes = t.changes[max(0, len(t.changes)-maxTrackedRevisions):]
+	t.revisions = append(t.revisions, trackedRevision{revision: head, publishedAt: now, nodes: nodes})
+	t.revisions = t.revisions[max(0, len(t.revisions)-maxTrackedRevisions):]
 }
 
 // Take takes a claim.
-func (t *Table) Apply(now time.Duration, c Report) error {
-	err := c.validate(t.head)
-	old := t.nodes[c.Name]
-	if err == nil && old != nil && (c.Incarnation < old.Incarnation || c.Incarnation == old.Incarnation && c.Seq <= old.Seq) {
+func (t *Table) Apply(now time.Duration, report Report) error {
+	err := report.validate(t.head)
+	old := t.nodes[report.Name]
+	if err == nil && old != nil && (report.Incarnation < old.Incarnation || report.Incarnation == old.Incarnation && report.Seq <= old.Seq) {
 		err = fmt.Errorf("%w: incarnation %d, claim %d", ErrStale, old.Incarnation, old.Seq)
 	}
 	if err == nil && old == nil && len(t.nodes) >= MaxNodes && !t.evictSilent(now) {
@@ -147,31 +147,31 @@
 		t.Rejected++
 		return err
 	}
-	from := int64(0)
+	previous := int64(0)
 	if old != nil {
-		from = old.Revision
+		previous = old.Revision
 	}
-	for i := range t.changes {
-		if h := &t.changes[i]; h.revision > from && h.revision <= c.Revision {
+	for i := range t.revisions {
+		if h := &t.revisions[i]; h.revision > previous && h.revision <= report.Revision {
 			h.countNode(now)
 		}
 	}
-	t.nodes[c.Name] = &nodeEntry{c, now}
+	t.nodes[report.Name] = &nodeEntry{report, now}
 	t.version++
 	return nil
 }
 
 // apply counts one more node that has the change.
-func (h *trackedRevision) countNode(now time.Duration) {
-	h.applied++
+func (r *trackedRevision) countNode(now time.Duration) {
+	r.applied++
 	reached := func(at *time.Duration, percent int) {
-		if *at == 0 && 100*h.applied >= percent*h.nodes {
-			*at = max(now-h.publishedAt, 1)
+		if *at == 0 && 100*r.applied >= percent*r.nodes {
+			*at = max(now-r.publishedAt, 1)
 		}
 	}
-	reached(&h.half, 50)
-	reached(&h.p99, 99)
-	reached(&h.all, 100)
+	reached(&r.half, 50)
+	reached(&r.p99, 99)
+	reached(&r.all, 100)
 }
 
 // forget gives up the row that has been silent longest, if that is long enough.
@@ -199,21 +199,21 @@
 
 // View tells everything, nodes by name and changes by revision.
 func (t *Table) Snapshot(now time.Duration) Snapshot {
-	v := Snapshot{Head: t.head, Nodes: make([]NodeStatus, 0, len(t.nodes)), Changes: make([]RevisionProgress, 0, len(t.changes))}
+	s := Snapshot{Head: t.head, Nodes: make([]NodeStatus, 0, len(t.nodes)), Revisions: make([]RevisionProgress, 0, len(t.revisions))}
 	for _, name := range slices.Sorted(maps.Keys(t.nodes)) {
 		r := t.nodes[name]
 		out := NodeStatus{Report: r.Report, LastReportMS: (now - r.reportedAt).Milliseconds(), Silent: now-r.reportedAt > SilentAfter}
 		if since, behind := t.behindSince(r); behind {
 			out.BehindMS = max((now - since).Milliseconds(), 1)
 		}
-		v.Nodes = append(v.Nodes, out)
+		s.Nodes = append(s.Nodes, out)
 	}
-	for _, h := range t.changes {
-		v.Changes = append(v.Changes, RevisionProgress{
+	for _, h := range t.revisions {
+		s.Revisions = append(s.Revisions, RevisionProgress{
 			h.revision, (now - h.publishedAt).Milliseconds(), h.applied, h.nodes, millis(h.half), millis(h.p99), millis(h.all),
 		})
 	}
-	return v
+	return s
 }
 
 func millis(d time.Duration) int64 {
@@ -228,11 +228,11 @@
 	if r.Revision >= t.head {
 		return 0, false
 	}
-	i, _ := slices.BinarySearchFunc(t.changes, r.Revision+1, func(h trackedRevision, rev int64) int { return cmp.Compare(h.revision, rev) })
-	if i == len(t.changes) {
+	i, _ := slices.BinarySearchFunc(t.revisions, r.Revision+1, func(h trackedRevision, rev int64) int { return cmp.Compare(h.revision, rev) })
+	if i == len(t.revisions) {
 		return 0, false
 	}
-	return t.changes[i].publishedAt, true
+	return t.revisions[i].publishedAt, true
 }
 
 // Counts are the nodes, those behind, those silent, and the oldest revision that one which is not silent acts on.
@@ -252,8 +252,8 @@
 }
 
 // Unfit names the nodes that are not silent and don't reach a floor, and says of how many.
-func (v Snapshot) BelowFloor(revision int64, build, config string) (below []string, total int) {
-	for _, r := range v.Nodes {
+func (s Snapshot) BelowFloor(revision int64, build, config string) (below []string, total int) {
+	for _, r := range s.Nodes {
 		if r.Silent {
 			continue
 		}
@@ -266,27 +266,27 @@
 
 // Merge joins what several servers know: of each node the latest claim, by incarnation and number and not by clocks, and
 // the changes of the server that is furthest.
-func Merge(views []Snapshot) Snapshot {
+func Merge(snapshots []Snapshot) Snapshot {
 	var out Snapshot
-	rows := map[string]NodeStatus{}
-	for _, v := range views {
-		if v.Head >= out.Head {
-			out.Head, out.Changes = v.Head, v.Changes
+	latest := map[string]NodeStatus{}
+	for _, s := range snapshots {
+		if s.Head >= out.Head {
+			out.Head, out.Revisions = s.Head, s.Revisions
 		}
-		for _, r := range v.Nodes {
-			old, known := rows[r.Name]
+		for _, r := range s.Nodes {
+			old, known := latest[r.Name]
 			if !known || r.Incarnation > old.Incarnation || r.Incarnation == old.Incarnation && r.Seq > old.Seq {
-				rows[r.Name] = r
+				latest[r.Name] = r
 			}
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(rows)) {
-		r := rows[name]
+	for _, name := range slices.Sorted(maps.Keys(latest)) {
+		r := latest[name]
 		if r.Revision >= out.Head {
 			r.BehindMS = 0
 		} else if r.BehindMS == 0 { // the server that it told is behind as well
 			r.BehindMS = 1
-			for _, c := range out.Changes {
+			for _, c := range out.Revisions {
 				if c.Revision > r.Revision {
 					r.BehindMS = max(c.AgeMS, 1)
 					break
--- a/internal/staleness/detector.go
+++ b/internal/staleness/detector.go
@@ -117,87 +117,87 @@
 	if cfg.GossipInterval == 0 {
 		cfg.GossipInterval = DefaultGossipInterval
 	}
-	c := &Detector{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Self))), revision: revision, behindSince: -1, queryBackoff: minQueryBackoff}
-	c.announceAt = now + time.Duration(c.rng.Int64N(int64(cfg.GossipInterval)))
-	return c
+	d := &Detector{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Self))), revision: revision, behindSince: -1, queryBackoff: minQueryBackoff}
+	d.announceAt = now + time.Duration(d.rng.Int64N(int64(cfg.GossipInterval)))
+	return d
 }
 
 // others draws other nodes.
-func (c *Detector) randomPeers(count int) (out []int) {
-	count = min(count, c.cfg.FleetSize-1)
+func (d *Detector) randomPeers(count int) (out []int) {
+	count = min(count, d.cfg.FleetSize-1)
 	for len(out) < count {
-		if i := c.rng.IntN(c.cfg.FleetSize); i != c.cfg.Self && !slices.Contains(out, i) {
+		if i := d.rng.IntN(d.cfg.FleetSize); i != d.cfg.Self && !slices.Contains(out, i) {
 			out = append(out, i)
 		}
 	}
 	return out
 }
 
-func (c *Detector) send(k kind, to ...int) {
+func (d *Detector) send(k kind, to ...int) {
 	for _, i := range to {
-		c.outgoing = append(c.outgoing, Datagram{i, encode(k, c.revision)})
+		d.outgoing = append(d.outgoing, Datagram{i, encode(k, d.revision)})
 	}
 }
 
 // Listed notes the revision that the node acts on from now on.
-func (c *Detector) SetRevision(now time.Duration, revision int64) {
-	if revision == c.revision {
+func (d *Detector) SetRevision(now time.Duration, revision int64) {
+	if revision == d.revision {
 		return
 	}
-	c.revision = revision
-	c.peersAhead = slices.DeleteFunc(c.peersAhead, func(w observation) bool { return w.revision <= revision })
-	c.send(kindAnnounce, c.randomPeers(changeFanout)...)
+	d.revision = revision
+	d.peersAhead = slices.DeleteFunc(d.peersAhead, func(w observation) bool { return w.revision <= revision })
+	d.send(kindAnnounce, d.randomPeers(changeFanout)...)
 }
 
 // Doubt notes whether the list server is silent: then others are asked at once, and again with growing pauses.
-func (c *Detector) SetServerSilent(now time.Duration, silent bool) {
+func (d *Detector) SetServerSilent(now time.Duration, silent bool) {
 	switch {
 	case !silent:
-		c.silenceQueryAt = 0
-	case c.silenceQueryAt == 0:
-		c.silenceQueryAt, c.silenceQueryBackoff = now, minQueryBackoff
+		d.silenceQueryAt = 0
+	case d.silenceQueryAt == 0:
+		d.silenceQueryAt, d.silenceQueryBackoff = now, minQueryBackoff
 	}
 }
 
 // Floor notes the least revision that the list service asks of all; 0 for none.
-func (c *Detector) SetFloor(revision int64) { c.floor = revision }
+func (d *Detector) SetFloor(revision int64) { d.floor = revision }
 
 // Receive takes a datagram of another node.
-func (c *Detector) Receive(now time.Duration, from int, text []byte) {
-	k, revision, ok := decode(text)
-	if !ok || from < 0 || from >= c.cfg.FleetSize || from == c.cfg.Self {
-		c.Malformed++
+func (d *Detector) Receive(now time.Duration, from int, payload []byte) {
+	k, revision, ok := decode(payload)
+	if !ok || from < 0 || from >= d.cfg.FleetSize || from == d.cfg.Self {
+		d.Malformed++
 		return
 	}
-	if k == kindQuery || k == kindAnnounce && revision < c.revision {
-		c.send(kindReply, from)
+	if k == kindQuery || k == kindAnnounce && revision < d.revision {
+		d.send(kindReply, from)
 	}
-	c.peersAhead = slices.DeleteFunc(c.peersAhead, func(w observation) bool { return w.peer == from })
-	if revision > c.revision {
-		c.peersAhead = append(c.peersAhead, observation{from, revision, now})
-		c.requestConfirmation(now)
+	d.peersAhead = slices.DeleteFunc(d.peersAhead, func(w observation) bool { return w.peer == from })
+	if revision > d.revision {
+		d.peersAhead = append(d.peersAhead, observation{from, revision, now})
+		d.requestConfirmation(now)
 	}
 }
 
 // verify asks others to bear witness while only one says that it is ahead.
-func (c *Detector) requestConfirmation(now time.Duration) {
+func (d *Detector) requestConfirmation(now time.Duration) {
 	switch {
-	case len(c.peersAhead) == 0:
-		c.queryAt, c.queryBackoff = 0, minQueryBackoff
-	case c.confirmedRevision() == 0 && now >= c.queryAt:
-		c.queryAt, c.queryBackoff = now+c.queryBackoff, min(2*c.queryBackoff, observationTTL)
-		c.send(kindQuery, c.randomPeers(queryFanout)...)
+	case len(d.peersAhead) == 0:
+		d.queryAt, d.queryBackoff = 0, minQueryBackoff
+	case d.confirmedRevision() == 0 && now >= d.queryAt:
+		d.queryAt, d.queryBackoff = now+d.queryBackoff, min(2*d.queryBackoff, observationTTL)
+		d.send(kindQuery, d.randomPeers(queryFanout)...)
 	}
 }
 
 // witnessed is the latest revision that enough others say they act on; 0 for none that is later than the own.
-func (c *Detector) confirmedRevision() int64 {
-	need := min(minConfirmations, c.cfg.FleetSize-1)
-	if need == 0 || len(c.peersAhead) < need {
+func (d *Detector) confirmedRevision() int64 {
+	need := min(minConfirmations, d.cfg.FleetSize-1)
+	if need == 0 || len(d.peersAhead) < need {
 		return 0
 	}
-	revisions := make([]int64, len(c.peersAhead))
-	for i, w := range c.peersAhead {
+	revisions := make([]int64, len(d.peersAhead))
+	for i, w := range d.peersAhead {
 		revisions[i] = w.revision
 	}
 	slices.SortFunc(revisions, func(a, b int64) int { return cmp.Compare(b, a) })
@@ -212,87 +212,87 @@
 }
 
 // Step does what is due, after the datagrams that have come were handed in.
-func (c *Detector) Step(now time.Duration) (n StepResult) {
-	c.peersAhead = slices.DeleteFunc(c.peersAhead, func(w observation) bool { return now-w.seenAt > observationTTL })
-	c.requestConfirmation(now)
-	if c.silenceQueryAt > 0 && now >= c.silenceQueryAt {
-		c.send(kindQuery, c.randomPeers(queryFanout)...)
-		c.silenceQueryAt, c.silenceQueryBackoff = now+c.silenceQueryBackoff, min(2*c.silenceQueryBackoff, maxSilenceQueryBackoff)
+func (d *Detector) Step(now time.Duration) (result StepResult) {
+	d.peersAhead = slices.DeleteFunc(d.peersAhead, func(w observation) bool { return now-w.seenAt > observationTTL })
+	d.requestConfirmation(now)
+	if d.silenceQueryAt > 0 && now >= d.silenceQueryAt {
+		d.send(kindQuery, d.randomPeers(queryFanout)...)
+		d.silenceQueryAt, d.silenceQueryBackoff = now+d.silenceQueryBackoff, min(2*d.silenceQueryBackoff, maxSilenceQueryBackoff)
 	}
-	if now >= c.announceAt {
-		c.announceAt = now + c.cfg.GossipInterval/2 + time.Duration(c.rng.Int64N(int64(c.cfg.GossipInterval)))
-		c.send(kindAnnounce, c.randomPeers(1)...)
+	if now >= d.announceAt {
+		d.announceAt = now + d.cfg.GossipInterval/2 + time.Duration(d.rng.Int64N(int64(d.cfg.GossipInterval)))
+		d.send(kindAnnounce, d.randomPeers(1)...)
 	}
-	n.NewerRevision = max(c.confirmedRevision(), c.floor)
-	if n.NewerRevision <= c.revision || c.revision == 0 { // who has no list yet waits for one in its turn
-		n.NewerRevision, c.behindSince = 0, -1
-		return c.unfence(now, n)
+	result.NewerRevision = max(d.confirmedRevision(), d.floor)
+	if result.NewerRevision <= d.revision || d.revision == 0 { // who has no list yet waits for one in its turn
+		result.NewerRevision, d.behindSince = 0, -1
+		return d.unfence(now, result)
 	}
-	c.unfenceAt = 0
-	if c.behindSince < 0 {
-		c.behindSince, c.serverQueryAt = now, now+ServerQueryAfter+time.Duration(c.rng.Int64N(int64(ServerQueryAfter/8)))
+	d.unfenceAt = 0
+	if d.behindSince < 0 {
+		d.behindSince, d.serverQueryAt = now, now+ServerQueryAfter+time.Duration(d.rng.Int64N(int64(ServerQueryAfter/8)))
 	}
-	if now >= c.serverQueryAt {
-		n.QueryServer, c.serverQueryAt = true, now+ServerQueryInterval
+	if now >= d.serverQueryAt {
+		result.QueryServer, d.serverQueryAt = true, now+ServerQueryInterval
 	}
-	if !c.fenced && now-c.behindSince >= FenceAfter {
-		c.fenced, c.fencedSince, n.FenceChanged = true, now, true
-		c.FenceCount++
+	if !d.fenced && now-d.behindSince >= FenceAfter {
+		d.fenced, d.fencedSince, result.FenceChanged = true, now, true
+		d.FenceCount++
 	}
-	return n
+	return result
 }
 
 // back lets a node in again that has caught up, or that nobody says is behind any more. Many do so at once when what kept
 // them is mended, so each that was out for long waits for some part of backMost.
-func (c *Detector) unfence(now time.Duration, n StepResult) StepResult {
-	if !c.fenced {
-		return n
+func (d *Detector) unfence(now time.Duration, result StepResult) StepResult {
+	if !d.fenced {
+		return result
 	}
-	if c.unfenceAt == 0 {
-		if c.unfenceAt = now; now-c.fencedSince >= unfenceJitterAfter {
-			c.unfenceAt += time.Duration(c.rng.Int64N(int64(maxUnfenceJitter)))
+	if d.unfenceAt == 0 {
+		if d.unfenceAt = now; now-d.fencedSince >= unfenceJitterAfter {
+			d.unfenceAt += time.Duration(d.rng.Int64N(int64(maxUnfenceJitter)))
 		}
 	}
-	if now >= c.unfenceAt {
-		c.fenced, c.unfenceAt, n.FenceChanged = false, 0, true
+	if now >= d.unfenceAt {
+		d.fenced, d.unfenceAt, result.FenceChanged = false, 0, true
 	}
-	return n
+	return result
 }
 
 // Out tells whether the node is shut out: it begins nothing new on what it knows.
-func (c *Detector) Fenced() bool { return c.fenced }
+func (d *Detector) Fenced() bool { return d.fenced }
 
 // Behind tells since when the node knows that it is behind.
-func (c *Detector) Behind() (since time.Duration, ok bool) { return c.behindSince, c.behindSince >= 0 }
+func (d *Detector) Behind() (since time.Duration, ok bool) { return d.behindSince, d.behindSince >= 0 }
 
 // Take returns what is to be sent since it was last called.
-func (c *Detector) Take() []Datagram {
-	out := c.outgoing
-	c.outgoing = nil
+func (d *Detector) Take() []Datagram {
+	out := d.outgoing
+	d.outgoing = nil
 	return out
 }
 
 // Wake is when Step has to be called next.
-func (c *Detector) WakeAt() time.Duration {
-	at := c.announceAt
-	if c.behindSince >= 0 {
-		if at = min(at, c.serverQueryAt); !c.fenced {
-			at = min(at, c.behindSince+FenceAfter)
+func (d *Detector) WakeAt() time.Duration {
+	at := d.announceAt
+	if d.behindSince >= 0 {
+		if at = min(at, d.serverQueryAt); !d.fenced {
+			at = min(at, d.behindSince+FenceAfter)
 		}
 	}
-	if c.unfenceAt > 0 {
-		at = min(at, c.unfenceAt)
+	if d.unfenceAt > 0 {
+		at = min(at, d.unfenceAt)
 	}
-	for _, w := range c.peersAhead {
+	for _, w := range d.peersAhead {
 		at = min(at, w.seenAt+observationTTL+time.Millisecond)
 	}
-	if c.silenceQueryAt > 0 {
-		at = min(at, c.silenceQueryAt)
+	if d.silenceQueryAt > 0 {
+		at = min(at, d.silenceQueryAt)
 	}
-	if c.queryAt > 0 && c.confirmedRevision() == 0 {
-		at = min(at, c.queryAt)
+	if d.queryAt > 0 && d.confirmedRevision() == 0 {
+		at = min(at, d.queryAt)
 	}
-	if c.behindSince >= 0 && (max(c.confirmedRevision(), c.floor) <= c.revision || c.revision == 0) {
+	if d.behindSince >= 0 && (max(d.confirmedRevision(), d.floor) <= d.revision || d.revision == 0) {
 		at = 0 // it has caught up, and Step decides about the way back
 	}
 	return at
--- a/internal/staleness/detector_test.go
+++ b/internal/staleness/detector_test.go
@@ -122,20 +122,20 @@
 			c.SetServerSilent(f.now, true)
 		}
 		f.run(3700 * ms)
-		slow := 0
+		notFenced := 0
 		for i, c := range f.nodes {
 			if i >= behind && c.FenceCount > 0 {
 				t.Fatalf("node %d of %d has the list and is shut out", i, n)
 			}
 			if i < behind && !c.Fenced() {
-				slow++
+				notFenced++
 			}
 			if i < behind && c.Fenced() && f.serverQueries[i] == 0 {
 				t.Fatalf("node %d never asked another server", i)
 			}
 		}
-		if slow > behind/20 && (f.lossRate == 0 || n > 10) {
-			t.Fatalf("%d of %d that are behind are not shut out after 1.5 s, of a fleet of %d", slow, behind, n)
+		if notFenced > behind/20 && (f.lossRate == 0 || n > 10) {
+			t.Fatalf("%d of %d that are behind are not shut out after 1.5 s, of a fleet of %d", notFenced, behind, n)
 		}
 		f.run(5 * time.Second)
 		if out := f.fencedCount(); out != behind {
