--- a/choice/choice.go
+++ b/choice/choice.go
@@ -66,7 +66,7 @@
 	timeoutFailureFactor = 1.5                    // growing with each failure in a row, lest a slow one never pass
 	minTimeoutAims       = 0.5                    // and this share of the aim at least: a repeat still fits in it,
 	maxTimeoutAims       = 2.0                    // and at most so many aims
-	minRetryBackoff      = 100 * time.Millisecond // rest of a message after a failure, doubled each time
+	retryBackoffBase     = 100 * time.Millisecond // rest of a message after a failure, doubled each time
 	pickLatencyExponent  = 2                      // odds of an endpoint fall with this power of its response
 	minWakeInterval      = 10 * time.Millisecond  // wakes are this far apart at least,
 	waitingPollInterval  = 30 * time.Millisecond  // and this far while something waits
@@ -129,7 +129,7 @@
 		case WakeDue:
 			s.nextWakeAt = 0 // a rounded clock may ring a little before the time
 		case ShuttingDown:
-			s.leaving = true
+			s.shuttingDown = true
 			s.handOverLimits(e)
 		}
 	}
@@ -138,7 +138,7 @@
 		s.emit(RequestList{})
 	}
 	s.expireMessages()
-	if !s.leaving && !s.suspended { // what is held goes on in the next life, or once it is known what holds
+	if !s.shuttingDown && !s.suspended { // what is held goes on in the next life, or once it is known what holds
 		s.sendWaiting()
 		if s.sharesLimits() {
 			if s.requestGrants(); s.issueGrants() {
@@ -174,7 +174,7 @@
 	if s.messages[e.ID] != nil {
 		return
 	}
-	m, d := s.newMessage(e)
+	m, d := s.registerMessage(e)
 	if !s.admit(d, m) {
 		s.finish(m, Refuse{ID: m.id, RetryAfter: s.retryAfter(d)})
 		return
@@ -189,11 +189,11 @@
 	if s.messages[e.ID] != nil {
 		return
 	}
-	m, d := s.newMessage(e.MessageArrived)
+	m, d := s.registerMessage(e.MessageArrived)
 	m.attempts, m.mayHaveRun = e.Attempts, e.MayHaveRun && m.class.Effect != Idempotent
 	m.firstRunSentAt, m.runZone, m.resumed = e.FirstRunSentAt, e.Zone, true
-	late := m.mayHaveRun && m.class.Effect == Deduplicated && s.now >= s.dedupWindowEnd(m)
-	if (m.mayHaveRun && m.class.Effect == AtMostOnce) || late || s.attemptsExhausted(m) || s.now >= m.deadline-answerMargin {
+	pastWindow := m.mayHaveRun && m.class.Effect == Deduplicated && s.now >= s.dedupWindowEnd(m)
+	if (m.mayHaveRun && m.class.Effect == AtMostOnce) || pastWindow || s.attemptsExhausted(m) || s.now >= m.deadline-answerMargin {
 		s.giveUp(m)
 		return
 	}
@@ -290,29 +290,29 @@
 		s.reportCallEnd(c.endpoint, e.Outcome, e.RetryAfter)
 	}
 	m.inFlight--
-	ran := e.Outcome == ServerError || e.Outcome == TimedOut || e.Outcome == ConnReset || e.Outcome == Cancelled
-	if ran && m.class.Effect != Idempotent && (!m.mayHaveRun || c.sentAt < m.firstRunSentAt) {
+	mayHaveRun := e.Outcome == ServerError || e.Outcome == TimedOut || e.Outcome == ConnReset || e.Outcome == Cancelled
+	if mayHaveRun && m.class.Effect != Idempotent && (!m.mayHaveRun || c.sentAt < m.firstRunSentAt) {
 		m.mayHaveRun, m.firstRunSentAt, m.runZone = true, c.sentAt, c.endpoint.zone
 	}
-	if ran && e.Outcome != ServerError && m.key != "" {
+	if mayHaveRun && e.Outcome != ServerError && m.key != "" {
 		s.keyBlockedUntil[m.key] = max(s.keyBlockedUntil[m.key], s.now+s.cfg.OrderedPause)
 	}
 	if m.ended {
 		return // ended meanwhile; its turn and its key had to hear of the outcome all the same
 	}
-	stray := s.isStaleConnReset(c, e)
-	if !stray {
+	staleReset := s.isStaleConnReset(c, e)
+	if !staleReset {
 		s.sampleGate(m, c, e.Outcome)
 	}
 	switch {
 	case e.MessageDone || e.Outcome == Success:
 		s.finish(m, nil)
 	case m.inFlight > 0: // another copy is out and may still pass
-	case s.now >= m.deadline-answerMargin, ran && m.class.Effect == AtMostOnce, s.attemptsExhausted(m):
+	case s.now >= m.deadline-answerMargin, mayHaveRun && m.class.Effect == AtMostOnce, s.attemptsExhausted(m):
 		s.giveUp(m)
 	default:
-		if !stray && (ran || e.Outcome == ConnectFailed) {
-			m.notBefore = s.now + minRetryBackoff<<min(m.attempts, 16)
+		if !staleReset && (mayHaveRun || e.Outcome == ConnectFailed) {
+			m.retryAt = s.now + retryBackoffBase<<min(m.attempts, 16)
 		}
 		s.enqueue(m)
 	}
@@ -332,7 +332,7 @@
 // nothing of what a new one would meet, and the old backlog kept the gate shut for messages that could be
 // in time.
 func (s *Sender) sampleGate(m *message, c *call, o Outcome) {
-	sec := seconds(s.now - max(m.arrived, min(c.endpoint.route.recoveryStartedAt, c.sentAt)))
+	sec := seconds(s.now - max(m.arrivedAt, min(c.endpoint.route.recoveryStartedAt, c.sentAt)))
 	switch o {
 	case Success:
 	case NotSent, Cancelled:
@@ -384,7 +384,7 @@
 		}
 		ep.penalizedLatency = smooth(ep.penalizedLatency, 2*max(ep.penalizedLatency, took))
 		// Refused where there is no limit: a full queue, as of a destination that hangs.
-		queueFull := r.reported && r.limit == 0
+		queueFull := r.limitReported && r.reportedLimit == 0
 		if outage := e.RetryAfter > minOutageRetryAfter; outage || queueFull || r.circuitOpen {
 			s.recordFailure(ep.dest, r, outage, true)
 		} else if e.RetryAfter > 0 || e.ReusedConn || s.now >= s.connTableFullUntil[ep.dest.kind] { // else a full table's
@@ -438,7 +438,7 @@
 		r.limitShare = min(r.limitShare, 2*d.arrivalRate(s.now)/limit)
 	}
 	r.limitShare = max(r.limitShare*shareCutFactor, 0.5/float64(s.cfg.FleetSize))
-	r.limitShareAt, r.lastCutAt = s.now, s.now
+	r.limitShareUpdatedAt, r.lastCutAt = s.now, s.now
 	r.tokens = min(r.tokens, s.rng.Float64())
 }
 
@@ -449,7 +449,7 @@
 // in that share, or an outage would raise the bar for itself. Routes apart of one destination add up their
 // runs, for an outage mostly takes them all and each sees few calls.
 func (s *Sender) recordFailure(d *destination, r *route, certain, ranNothing bool) {
-	r.failureRanNothing, r.limitShareAt = ranNothing, s.now
+	r.failureRanNothing, r.limitShareUpdatedAt = ranNothing, s.now
 	r.failures++
 	if !r.circuitOpen {
 		if r.failures == 1 {
@@ -513,8 +513,8 @@
 	if r.fleetWide && r.refusedShare < fleetRefusalThreshold/4 { // not too much, it seems: who took a limit over soon has all of it
 		growth = takeoverGrowthPerSecond
 	}
-	r.limitShare = min(1, r.limitShare+growth*max(r.limitShare, s.evenShare(r))*min(maxSpan, seconds(s.now-r.limitShareAt)))
-	r.limitShareAt = s.now
+	r.limitShare = min(1, r.limitShare+growth*max(r.limitShare, s.evenShare(r))*min(maxSpan, seconds(s.now-r.limitShareUpdatedAt)))
+	r.limitShareUpdatedAt = s.now
 	switch {
 	case r.circuitOpen:
 		r.circuitOpen, r.recoveryStartedAt = false, s.now
@@ -526,8 +526,8 @@
 // capacity is a careful guess of what the route takes a second from all senders when it is warm.
 func (s *Sender) capacity(r *route) float64 {
 	switch {
-	case r.limit > 0:
-		return r.limit
+	case r.reportedLimit > 0:
+		return r.reportedLimit
 	case r.weight > 0 && s.cfg.ApproximateWeights:
 		return r.weight / maxWeightError
 	case r.weight > 0:
@@ -643,8 +643,8 @@
 func (s *Sender) sendWaiting() {
 	s.activeDestinations = slices.DeleteFunc(s.activeDestinations, func(d *destination) bool {
 		d.decaySlotUse(s.now)
-		d.active = len(d.waiting)+len(d.calls) > 0
-		return !d.active
+		d.hasWork = len(d.waiting)+len(d.calls) > 0
+		return !d.hasWork
 	})
 	for {
 		var best *destination
@@ -683,7 +683,7 @@
 	if !anyOpen {
 		return nil, nil
 	}
-	horizon := s.now - d.waiting[0].arrived
+	horizon := s.now - d.waiting[0].arrivedAt
 	var best *message
 	var bestEp *endpoint
 	maxLoss := -1.0
@@ -761,7 +761,7 @@
 
 // fits is the part of the check that hangs on the message.
 func (s *Sender) messageAllows(m *message, e *endpoint) bool {
-	if m.ended || m.inFlight > 0 || s.now < m.notBefore || s.attemptsExhausted(m) {
+	if m.ended || m.inFlight > 0 || s.now < m.retryAt || s.attemptsExhausted(m) {
 		return false
 	}
 	if s.cfg.Slots > 0 && s.callsInFlight >= s.cfg.Slots || s.now >= m.deadline-answerMargin-2*s.cfg.Tick {
@@ -771,7 +771,7 @@
 	case AtMostOnce:
 		// On a sick route an unsafe message risks an unsure end, unless failures there prove that
 		// nothing ran; with most of its time gone it has less to lose.
-		pastHalf := s.now-m.arrived > (m.deadline-m.arrived)/2
+		pastHalf := s.now-m.arrivedAt > (m.deadline-m.arrivedAt)/2
 		if m.mayHaveRun || (e.route.circuitOpen && !e.route.failureRanNothing && !pastHalf) {
 			return false
 		}
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -432,7 +432,7 @@
 func TestTrialsNeverUseAtMostOnceMessages(t *testing.T) {
 	w := newScenario(t, testSettings(), 1)
 	w.step(0, oneEndpoint())
-	w.sender.destinations[0].recentArrivals, w.sender.destinations[0].recentArrivalsAt = 30, w.now // a busy sender
+	w.sender.destinations[0].recentArrivals, w.sender.destinations[0].recentArrivalsUpdatedAt = 30, w.now // a busy sender
 	for i := range failuresToOpen {
 		id := fmt.Sprint("s", i)
 		w.step(500*ms, w.newArrival(id, 0, 0))
@@ -549,7 +549,7 @@
 	}{{3 * time.Second, 0, true}, {300 * ms, 30, false}} {
 		w := newScenario(t, testSettings(), 1)
 		w.step(0, oneEndpoint())
-		w.sender.destinations[0].recentArrivals, w.sender.destinations[0].recentArrivalsAt = c.busy, w.now
+		w.sender.destinations[0].recentArrivals, w.sender.destinations[0].recentArrivalsUpdatedAt = c.busy, w.now
 		for i := range 2 {
 			id := fmt.Sprint("m", i)
 			w.step(c.gap, w.newArrival(id, 0, 0))
--- a/choice/datagram.go
+++ b/choice/datagram.go
@@ -33,24 +33,24 @@
 	wait         time.Duration
 }
 
-func (n datagram) encode() []byte {
-	b := append(make([]byte, 0, maxDatagramSize), byte(n.kind))
-	b = binary.BigEndian.AppendUint16(b, uint16(n.dest))
-	b = binary.BigEndian.AppendUint16(b, n.route)
-	switch n.kind {
+func (dg datagram) encode() []byte {
+	b := append(make([]byte, 0, maxDatagramSize), byte(dg.kind))
+	b = binary.BigEndian.AppendUint16(b, uint16(dg.dest))
+	b = binary.BigEndian.AppendUint16(b, dg.route)
+	switch dg.kind {
 	case datagramRequest:
-		b = binary.BigEndian.AppendUint16(b, n.seq)
-		b = binary.BigEndian.AppendUint16(b, n.lastGrantSeq)
-		b = append(b, byte(n.count), n.urgency)
+		b = binary.BigEndian.AppendUint16(b, dg.seq)
+		b = binary.BigEndian.AppendUint16(b, dg.lastGrantSeq)
+		b = append(b, byte(dg.count), dg.urgency)
 	case datagramGrant, datagramHandOver:
-		b = binary.BigEndian.AppendUint16(b, n.seq)
-		b = append(b, byte(n.count))
+		b = binary.BigEndian.AppendUint16(b, dg.seq)
+		b = append(b, byte(dg.count))
 	case datagramOutage:
-		b = append(b, byte(n.count))
-		b = binary.BigEndian.AppendUint16(b, uint16(min(n.wait/time.Millisecond, 1<<16-1)))
+		b = append(b, byte(dg.count))
+		b = binary.BigEndian.AppendUint16(b, uint16(min(dg.wait/time.Millisecond, 1<<16-1)))
 	case datagramCallEnd:
-		b = append(b, byte(n.outcome))
-		b = binary.BigEndian.AppendUint16(b, uint16(min(n.wait/time.Millisecond, 1<<16-1)))
+		b = append(b, byte(dg.outcome))
+		b = binary.BigEndian.AppendUint16(b, uint16(min(dg.wait/time.Millisecond, 1<<16-1)))
 	}
 	return b
 }
@@ -59,23 +59,23 @@
 	if len(b) < 8 {
 		return datagram{}, false
 	}
-	n := datagram{kind: datagramKind(b[0]), dest: int(binary.BigEndian.Uint16(b[1:])), route: binary.BigEndian.Uint16(b[3:])}
+	dg := datagram{kind: datagramKind(b[0]), dest: int(binary.BigEndian.Uint16(b[1:])), route: binary.BigEndian.Uint16(b[3:])}
 	switch {
-	case n.kind == datagramRequest && len(b) == maxDatagramSize:
-		n.seq, n.lastGrantSeq = binary.BigEndian.Uint16(b[5:]), binary.BigEndian.Uint16(b[7:])
-		n.count, n.urgency = int(b[9]), b[10]
-	case (n.kind == datagramGrant || n.kind == datagramHandOver) && len(b) == 8:
-		n.seq, n.count = binary.BigEndian.Uint16(b[5:]), int(b[7])
-	case n.kind == datagramOutage && len(b) == 8:
-		n.count = int(b[5])
-		n.wait = time.Duration(binary.BigEndian.Uint16(b[6:])) * time.Millisecond
-	case n.kind == datagramCallEnd && len(b) == 8 && Outcome(b[5]) <= NotSent:
-		n.outcome = Outcome(b[5])
-		n.wait = time.Duration(binary.BigEndian.Uint16(b[6:])) * time.Millisecond
+	case dg.kind == datagramRequest && len(b) == maxDatagramSize:
+		dg.seq, dg.lastGrantSeq = binary.BigEndian.Uint16(b[5:]), binary.BigEndian.Uint16(b[7:])
+		dg.count, dg.urgency = int(b[9]), b[10]
+	case (dg.kind == datagramGrant || dg.kind == datagramHandOver) && len(b) == 8:
+		dg.seq, dg.count = binary.BigEndian.Uint16(b[5:]), int(b[7])
+	case dg.kind == datagramOutage && len(b) == 8:
+		dg.count = int(b[5])
+		dg.wait = time.Duration(binary.BigEndian.Uint16(b[6:])) * time.Millisecond
+	case dg.kind == datagramCallEnd && len(b) == 8 && Outcome(b[5]) <= NotSent:
+		dg.outcome = Outcome(b[5])
+		dg.wait = time.Duration(binary.BigEndian.Uint16(b[6:])) * time.Millisecond
 	default:
 		return datagram{}, false
 	}
-	return n, true
+	return dg, true
 }
 
 // mark names an endpoint's route in notes.
@@ -90,8 +90,8 @@
 }
 
 // mix orders the senders in which they keep a destination's limit, another order for each destination.
-func rankHash(dest, number int) uint64 {
-	x := uint64(dest)<<32 ^ uint64(number)
+func rankHash(dest, node int) uint64 {
+	x := uint64(dest)<<32 ^ uint64(node)
 	for range 3 {
 		x = (x ^ x>>31 ^ 0x9e3779b97f4a7c15) * 0xbf58476d1ce4e5b9
 	}
@@ -103,45 +103,45 @@
 func isNewer(seq, last uint16) bool { return last-seq >= 64 }
 
 // note tells another sender, or this one, which may be a keeper itself.
-func (s *Sender) sendDatagram(to int, n datagram) {
+func (s *Sender) sendDatagram(to int, dg datagram) {
 	if to == s.cfg.Number {
-		s.handleDatagram(to, n)
+		s.handleDatagram(to, dg)
 	} else {
-		s.emit(SendDatagram{To: to, Payload: n.encode()})
+		s.emit(SendDatagram{To: to, Payload: dg.encode()})
 	}
 }
 
 // told takes a note of another sender; what can't be read, or speaks of what is not known here, is left.
 func (s *Sender) handleDatagramReceived(e DatagramReceived) {
-	if n, ok := decodeDatagram(e.Payload); ok && s.sharesLimits() && e.From >= 0 && e.From < s.cfg.FleetSize {
-		s.handleDatagram(e.From, n)
+	if dg, ok := decodeDatagram(e.Payload); ok && s.sharesLimits() && e.From >= 0 && e.From < s.cfg.FleetSize {
+		s.handleDatagram(e.From, dg)
 	}
 }
 
 // noted hands a note to what it is for.
-func (s *Sender) handleDatagram(from int, n datagram) {
-	d := s.destinations[n.dest]
+func (s *Sender) handleDatagram(from int, dg datagram) {
+	d := s.destinations[dg.dest]
 	if d == nil {
 		return
 	}
-	switch n.kind {
+	switch dg.kind {
 	case datagramRequest:
-		s.handleRequest(d, from, n)
+		s.handleRequest(d, from, dg)
 	case datagramGrant:
-		s.handleGrant(d, from, n)
+		s.handleGrant(d, from, dg)
 	case datagramCallEnd, datagramHandOver, datagramOutage:
 		for _, e := range d.endpoints {
-			if s.routeID(e) != n.route {
+			if s.routeID(e) != dg.route {
 				continue
 			}
-			switch n.kind {
+			switch dg.kind {
 			case datagramCallEnd:
-				s.handleCallEnd(e, from, n.outcome, n.wait)
+				s.handleCallEnd(e, from, dg.outcome, dg.wait)
 			case datagramOutage:
-				s.handleOutage(e, n.count == 0, n.wait)
+				s.handleOutage(e, dg.count == 0, dg.wait)
 			default:
 				f := s.fleetRoute(e)
-				f.limitShare, f.limitShareAt = float64(n.count)/255, s.now
+				f.limitShare, f.limitShareUpdatedAt = float64(dg.count)/255, s.now
 			}
 			return
 		}
@@ -176,7 +176,7 @@
 		if c.answeredAt >= c.requestedAt {
 			// Who has a part of a call in a second makes none or a whole one: where each begins is left to chance,
 			// so that all together make what they may from the first moment on, and not all at once.
-			c.unansweredSince, c.allowanceTokensAt = s.now, s.now+coordinatorSilenceTimeout
+			c.unansweredSince, c.allowanceRefilledAt = s.now, s.now+coordinatorSilenceTimeout
 			c.grantedShare = min(1, (c.grantRate(s.now)*seconds(demandDecayTime)+0.5)/(d.arrivalRate(s.now)*seconds(demandDecayTime)+1.0))
 			if s.uncoordinatedSince(c) > 0 {
 				c.grantedShare = 0 // nothing was ever granted, and it may be cold
@@ -185,9 +185,9 @@
 		}
 		c.requestedAt = s.now
 	}
-	c.seq++
+	c.requestSeq++
 	s.sendDatagram(coordinator, datagram{
-		kind: datagramRequest, dest: d.id, route: route, seq: c.seq, lastGrantSeq: c.lastGrantSeq, count: min(n, 255),
+		kind: datagramRequest, dest: d.id, route: route, seq: c.requestSeq, lastGrantSeq: c.lastGrantSeq, count: min(n, 255),
 		urgency: uint8(255 * min(urgency, 1)),
 	})
 }
@@ -196,7 +196,7 @@
 func (s *Sender) returnExpiredGrants(d *destination) {
 	d.requester.grants = slices.DeleteFunc(d.requester.grants, func(g grant) bool {
 		if s.now >= g.expiresAt {
-			s.sendDatagram(s.coordinator(d, d.requester.rank), datagram{kind: datagramCallEnd, dest: d.id, route: g.route, outcome: NotSent})
+			s.sendDatagram(s.coordinator(d, d.requester.coordinatorRank), datagram{kind: datagramCallEnd, dest: d.id, route: g.route, outcome: NotSent})
 		}
 		return s.now >= g.expiresAt
 	})
--- a/choice/fleet.go
+++ b/choice/fleet.go
@@ -50,8 +50,8 @@
 func (s *Sender) handleMemberChanged(e MemberChanged) {
 	s.updateMembers(e)
 	for _, d := range s.destinationOrder {
-		if c, former := &d.requester, s.coordinator(d, d.requester.rank); s.rankCoordinators(d, c.rank) != former {
-			c.rank, c.missedRequests, c.pendingCalls, c.uncoordinated = 0, 0, 0, false
+		if c, former := &d.requester, s.coordinator(d, d.requester.coordinatorRank); s.rankCoordinators(d, c.coordinatorRank) != former {
+			c.coordinatorRank, c.missedRequests, c.pendingCalls, c.uncoordinated = 0, 0, 0, false
 		}
 	}
 }
@@ -71,14 +71,14 @@
 // it still, and not be heard by all: so each rank begins with half of the one before, and all that believe
 // themselves keeper begin with less than twice the limit together. Passes make it grow.
 func (s *Sender) initialFleetShare(d *destination) float64 {
-	part := 1.0
+	share := 1.0
 	if s.lostMembers != nil {
-		part = takeoverShare
+		share = takeoverShare
 	}
 	for rank := 0; rank < coordinatorRanks && s.coordinator(d, rank) != s.cfg.Number; rank++ {
-		part *= takeoverShare
+		share *= takeoverShare
 	}
-	return part
+	return share
 }
 
 // claims asks for what the waiting messages could use now.
@@ -86,7 +86,7 @@
 	for _, d := range s.activeDestinations {
 		c := &d.requester
 		s.returnExpiredGrants(d)
-		if c.uncoordinated || c.rank > 0 {
+		if c.uncoordinated || c.coordinatorRank > 0 {
 			s.seekCoordinator(d)
 		}
 		if c.uncoordinated {
@@ -106,9 +106,9 @@
 		if !c.uncoordinated {
 			c.pendingCalls = demand
 			if unanswered && s.now-c.unansweredSince >= coordinatorSilenceTimeout {
-				s.reportOutages(d, s.coordinator(d, c.rank))
+				s.reportOutages(d, s.coordinator(d, c.coordinatorRank))
 			}
-			s.sendRequest(d, s.coordinator(d, c.rank), demand, urgency, route)
+			s.sendRequest(d, s.coordinator(d, c.coordinatorRank), demand, urgency, route)
 		}
 	}
 }
@@ -141,8 +141,8 @@
 		return
 	}
 	c.missedRequests, c.pendingCalls = 0, 0
-	if c.rank++; c.rank >= len(d.coordinators) {
-		c.rank, c.uncoordinated = 0, true
+	if c.coordinatorRank++; c.coordinatorRank >= len(d.coordinators) {
+		c.coordinatorRank, c.uncoordinated = 0, true
 	}
 }
 
@@ -180,11 +180,11 @@
 	if !c.uncoordinated && (coordinatorAnswers || r.recovering() || r.failures > 0) {
 		return false
 	}
-	elapsed := seconds(max(s.now-c.allowanceTokensAt, 0))
+	elapsed := seconds(max(s.now-c.allowanceRefilledAt, 0))
 	_, perSecond := s.allowance(e.dest)
 	c.allowanceFactor = min(1, c.allowanceFactor+allowanceGrowthPerSecond*elapsed*max(c.allowanceFactor, 1/float64(s.cfg.FleetSize)))
 	c.allowanceTokens = min(c.allowanceTokens+perSecond*elapsed, max(c.allowanceTokens, 1))
-	c.allowanceTokensAt = max(c.allowanceTokensAt, s.now)
+	c.allowanceRefilledAt = max(c.allowanceRefilledAt, s.now)
 	return c.allowanceTokens >= 1
 }
 
@@ -209,33 +209,33 @@
 		o = NotSent // of that endpoint alone
 	}
 	if s.needsGrant(ep.dest) && !s.suspended { // what it knows may be long past
-		s.sendDatagram(s.coordinator(ep.dest, ep.dest.requester.rank), datagram{
+		s.sendDatagram(s.coordinator(ep.dest, ep.dest.requester.coordinatorRank), datagram{
 			kind: datagramCallEnd, dest: ep.dest.id, route: s.routeID(ep), outcome: o, wait: wait,
 		})
 	}
 }
 
 // grantedBy takes a keeper's answer, which may grant nothing yet. What is not needed then is given back.
-func (s *Sender) handleGrant(d *destination, from int, n datagram) {
+func (s *Sender) handleGrant(d *destination, from int, dg datagram) {
 	c := &d.requester
 	for rank := range coordinatorRanks {
-		if rank >= s.cfg.FleetSize || s.coordinator(d, rank) != from || (!c.uncoordinated && rank > c.rank) {
+		if rank >= s.cfg.FleetSize || s.coordinator(d, rank) != from || (!c.uncoordinated && rank > c.coordinatorRank) {
 			continue
 		}
-		if c.uncoordinated || rank < c.rank {
-			c.uncoordinated, c.rank, c.pendingCalls = false, rank, 0
+		if c.uncoordinated || rank < c.coordinatorRank {
+			c.uncoordinated, c.coordinatorRank, c.pendingCalls = false, rank, 0
 		}
 		c.answeredAt, c.missedRequests = s.now, 0
-		if n.count > 0 && c.isNewGrant(n.seq) {
-			c.recentGrants, c.recentGrantsAt = c.grantRate(s.now)*seconds(demandDecayTime)+1, s.now
-			c.grants = append(c.grants, grant{n.route, s.now + grantTTL})
+		if dg.count > 0 && c.isNewGrant(dg.seq) {
+			c.recentGrants, c.recentGrantsUpdatedAt = c.grantRate(s.now)*seconds(demandDecayTime)+1, s.now
+			c.grants = append(c.grants, grant{dg.route, s.now + grantTTL})
 			c.pendingCalls = max(c.pendingCalls-1, 0)
 		}
 	}
 }
 
 // asked takes an ask, as the keeper.
-func (s *Sender) handleRequest(d *destination, from int, n datagram) {
+func (s *Sender) handleRequest(d *destination, from int, dg datagram) {
 	if !slices.ContainsFunc(d.endpoints, (*endpoint).usable) {
 		return // of a destination that is not known here others can tell more
 	}
@@ -248,18 +248,18 @@
 		}
 		d.lastPeerRequestAt = s.now
 	}
-	w := d.requests.requestOf(from, n.seq-1, s.rng)
-	if !isNewer(n.seq, w.seq) {
+	req := d.requests.requestOf(from, dg.seq-1, s.rng)
+	if !isNewer(dg.seq, req.requestSeq) {
 		return
 	}
-	if w.calls == 0 {
-		w.since = s.now
+	if req.calls == 0 {
+		req.waitingSince = s.now
 	}
-	w.seq, w.calls, w.urgency, w.route = n.seq, n.count, n.urgency, n.route
-	if s.now-w.lastGrantAt < maxGrantTransitTime { // the ask does not know of what has crossed it
-		w.calls -= min(w.calls, int(w.lastGrantSeq-n.lastGrantSeq))
+	req.requestSeq, req.calls, req.urgency, req.preferredRoute = dg.seq, dg.count, dg.urgency, dg.route
+	if s.now-req.lastGrantAt < maxGrantTransitTime { // the ask does not know of what has crossed it
+		req.calls -= min(req.calls, int(req.lastGrantSeq-dg.lastGrantSeq))
 	}
-	d.requests.refresh(w, s.now)
+	d.requests.refresh(req, s.now)
 	if !d.coordinated {
 		d.coordinated = true
 		s.coordinated = append(s.coordinated, d)
@@ -271,8 +271,8 @@
 func (s *Sender) issueGrants() (toSelf bool) {
 	s.expireRequests()
 	for _, d := range s.coordinated {
-		for w := d.requests.first(s.now); w != nil; w = d.requests.first(s.now) {
-			e := s.endpointWithRoom(d, w.route)
+		for req := d.requests.head(s.now); req != nil; req = d.requests.head(s.now) {
+			e := s.endpointWithRoom(d, req.preferredRoute)
 			if e == nil {
 				break
 			}
@@ -280,16 +280,16 @@
 			if f.tokens--; f.circuitOpen {
 				f.trialInFlight, f.lastTrialAt = true, s.now
 			}
-			w.calls--
-			w.answerOwed = false
-			w.lastGrantSeq++
-			w.lastGrantAt = s.now
-			d.requests.reposition(w, s.now)
-			toSelf = toSelf || w.from == s.cfg.Number
-			s.sendDatagram(w.from, datagram{kind: datagramGrant, dest: d.id, route: s.routeID(e), seq: w.lastGrantSeq, count: 1})
+			req.calls--
+			req.answerOwed = false
+			req.lastGrantSeq++
+			req.lastGrantAt = s.now
+			d.requests.reposition(req, s.now)
+			toSelf = toSelf || req.from == s.cfg.Number
+			s.sendDatagram(req.from, datagram{kind: datagramGrant, dest: d.id, route: s.routeID(e), seq: req.lastGrantSeq, count: 1})
 		}
-		d.requests.answerPending(func(w *grantRequest) {
-			s.sendDatagram(w.from, datagram{kind: datagramGrant, dest: d.id, seq: w.lastGrantSeq})
+		d.requests.answerPending(func(req *grantRequest) {
+			s.sendDatagram(req.from, datagram{kind: datagramGrant, dest: d.id, seq: req.lastGrantSeq})
 		})
 	}
 	return toSelf
@@ -298,8 +298,8 @@
 // before tells who is granted a call first: whose message is worth most, and of these the one that has waited
 // longest. Who got no connection of late comes last: its list may be old, and then its calls and trials tell
 // nothing.
-func (w *grantRequest) before(o *grantRequest) bool {
-	return cmp.Or(cmp.Compare(o.urgency, w.urgency), cmp.Compare(w.since, o.since), w.firstSeenOrder-o.firstSeenOrder) < 0
+func (r *grantRequest) before(other *grantRequest) bool {
+	return cmp.Or(cmp.Compare(other.urgency, r.urgency), cmp.Compare(r.waitingSince, other.waitingSince), r.firstSeenOrder-other.firstSeenOrder) < 0
 }
 
 // fleetRoom is an endpoint whose route takes another call of the fleet now: one of the route that was drawn
@@ -327,7 +327,7 @@
 // found is what is taken as the limit of a route that tells none and has refused: what it passed in its best
 // second, and more with time. Senders that can't tell one another anything find each its own.
 func (s *Sender) estimatedLimit(r *route) float64 {
-	if r.lastCutAt == 0 || r.reported || (!r.fleetWide && s.sharesLimits()) {
+	if r.lastCutAt == 0 || r.limitReported || (!r.fleetWide && s.sharesLimits()) {
 		return 0
 	}
 	return r.bestRate(s.now) * (1 + estimateGrowthPerSecond*seconds(s.now-r.lastCutAt))
@@ -361,7 +361,7 @@
 	r := e.route
 	if remembered.LimitShare > 0 && s.sharesLimits() && s.coordinator(e.dest, 0) == s.cfg.Number {
 		r = s.fleetRoute(e)
-		r.limitShare, r.limitShareAt = 1-trust*(1-min(remembered.LimitShare, 1)), s.now
+		r.limitShare, r.limitShareUpdatedAt = 1-trust*(1-min(remembered.LimitShare, 1)), s.now
 	}
 	coldFor, warmUp := remembered.ColdFor+age, s.cfg.WarmUpTime
 	if (remembered.CircuitOpen && age < warmUp || remembered.ColdFor > 0 && coldFor < warmUp) && !r.recovering() {
@@ -376,11 +376,11 @@
 func (s *Sender) handleCallEnd(e *endpoint, from int, o Outcome, wait time.Duration) {
 	f := s.fleetRoute(e)
 	f.trialInFlight = false
-	if w := e.dest.requests.byNode[from]; w != nil && (o == ConnectFailed || o == Success) {
-		if w.deferredUntil = 0; o == ConnectFailed {
-			w.deferredUntil = s.now + connectFailureDeferral
+	if req := e.dest.requests.byNode[from]; req != nil && (o == ConnectFailed || o == Success) {
+		if req.deferredUntil = 0; o == ConnectFailed {
+			req.deferredUntil = s.now + connectFailureDeferral
 		}
-		e.dest.requests.reposition(w, s.now)
+		e.dest.requests.reposition(req, s.now)
 	}
 	if o == ConnectFailed && s.now-f.lastSuccessAt < recentSuccessTime && f.lastSuccessAt > 0 {
 		return // others get through: who does not has an old list
@@ -396,7 +396,7 @@
 	case o == Rejected && !outage && !f.circuitOpen:
 		f.refusedShare += fleetRefusalSmoothing * (1 - f.refusedShare)
 		if f.refusedShare > fleetRefusalThreshold && s.now-f.lastCutAt >= fleetCutInterval {
-			f.lastCutAt, f.limitShareAt = s.now, s.now
+			f.lastCutAt, f.limitShareUpdatedAt = s.now, s.now
 			f.limitShare = max(minFleetShare, f.limitShare*fleetShareCutFactor)
 			f.tokens = min(f.tokens, 0)
 			if f.refusalBackoff > 0 {
--- a/choice/fleet_test.go
+++ b/choice/fleet_test.go
@@ -64,9 +64,9 @@
 
 const fleetLimit = 20.0
 
-func newFleetSim(t *testing.T, senders int, tell bool) *fleetSim {
+func newFleetSim(t *testing.T, senders int, datagrams bool) *fleetSim {
 	cfg := testSettings()
-	cfg.FleetSize, cfg.PeerDatagrams, cfg.MaxAttempts = senders, tell, 12
+	cfg.FleetSize, cfg.PeerDatagrams, cfg.MaxAttempts = senders, datagrams, 12
 	w := &fleetSim{
 		t: t, cfg: cfg, senders: make([]*Sender, senders), now: time.Hour, rng: rand.New(rand.NewPCG(7, 7)),
 		wakes: make([]time.Duration, senders), limit: fleetLimit, weight: fleetLimit, refilledAt: time.Hour, answered: map[string]bool{}, sawOutage: map[int]bool{},
@@ -281,22 +281,22 @@
 // All begin at the same moment, remember nothing, and hold far more than their cold partner bears: what they send together
 // stays under that, whether or not they hear each other.
 func TestStartingFleetDoesNotOverloadColdDestination(t *testing.T) {
-	for name, lose := range map[string]float64{"heard": 0, "half heard": 0.5, "deaf": 1} {
+	for name, lossRate := range map[string]float64{"heard": 0, "half heard": 0.5, "deaf": 1} {
 		for _, size := range []int{10, 40, 300} {
 			w := newFleetSim(t, size, true)
-			w.cfg.ColdStart, w.lossRate = true, lose
+			w.cfg.ColdStart, w.lossRate = true, lossRate
 			for i := range w.senders {
 				w.start(i)
 			}
 			span := w.cfg.OverloadDuration
 			w.run(span, 10*fleetLimit)
 			warm := w.cfg.ColdCapacity + (1-w.cfg.ColdCapacity)*seconds(span)/2/seconds(w.cfg.WarmUpTime)
-			bears := w.cfg.OverloadMultiple * warm * fleetLimit * seconds(span)
-			t.Logf("%s, %d senders: %d calls in %v, %.0f are borne", name, size, w.passed+w.refused, span, bears)
-			if calls := float64(w.passed + w.refused); calls > bears+1 { // one more by chance
-				t.Errorf("%s, %d senders: %v calls, and %.0f are borne", name, size, calls, bears)
+			tolerated := w.cfg.OverloadMultiple * warm * fleetLimit * seconds(span)
+			t.Logf("%s, %d senders: %d calls in %v, %.0f are borne", name, size, w.passed+w.refused, span, tolerated)
+			if calls := float64(w.passed + w.refused); calls > tolerated+1 { // one more by chance
+				t.Errorf("%s, %d senders: %v calls, and %.0f are borne", name, size, calls, tolerated)
 			}
-			if lose == 0 && w.passed == 0 {
+			if lossRate == 0 && w.passed == 0 {
 				t.Errorf("%s, %d senders: nothing passes", name, size)
 			}
 		}
@@ -410,8 +410,8 @@
 		t.Errorf("%d calls passed and %d were refused after the return; at least %d could pass", w.passed, w.refused, least)
 	}
 	for i, s := range w.senders {
-		if c := s.destinations[0].requester; c.rank != 0 && c.answeredAt > w.now-time.Second {
-			t.Errorf("sender %d still asks keeper %d", i, c.rank)
+		if c := s.destinations[0].requester; c.coordinatorRank != 0 && c.answeredAt > w.now-time.Second {
+			t.Errorf("sender %d still asks keeper %d", i, c.coordinatorRank)
 		}
 	}
 }
@@ -487,7 +487,7 @@
 	if refuse("gone"); w.sender.endpoints["a"].route.recovering() {
 		t.Error("one endpoint that is gone has its whole partner struck")
 	}
-	m := &message{class: &w.cfg.Classes[0], dest: w.sender.endpoints["a"].dest, arrived: w.sender.now, deadline: w.sender.now + time.Minute}
+	m := &message{class: &w.cfg.Classes[0], dest: w.sender.endpoints["a"].dest, arrivedAt: w.sender.now, deadline: w.sender.now + time.Minute}
 	w.sender.refill(w.sender.endpoints["a"].route)
 	for range 50 {
 		if e := w.sender.pickEndpoint(m, w.sender.maySend); e == nil || e.id != "a" {
@@ -527,7 +527,7 @@
 	d.requester.grants = []grant{{route: 0, expiresAt: w.now + grantTTL}}
 	f := w.sender.fleetRoute(d.endpoints[0])
 	f.weight, f.tokens, f.refilledAt = 1, 0, w.now
-	d.active = true
+	d.hasWork = true
 	w.sender.activeDestinations = append(w.sender.activeDestinations, d)
 	w.sender.now = w.now + grantTTL
 	if w.sender.requestGrants(); len(d.requester.grants) != 0 || f.tokens < 1 {
--- a/choice/harness_test.go
+++ b/choice/harness_test.go
@@ -122,11 +122,11 @@
 			if e.MessageDone {
 				m.ended = true
 			}
-			ran := e.Outcome == ServerError || e.Outcome == TimedOut || e.Outcome == ConnReset || e.Outcome == Cancelled
-			if ran && (!m.mayHaveRun || f.sentAt < m.firstRunSentAt) {
+			mayHaveRun := e.Outcome == ServerError || e.Outcome == TimedOut || e.Outcome == ConnReset || e.Outcome == Cancelled
+			if mayHaveRun && (!m.mayHaveRun || f.sentAt < m.firstRunSentAt) {
 				m.mayHaveRun, m.firstRunSentAt, m.runZone = true, f.sentAt, w.endpoints[e.Endpoint].Zone
 			}
-			if ran && e.Outcome != ServerError && m.class.Ordered {
+			if mayHaveRun && e.Outcome != ServerError && m.class.Ordered {
 				w.keyBlockedUntil[m.Key] = max(w.keyBlockedUntil[m.Key], w.now+w.cfg.OrderedPause)
 			}
 			if e.Outcome == Rejected && e.RetryAfter > 0 {
@@ -346,91 +346,91 @@
 }
 
 // carriedStory does, and carries the sender over now and then.
-func runRandomEventsRestoring(t testing.TB, seed uint64, steps, every int) *scenario {
-	return runRandomEventsWith(t, seed, steps, every, func(*Settings) {})
+func runRandomEventsRestoring(t testing.TB, seed uint64, steps, snapshotEvery int) *scenario {
+	return runRandomEventsWith(t, seed, steps, snapshotEvery, func(*Settings) {})
 }
 
 // changedStory does so with settings that change has changed.
-func runRandomEventsWith(t testing.TB, seed uint64, steps, every int, change func(*Settings)) *scenario {
+func runRandomEventsWith(t testing.TB, seed uint64, steps, snapshotEvery int, change func(*Settings)) *scenario {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	cfg := testSettings()
-	pick := func(p float64) bool { return rng.Float64() < p }
+	chance := func(p float64) bool { return rng.Float64() < p }
 	for i := range cfg.Classes {
-		cfg.Classes[i].Ordered = pick(0.5)
-		cfg.Classes[i].AllEndpointsDeduplicate = pick(0.5)
+		cfg.Classes[i].Ordered = chance(0.5)
+		cfg.Classes[i].AllEndpointsDeduplicate = chance(0.5)
 		cfg.Classes[i].Deadline = time.Duration(2+rng.IntN(8)) * time.Second
 	}
-	cfg.Slots, cfg.MaxAttempts, cfg.MayCancel = rng.IntN(8), rng.IntN(6), pick(0.7)
-	cfg.WorthHalves, cfg.ListOnRequest, cfg.ApproximateWeights = pick(0.5), pick(0.3), pick(0.5)
+	cfg.Slots, cfg.MaxAttempts, cfg.MayCancel = rng.IntN(8), rng.IntN(6), chance(0.7)
+	cfg.WorthHalves, cfg.ListOnRequest, cfg.ApproximateWeights = chance(0.5), chance(0.3), chance(0.5)
 	cfg.MaxOpenMessages = rng.IntN(80)
-	if pick(0.3) {
+	if chance(0.3) {
 		cfg.Tenants = []Tenant{{PerSecond: 3}, {PerSecond: 1}}
 	}
 	change(&cfg)
 	w := newScenario(t, cfg, seed)
-	w.snapshotEvery = every
+	w.snapshotEvery = snapshotEvery
 	var all []Entry
 	for i := range 12 {
 		all = append(all, Entry{Endpoint: fmt.Sprint("e", i), Dest: i % 5, Kind: i % 5 % 3, Zone: i % 2, Weight: 8})
 	}
 	w.step(0, fullList(all...))
-	mood := map[string]float64{}
+	failureOdds := map[string]float64{}
 	for n := range steps {
 		var events []Event
 		for _, a := range w.sortedInFlight() {
 			f := w.inFlight[a]
 			age := w.now - f.sentAt
 			late := w.now+5*ms >= f.AbandonAt
-			if !late && !pick(0.05) {
+			if !late && !chance(0.05) {
 				continue
 			}
 			e := AttemptEnded{ID: a.id, Attempt: a.number, Endpoint: f.Endpoint, Took: age}
 			switch {
 			case late:
 				e.Outcome = TimedOut
-			case pick(mood[f.Endpoint]):
+			case chance(failureOdds[f.Endpoint]):
 				e.Outcome = Outcome(1 + rng.IntN(7))
-				if e.Outcome == Rejected && pick(0.6) {
+				if e.Outcome == Rejected && chance(0.6) {
 					e.RetryAfter = time.Duration(rng.IntN(3000)) * ms
 				}
 			}
 			e.MessageDone = e.Outcome == Success || w.messages[a.id].ended
-			if pick(0.3) {
+			if chance(0.3) {
 				e.Report = LimitReport{Left: rng.Float64()*3 - 1, Limit: rng.Float64()*20 - 2, HasLeft: true, HasLimit: true}
 			}
 			// The fellows of a batch share its fate; this story lets their outcomes come apart, which is harder.
 			events = append(events, e)
 		}
 		for range rng.IntN(3) {
-			if pick(0.6) {
+			if chance(0.6) {
 				a := w.newArrival(fmt.Sprint("m", n, "-", len(events)), rng.IntN(3), rng.IntN(6))
 				a.Key, a.Tenant = fmt.Sprint("k", rng.IntN(6)), rng.IntN(2)
 				events = append(events, a)
 			}
 		}
-		if pick(0.02) {
-			mood[fmt.Sprint("e", rng.IntN(12))] = rng.Float64() * 1.2
+		if chance(0.02) {
+			failureOdds[fmt.Sprint("e", rng.IntN(12))] = rng.Float64() * 1.2
 		}
-		if pick(0.02) {
+		if chance(0.02) {
 			e := all[rng.IntN(len(all))]
 			e.Phase = Phase(rng.IntN(3))
 			events = append(events, ListUpdate{Entries: []Entry{e}})
 		}
-		if pick(0.005) {
+		if chance(0.005) {
 			events = append(events, fullList(all[rng.IntN(6):]...))
 		}
-		if id := fmt.Sprint("e", rng.IntN(12)); pick(0.01) {
+		if id := fmt.Sprint("e", rng.IntN(12)); chance(0.01) {
 			events = append(events, EndpointDisabled{id})
-		} else if pick(0.02) {
+		} else if chance(0.02) {
 			events = append(events, EndpointEnabled{id})
 		}
-		if pick(0.005) {
+		if chance(0.005) {
 			events = append(events, ListUpdate{Failed: true})
 		}
-		if len(w.messageOrder) > 0 && pick(0.01) {
+		if len(w.messageOrder) > 0 && chance(0.01) {
 			events = append(events, MessageDropped{ID: w.messageOrder[rng.IntN(len(w.messageOrder))]})
 		}
-		if pick(0.01) {
+		if chance(0.01) {
 			events = append(events, AttemptEnded{ID: "nobody", Endpoint: "e0"}, ProbeEnded{Endpoint: "nowhere", Outcome: ServerError})
 		}
 		w.step(time.Duration(5*(1+rng.IntN(4)))*ms, append(events, WakeDue{Tag: "sweep"})...)
--- a/choice/measures.go
+++ b/choice/measures.go
@@ -118,10 +118,10 @@
 // limit is what the route takes a second from all senders as far as it is told, 0 for no limit.
 func (s *Sender) limit(r *route) float64 {
 	switch {
-	case !r.reported && r.weight > 0:
+	case !r.limitReported && r.weight > 0:
 		return r.weight
-	case r.limit > 0:
-		return r.limit
+	case r.reportedLimit > 0:
+		return r.reportedLimit
 	}
 	return s.estimatedLimit(r)
 }
@@ -171,7 +171,7 @@
 	if created {
 		e.route.fleetRoute = newRoute()
 		e.route.fleetRoute.fleetWide = true
-		e.route.fleetRoute.limitShare, e.route.fleetRoute.limitShareAt = s.initialFleetShare(e.dest), s.now
+		e.route.fleetRoute.limitShare, e.route.fleetRoute.limitShareUpdatedAt = s.initialFleetShare(e.dest), s.now
 		e.route.fleetRoute.initialShare = e.route.fleetRoute.limitShare
 	}
 	e.route.fleetRoute.weight = e.route.weight
@@ -187,11 +187,11 @@
 	for _, e := range d.endpoints {
 		if r := e.route; r.recovering() && !reported[r] {
 			reported[r] = true
-			n := datagram{kind: datagramOutage, dest: d.id, route: s.routeID(e)}
+			dg := datagram{kind: datagramOutage, dest: d.id, route: s.routeID(e)}
 			if !r.circuitOpen {
-				n.count, n.wait = 1, s.now-r.recoveryStartedAt
+				dg.count, dg.wait = 1, s.now-r.recoveryStartedAt
 			}
-			s.sendDatagram(coordinator, n)
+			s.sendDatagram(coordinator, dg)
 		}
 	}
 }
@@ -222,5 +222,5 @@
 
 // grantRate is how many calls a second the keeper granted of late.
 func (c *grantRequester) grantRate(now time.Duration) float64 {
-	return c.recentGrants * math.Exp(-seconds(now-c.recentGrantsAt)/seconds(demandDecayTime)) / seconds(demandDecayTime)
+	return c.recentGrants * math.Exp(-seconds(now-c.recentGrantsUpdatedAt)/seconds(demandDecayTime)) / seconds(demandDecayTime)
 }
--- a/choice/membership_test.go
+++ b/choice/membership_test.go
@@ -7,13 +7,13 @@
 
 // A keeper that membership says is gone is passed over at once; without it, some asks go unanswered first.
 func TestGoneCoordinatorIsSkipped(t *testing.T) {
-	passedIn := func(told bool, span time.Duration) (passed int) {
+	successesWithin := func(withMembership bool, span time.Duration) (passed int) {
 		w := newFleetSim(t, 40, true)
 		w.run(3*time.Second, fleetLimit)
 		first := w.senders[0].coordinator(w.senders[0].destinations[0], 0)
 		w.senders[first] = nil
 		for i := range w.senders {
-			if told {
+			if withMembership {
 				w.step(i, MemberChanged{Number: first, Gone: true, LeftCleanly: true})
 			}
 		}
@@ -22,23 +22,23 @@
 		return w.passed
 	}
 	const span = 400 * time.Millisecond
-	told, silent := passedIn(true, span), passedIn(false, span)
-	t.Logf("in %v after a keeper's end %d calls pass with membership, %d without", span, told, silent)
-	if told <= silent {
-		t.Errorf("%d calls pass with membership, %d without", told, silent)
+	withMembership, withoutMembership := successesWithin(true, span), successesWithin(false, span)
+	t.Logf("in %v after a keeper's end %d calls pass with membership, %d without", span, withMembership, withoutMembership)
+	if withMembership <= withoutMembership {
+		t.Errorf("%d calls pass with membership, %d without", withMembership, withoutMembership)
 	}
 }
 
 // While a fleet is split, both sides together keep to the limit if they know who is on the other side.
 func TestBothSidesOfPartitionKeepToLimit(t *testing.T) {
-	split := func(told bool) *fleetSim {
+	split := func(withMembership bool) *fleetSim {
 		w := newFleetSim(t, 40, true)
 		side := func(i int) bool { return i%2 == 0 }
 		w.run(5*time.Second, 1.5*fleetLimit)
 		w.blocked = func(from, to int) bool { return side(from) != side(to) }
 		for i := range w.senders {
 			for k := range w.senders {
-				if told && side(i) != side(k) {
+				if withMembership && side(i) != side(k) {
 					w.step(i, MemberChanged{Number: k, Gone: true})
 				}
 			}
--- a/choice/operator_test.go
+++ b/choice/operator_test.go
@@ -25,7 +25,7 @@
 	if n := sends(fullList(a, b), MessageArrived{ID: "m0", Deadline: now + time.Minute}); n != 1 {
 		t.Fatal("the endpoint is not used at all")
 	}
-	if _, avoided := s.Pool(); avoided != 0 {
+	if _, avoided := s.EndpointCounts(); avoided != 0 {
 		t.Fatalf("%d avoided", avoided)
 	}
 	for _, c := range []struct {
@@ -44,7 +44,7 @@
 		}
 	}
 	sends(fullList(a, b))
-	if size, avoided := s.Pool(); size != 2 || avoided != 1 {
+	if size, avoided := s.EndpointCounts(); size != 2 || avoided != 1 {
 		t.Errorf("the pool is %d, %d avoided", size, avoided)
 	}
 	n := sends(EndpointEnabled{"a"})
@@ -54,7 +54,7 @@
 	if n == 0 || !s.endpoints["a"].route.recovering() || s.endpoints["a"].route.circuitOpen {
 		t.Errorf("put back: %d sends, recovering %v", n, s.endpoints["a"].route.recovering())
 	}
-	if _, avoided := s.Pool(); avoided != 0 {
+	if _, avoided := s.EndpointCounts(); avoided != 0 {
 		t.Errorf("%d avoided", avoided)
 	}
 }
--- a/choice/partition_test.go
+++ b/choice/partition_test.go
@@ -9,8 +9,8 @@
 
 // piecesOf plays a fleet that comes apart for six seconds, and returns the calls that passed and were refused before,
 // in the cut and in the three seconds after it.
-func callsAroundPartition(t *testing.T, senders int, seed uint64, tell bool, cut func(from, to int) bool) (calls [3][2]int) {
-	w := newFleetSim(t, senders, tell)
+func callsAroundPartition(t *testing.T, senders int, seed uint64, datagrams bool, blocked func(from, to int) bool) (calls [3][2]int) {
+	w := newFleetSim(t, senders, datagrams)
 	w.rng = rand.New(rand.NewPCG(seed, 7))
 	w.windowedLimit = true
 	phase := func(i int, span time.Duration) {
@@ -20,7 +20,7 @@
 	}
 	w.run(6*time.Second, 1.3*fleetLimit) // it learns
 	phase(0, 3*time.Second)
-	w.blocked = cut
+	w.blocked = blocked
 	phase(1, 6*time.Second)
 	w.blocked = nil
 	phase(2, 3*time.Second)
--- a/choice/recovery_test.go
+++ b/choice/recovery_test.go
@@ -19,7 +19,7 @@
 func (f overload) violatesRule() bool { return 3*f.byAware > 2*f.calls }
 
 // coldSum plays an outage, and returns the falls of the partner after its return.
-func overloadsAfterOutage(w *fleetSim, limit float64, restart int) (falls []overload) {
+func overloadsAfterOutage(w *fleetSim, limit float64, restartsPerStep int) (overloads []overload) {
 	load := 1.2 * limit
 	w.run(8*time.Second, load)
 	w.down = true
@@ -28,7 +28,7 @@
 	back := w.now
 	w.down, w.calls = false, nil
 	for at, next := 0, 0; at < 20; at++ { // some begin anew while it is cold, with what they remember
-		for range restart {
+		for range restartsPerStep {
 			i := next % len(w.senders)
 			next++
 			memory := w.senders[i].Remember()
@@ -41,33 +41,33 @@
 		return w.cfg.ColdCapacity + (1-w.cfg.ColdCapacity)*min(1, seconds(at-back)/seconds(w.cfg.WarmUpTime))
 	}
 	for i, first := range w.calls {
-		bears := w.cfg.OverloadMultiple * limit * seconds(w.cfg.OverloadDuration) * (share(first.at) + share(first.at+w.cfg.OverloadDuration)) / 2
-		f := overload{tolerated: bears + 2*math.Sqrt(bears) + 2}
+		expected := w.cfg.OverloadMultiple * limit * seconds(w.cfg.OverloadDuration) * (share(first.at) + share(first.at+w.cfg.OverloadDuration)) / 2
+		o := overload{tolerated: expected + 2*math.Sqrt(expected) + 2}
 		for _, c := range w.calls[i:] {
 			if c.at < first.at+w.cfg.OverloadDuration {
-				if f.calls++; w.sawOutage[c.sender] {
-					f.byAware++
+				if o.calls++; w.sawOutage[c.sender] {
+					o.byAware++
 				}
 			}
 		}
-		if float64(f.calls) > f.tolerated {
-			falls = append(falls, f)
+		if float64(o.calls) > o.tolerated {
+			overloads = append(overloads, o)
 		}
 	}
-	return falls
+	return overloads
 }
 
 // sparesACold plays coldSum and holds it to the rule.
-func checkRecoveryLoad(t *testing.T, size int, limit float64, tell bool, lose float64, restart int) {
-	w := newFleetSim(t, size, tell)
-	w.rng, w.lossRate, w.limit, w.weight = rand.New(rand.NewPCG(uint64(size), 7)), lose, limit, limit
+func checkRecoveryLoad(t *testing.T, size int, limit float64, datagrams bool, lossRate float64, restartsPerStep int) {
+	w := newFleetSim(t, size, datagrams)
+	w.rng, w.lossRate, w.limit, w.weight = rand.New(rand.NewPCG(uint64(size), 7)), lossRate, limit, limit
 	for i := range w.senders {
 		w.start(i)
 	}
-	falls := overloadsAfterOutage(w, limit, restart)
-	if len(falls) > 0 {
-		t.Logf("%d spans over what is borne, the first with %d calls, %d of them by who knew, of %.0f", len(falls), falls[0].calls, falls[0].byAware, falls[0].tolerated)
-		if falls[0].violatesRule() { // what has fallen stays down: only the first counts
+	overloads := overloadsAfterOutage(w, limit, restartsPerStep)
+	if len(overloads) > 0 {
+		t.Logf("%d spans over what is borne, the first with %d calls, %d of them by who knew, of %.0f", len(overloads), overloads[0].calls, overloads[0].byAware, overloads[0].tolerated)
+		if overloads[0].violatesRule() { // what has fallen stays down: only the first counts
 			t.Error("over two thirds of a fall came from senders that knew of the outage")
 		}
 	}
--- a/choice/requestqueue.go
+++ b/choice/requestqueue.go
@@ -35,107 +35,107 @@
 	h[i].heapIndex, h[j].heapIndex = i, j
 }
 func (h *requestHeap) Push(x any) {
-	w := x.(*grantRequest)
-	w.heapIndex = len(*h)
-	*h = append(*h, w)
+	req := x.(*grantRequest)
+	req.heapIndex = len(*h)
+	*h = append(*h, req)
 }
 func (h *requestHeap) Pop() any {
 	old := *h
-	w := old[len(old)-1]
+	req := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	return w
+	return req
 }
 
 // want is what a sender asks for; new, after an ask of that number, if it has not asked before.
-func (l *requestQueue) requestOf(from int, seq uint16, rng *rand.Rand) *grantRequest {
-	w := l.byNode[from]
-	if w == nil {
-		if l.byNode == nil {
-			l.byNode = map[int]*grantRequest{}
+func (q *requestQueue) requestOf(from int, seq uint16, rng *rand.Rand) *grantRequest {
+	req := q.byNode[from]
+	if req == nil {
+		if q.byNode == nil {
+			q.byNode = map[int]*grantRequest{}
 		}
-		l.created++
-		w = &grantRequest{from: from, seq: seq, lastGrantSeq: uint16(rng.Uint32()), firstSeenOrder: l.created}
-		l.byNode[from] = w
+		q.created++
+		req = &grantRequest{from: from, requestSeq: seq, lastGrantSeq: uint16(rng.Uint32()), firstSeenOrder: q.created}
+		q.byNode[from] = req
 	}
-	return w
+	return req
 }
 
 // asked notes that a want was said again, and is owed an answer.
-func (l *requestQueue) refresh(w *grantRequest, now time.Duration) {
-	w.refreshedAt = now
-	l.refreshes = append(l.refreshes, requestRefresh{w, now})
-	if !w.answerOwed {
-		w.answerOwed = true
-		l.unanswered = append(l.unanswered, w)
+func (q *requestQueue) refresh(req *grantRequest, now time.Duration) {
+	req.refreshedAt = now
+	q.refreshes = append(q.refreshes, requestRefresh{req, now})
+	if !req.answerOwed {
+		req.answerOwed = true
+		q.unanswered = append(q.unanswered, req)
 	}
-	l.reposition(w, now)
+	q.reposition(req, now)
 }
 
 // moved puts a want where it belongs, after something of it has changed.
-func (l *requestQueue) reposition(w *grantRequest, now time.Duration) {
-	l.removeFromHeap(w)
+func (q *requestQueue) reposition(req *grantRequest, now time.Duration) {
+	q.removeFromHeap(req)
 	switch {
-	case w.calls <= 0:
-	case now < w.deferredUntil:
-		w.heap = &l.deferred
-		heap.Push(w.heap, w)
+	case req.calls <= 0:
+	case now < req.deferredUntil:
+		req.heap = &q.deferred
+		heap.Push(req.heap, req)
 	default:
-		w.heap = &l.ready
-		heap.Push(w.heap, w)
+		req.heap = &q.ready
+		heap.Push(req.heap, req)
 	}
 }
 
-func (l *requestQueue) removeFromHeap(w *grantRequest) {
-	if w.heap != nil {
-		heap.Remove(w.heap, w.heapIndex)
-		w.heap = nil
+func (q *requestQueue) removeFromHeap(req *grantRequest) {
+	if req.heap != nil {
+		heap.Remove(req.heap, req.heapIndex)
+		req.heap = nil
 	}
 }
 
 // first is who comes first, nil for nobody. Who got no connection of late comes after the others.
-func (l *requestQueue) first(now time.Duration) *grantRequest {
+func (q *requestQueue) head(now time.Duration) *grantRequest {
 	var due []*grantRequest
-	for _, w := range l.deferred {
-		if now >= w.deferredUntil {
-			due = append(due, w)
+	for _, req := range q.deferred {
+		if now >= req.deferredUntil {
+			due = append(due, req)
 		}
 	}
-	for _, w := range due { // not while the heap is walked
-		l.reposition(w, now)
+	for _, req := range due { // not while the heap is walked
+		q.reposition(req, now)
 	}
 	switch {
-	case len(l.ready) > 0:
-		return l.ready[0]
-	case len(l.deferred) > 0:
-		return l.deferred[0]
+	case len(q.ready) > 0:
+		return q.ready[0]
+	case len(q.deferred) > 0:
+		return q.deferred[0]
 	}
 	return nil
 }
 
 // answer hands over those that are still owed an answer, in the order in which they asked.
-func (l *requestQueue) answerPending(send func(*grantRequest)) {
-	for _, w := range l.unanswered {
-		if w.answerOwed && l.byNode[w.from] == w {
-			w.answerOwed = false
-			send(w)
+func (q *requestQueue) answerPending(send func(*grantRequest)) {
+	for _, req := range q.unanswered {
+		if req.answerOwed && q.byNode[req.from] == req {
+			req.answerOwed = false
+			send(req)
 		}
 	}
-	clear(l.unanswered)
-	l.unanswered = l.unanswered[:0]
+	clear(q.unanswered)
+	q.unanswered = q.unanswered[:0]
 }
 
 // drop forgets who has not asked again since a moment, and tells whether nobody is left.
-func (l *requestQueue) expire(cutoff time.Duration) (empty bool) {
+func (q *requestQueue) expire(cutoff time.Duration) (empty bool) {
 	expired := 0
-	for ; expired < len(l.refreshes) && l.refreshes[expired].at <= cutoff; expired++ {
-		if w := l.refreshes[expired].request; w.refreshedAt == l.refreshes[expired].at && l.byNode[w.from] == w {
-			l.removeFromHeap(w)
-			delete(l.byNode, w.from)
+	for ; expired < len(q.refreshes) && q.refreshes[expired].at <= cutoff; expired++ {
+		if req := q.refreshes[expired].request; req.refreshedAt == q.refreshes[expired].at && q.byNode[req.from] == req {
+			q.removeFromHeap(req)
+			delete(q.byNode, req.from)
 		}
 	}
-	if clear(l.refreshes[:expired]); expired > 0 {
-		l.refreshes = l.refreshes[expired:]
+	if clear(q.refreshes[:expired]); expired > 0 {
+		q.refreshes = q.refreshes[expired:]
 	}
-	return len(l.byNode) == 0
+	return len(q.byNode) == 0
 }
--- a/choice/requestqueue_test.go
+++ b/choice/requestqueue_test.go
@@ -19,7 +19,7 @@
 			}
 			continue
 		}
-		if w.calls > 0 && (best == nil || w.urgency > best.urgency || (w.urgency == best.urgency && w.since < best.since)) {
+		if w.calls > 0 && (best == nil || w.urgency > best.urgency || (w.urgency == best.urgency && w.waitingSince < best.waitingSince)) {
 			best = w
 		}
 	}
@@ -44,12 +44,12 @@
 					plain = append(plain, w)
 				}
 				if w.calls == 0 {
-					w.since = now
+					w.waitingSince = now
 				}
 				w.calls, w.urgency = rapid.IntRange(0, 3).Draw(t, "n"), uint8(rapid.IntRange(0, 2).Draw(t, "urgency"))
 				l.refresh(w, now)
 			case 2:
-				if w := l.first(now); w != nil {
+				if w := l.head(now); w != nil {
 					w.calls--
 					w.answerOwed = false
 					l.reposition(w, now)
@@ -65,7 +65,7 @@
 					t.Fatalf("%d are left", len(plain))
 				}
 			}
-			if got, want := l.first(now), headByScan(plain, now); got != want {
+			if got, want := l.head(now), headByScan(plain, now); got != want {
 				t.Fatalf("first is %+v, and should be %+v", got, want)
 			}
 			if len(l.byNode) != len(plain) {
@@ -101,16 +101,16 @@
 			rng := rand.New(rand.NewPCG(1, 1))
 			for i := range senders {
 				w := l.requestOf(i, 0, rng)
-				w.calls, w.urgency, w.since = 1, uint8(i%3), now
+				w.calls, w.urgency, w.waitingSince = 1, uint8(i%3), now
 				l.refresh(w, now)
 			}
 			for i := 0; b.Loop(); i++ {
 				now += time.Millisecond
-				w := l.first(now)
+				w := l.head(now)
 				w.calls--
 				l.reposition(w, now)
 				w = l.requestOf(i%senders, 0, rng)
-				w.calls, w.since = 1, now
+				w.calls, w.waitingSince = 1, now
 				l.refresh(w, now)
 				l.answerPending(func(*grantRequest) {})
 				l.expire(now - requestTTL*time.Duration(senders))
--- a/choice/sendcheck_test.go
+++ b/choice/sendcheck_test.go
@@ -41,7 +41,7 @@
 		w.step(0, oneEndpoint())
 		w.step(time.Second)
 		s, e := w.sender, w.sender.endpoints["a"]
-		m := &message{class: &s.cfg.Classes[c.class], dest: e.dest, arrived: s.now, deadline: s.now + 10*time.Second}
+		m := &message{class: &s.cfg.Classes[c.class], dest: e.dest, arrivedAt: s.now, deadline: s.now + 10*time.Second}
 		s.refill(e.route)
 		if !s.maySend(m, e) {
 			t.Fatalf("%s: the check must pass before", c.name)
--- a/choice/snapshot.go
+++ b/choice/snapshot.go
@@ -24,8 +24,8 @@
 
 func (r *route) fields() map[string]any {
 	return map[string]any{
-		"waitUntil": &r.waitUntil, "limit": &r.limit, "reported": &r.reported, "left": &r.limitLeft, "weight": &r.weight,
-		"part": &r.limitShare, "partAt": &r.limitShareAt, "tokens": &r.tokens, "tokensAt": &r.refilledAt, "fails": &r.failures,
+		"waitUntil": &r.waitUntil, "limit": &r.reportedLimit, "reported": &r.limitReported, "left": &r.limitLeft, "weight": &r.weight,
+		"part": &r.limitShare, "partAt": &r.limitShareUpdatedAt, "tokens": &r.tokens, "tokensAt": &r.refilledAt, "fails": &r.failures,
 		"failedAt": &r.firstFailureAt, "rest": &r.refusalBackoff, "sick": &r.circuitOpen, "harmless": &r.failureRanNothing, "trialAt": &r.nextTrialAt,
 		"backoff": &r.trialBackoff, "trial": &r.trialInFlight, "coldFrom": &r.recoveryStartedAt, "struckAt": &r.outageStartedAt, "demand": &r.demandSinceOutage,
 		"busiest": &r.peakRate, "passed": &r.windowSuccesses, "passedAt": &r.windowStartedAt, "cutAt": &r.lastCutAt,
@@ -34,7 +34,7 @@
 
 func (d *destination) fields() map[string]any {
 	return map[string]any{
-		"kind": &d.kind, "used": &d.slotUse, "usedAt": &d.slotUseAt, "lastTrial": &d.lastGateTrialAt, "came": &d.recentArrivals, "cameAt": &d.recentArrivalsAt,
+		"kind": &d.kind, "used": &d.slotUse, "usedAt": &d.slotUseUpdatedAt, "lastTrial": &d.lastGateTrialAt, "came": &d.recentArrivals, "cameAt": &d.recentArrivalsUpdatedAt,
 	}
 }
 
@@ -47,9 +47,9 @@
 
 func (m *message) fields() map[string]any {
 	return map[string]any{
-		"id": &m.id, "key": &m.key, "worth": &m.worth, "arrived": &m.arrived, "born": &m.handedInAt, "aim": &m.aim,
+		"id": &m.id, "key": &m.key, "worth": &m.worth, "arrived": &m.arrivedAt, "born": &m.handedInAt, "aim": &m.aim,
 		"dropDead": &m.deadline, "attempts": &m.attempts, "out": &m.inFlight, "mayRun": &m.firstRunSentAt, "touched": &m.mayHaveRun,
-		"zone": &m.runZone, "notBefore": &m.notBefore, "over": &m.ended, "found": &m.resumed,
+		"zone": &m.runZone, "notBefore": &m.retryAt, "over": &m.ended, "found": &m.resumed,
 	}
 }
 
@@ -75,12 +75,12 @@
 type rawFields map[string]json.RawMessage
 
 // pack reads the fields of a struct; the first error stays.
-func marshalFields(f fieldLister, fail *error) rawFields {
+func marshalFields(f fieldLister, firstErr *error) rawFields {
 	p := rawFields{}
-	for name, at := range f.fields() {
-		raw, err := json.Marshal(at)
-		if err != nil && *fail == nil {
-			*fail = fmt.Errorf("choice: %s: %w", name, err)
+	for name, field := range f.fields() {
+		raw, err := json.Marshal(field)
+		if err != nil && *firstErr == nil {
+			*firstErr = fmt.Errorf("choice: %s: %w", name, err)
 		}
 		p[name] = raw
 	}
@@ -88,11 +88,11 @@
 }
 
 // unpack sets them.
-func (p rawFields) unmarshal(f fieldLister, fail *error) {
-	for name, at := range f.fields() {
+func (p rawFields) unmarshal(f fieldLister, firstErr *error) {
+	for name, field := range f.fields() {
 		if raw, ok := p[name]; ok {
-			if err := json.Unmarshal(raw, at); err != nil && *fail == nil {
-				*fail = fmt.Errorf("choice: %s: %w", name, err)
+			if err := json.Unmarshal(raw, field); err != nil && *firstErr == nil {
+				*firstErr = fmt.Errorf("choice: %s: %w", name, err)
 			}
 		}
 	}
@@ -145,22 +145,22 @@
 
 // Carry writes down all that the sender knows between two steps.
 func (s *Sender) Snapshot() ([]byte, error) {
-	var fail error
-	c := snapshot{Sender: marshalFields(s, &fail), Lines: map[string][]int{}}
+	var firstErr error
+	c := snapshot{Sender: marshalFields(s, &firstErr), Lines: map[string][]int{}}
 	var err error
 	if c.Random, err = s.rngSource.MarshalBinary(); err != nil {
 		return nil, fmt.Errorf("choice: %w", err)
 	}
 	for i := range s.tenants {
-		c.Tenants = append(c.Tenants, marshalFields(&s.tenants[i], &fail))
+		c.Tenants = append(c.Tenants, marshalFields(&s.tenants[i], &firstErr))
 	}
-	dests := map[*destination]int{}
+	destIndexes := map[*destination]int{}
 	for i, d := range s.destinationOrder {
-		dests[d] = i
+		destIndexes[d] = i
 	}
-	places := map[*message]int{}
-	place := func(m *message) int {
-		if i, ok := places[m]; ok {
+	indexes := map[*message]int{}
+	indexOf := func(m *message) int {
+		if i, ok := indexes[m]; ok {
 			return i
 		}
 		class := -1
@@ -169,14 +169,14 @@
 				class = i
 			}
 		}
-		places[m] = len(c.Messages)
-		c.Messages = append(c.Messages, snapshotMessage{marshalFields(m, &fail), class, dests[m.dest], s.messages[m.id] == m})
-		return places[m]
+		indexes[m] = len(c.Messages)
+		c.Messages = append(c.Messages, snapshotMessage{marshalFields(m, &firstErr), class, destIndexes[m.dest], s.messages[m.id] == m})
+		return indexes[m]
 	}
-	all := func(ms []*message) []int {
+	indexesOf := func(ms []*message) []int {
 		var out []int
 		for _, m := range ms {
-			out = append(out, place(m))
+			out = append(out, indexOf(m))
 		}
 		return out
 	}
@@ -186,21 +186,21 @@
 	}
 	for _, d := range s.destinationOrder {
 		cd := snapshotDest{
-			ID: ids[d], Fields: marshalFields(d, &fail), Gate: marshalFields(&d.gate, &fail), Route: marshalFields(d.sharedRoute, &fail), Waiting: all(d.waiting),
+			ID: ids[d], Fields: marshalFields(d, &firstErr), Gate: marshalFields(&d.gate, &firstErr), Route: marshalFields(d.sharedRoute, &firstErr), Waiting: indexesOf(d.waiting),
 		}
 		for _, e := range d.endpoints {
-			ce := snapshotEndpoint{Fields: marshalFields(e, &fail), Current: s.endpoints[e.id] == e}
+			ce := snapshotEndpoint{Fields: marshalFields(e, &firstErr), Current: s.endpoints[e.id] == e}
 			if e.route != d.sharedRoute {
-				ce.Route = marshalFields(e.route, &fail)
+				ce.Route = marshalFields(e.route, &firstErr)
 			}
 			cd.Endpoints = append(cd.Endpoints, ce)
 		}
 		for _, k := range d.calls {
-			ck := snapshotCall{Fields: marshalFields(k, &fail), Endpoint: slices.Index(d.endpoints, k.endpoint)}
+			ck := snapshotCall{Fields: marshalFields(k, &firstErr), Endpoint: slices.Index(d.endpoints, k.endpoint)}
 			for _, a := range k.attempts {
 				cs := snapshotSend{ID: a.id, N: a.number}
 				if out := s.inFlight[a]; out.call == k {
-					cs.Pending, cs.Message = true, place(out.message)
+					cs.Pending, cs.Message = true, indexOf(out.message)
 				}
 				ck.Sends = append(ck.Sends, cs)
 			}
@@ -208,15 +208,15 @@
 		}
 		c.Dests = append(c.Dests, cd)
 	}
-	c.Open = all(s.openMessages)
+	c.Open = indexesOf(s.openMessages)
 	for _, key := range slices.Sorted(maps.Keys(s.keyQueues)) {
-		c.Lines[key] = all(s.keyQueues[key])
+		c.Lines[key] = indexesOf(s.keyQueues[key])
 	}
 	for _, d := range s.activeDestinations {
-		c.Active = append(c.Active, dests[d])
+		c.Active = append(c.Active, destIndexes[d])
 	}
-	if fail != nil {
-		return nil, fail
+	if firstErr != nil {
+		return nil, firstErr
 	}
 	return json.Marshal(c)
 }
@@ -229,25 +229,25 @@
 		return nil, fmt.Errorf("choice: %w", err)
 	}
 	s := New(cfg, seed)
-	var fail error
-	c.Sender.unmarshal(s, &fail)
+	var firstErr error
+	c.Sender.unmarshal(s, &firstErr)
 	if err := s.rngSource.UnmarshalBinary(c.Random); err != nil {
 		return nil, fmt.Errorf("choice: %w", err)
 	}
 	for i := range min(len(c.Tenants), len(s.tenants)) {
-		c.Tenants[i].unmarshal(&s.tenants[i], &fail)
+		c.Tenants[i].unmarshal(&s.tenants[i], &firstErr)
 	}
 	for _, cd := range c.Dests {
 		d := s.destination(cd.ID)
-		cd.Fields.unmarshal(d, &fail)
-		cd.Gate.unmarshal(&d.gate, &fail)
-		cd.Route.unmarshal(d.sharedRoute, &fail)
+		cd.Fields.unmarshal(d, &firstErr)
+		cd.Gate.unmarshal(&d.gate, &firstErr)
+		cd.Route.unmarshal(d.sharedRoute, &firstErr)
 		for _, ce := range cd.Endpoints {
 			e := &endpoint{dest: d, route: d.sharedRoute}
-			ce.Fields.unmarshal(e, &fail)
+			ce.Fields.unmarshal(e, &firstErr)
 			if ce.Route != nil {
 				e.route = newRoute()
-				ce.Route.unmarshal(e.route, &fail)
+				ce.Route.unmarshal(e.route, &firstErr)
 			}
 			d.endpoints = append(d.endpoints, e)
 			if ce.Current {
@@ -267,16 +267,16 @@
 		if cm.Class >= 0 && cm.Class < len(s.cfg.Classes) {
 			m.class = &s.cfg.Classes[cm.Class]
 		}
-		cm.Fields.unmarshal(m, &fail)
+		cm.Fields.unmarshal(m, &firstErr)
 		messages = append(messages, m)
 		if cm.Held {
 			s.messages[m.id] = m
 		}
 	}
-	all := func(places []int) (out []*message) {
-		for _, i := range places {
+	messagesAt := func(indexes []int) (out []*message) {
+		for _, i := range indexes {
 			if i < 0 || i >= len(messages) {
-				fail = errors.Join(fail, errInvalidSnapshot)
+				firstErr = errors.Join(firstErr, errInvalidSnapshot)
 				continue
 			}
 			out = append(out, messages[i])
@@ -285,7 +285,7 @@
 	}
 	for i, cd := range c.Dests {
 		d := s.destinationOrder[i]
-		d.waiting = all(cd.Waiting)
+		d.waiting = messagesAt(cd.Waiting)
 		for _, m := range d.waiting {
 			m.queued = true
 		}
@@ -294,12 +294,12 @@
 				return nil, errInvalidSnapshot
 			}
 			k := &call{endpoint: d.endpoints[ck.Endpoint]}
-			ck.Fields.unmarshal(k, &fail)
+			ck.Fields.unmarshal(k, &firstErr)
 			for _, cs := range ck.Sends {
 				a := attempt{cs.ID, cs.N}
 				k.attempts = append(k.attempts, a)
 				if cs.Pending {
-					for _, m := range all([]int{cs.Message}) {
+					for _, m := range messagesAt([]int{cs.Message}) {
 						s.inFlight[a] = inFlightAttempt{m, k}
 					}
 				}
@@ -307,18 +307,18 @@
 			d.calls = append(d.calls, k)
 		}
 	}
-	s.openMessages = all(c.Open)
-	for key, places := range c.Lines {
-		s.keyQueues[key] = all(places)
+	s.openMessages = messagesAt(c.Open)
+	for key, indexes := range c.Lines {
+		s.keyQueues[key] = messagesAt(indexes)
 	}
 	for _, i := range c.Active {
 		if i < 0 || i >= len(s.destinationOrder) {
 			return nil, errInvalidSnapshot
 		}
-		s.destinationOrder[i].active = true
+		s.destinationOrder[i].hasWork = true
 		s.activeDestinations = append(s.activeDestinations, s.destinationOrder[i])
 	}
-	return s, fail
+	return s, firstErr
 }
 
 // WakeAt is the clock time of the wake that is still to come, 0 for none.
--- a/choice/state.go
+++ b/choice/state.go
@@ -34,7 +34,7 @@
 	nextWakeAt         time.Duration               // the earliest wake asked for
 	listRetryBackoff   time.Duration               // pause before the list is asked for again
 	listRequestAt      time.Duration
-	leaving            bool
+	shuttingDown       bool
 	suspended          bool            // Blind holds
 	disabledEndpoints  map[string]bool // endpoints that operators have taken out
 	failureRate        float64         // smoothed share of failures at routes not known to be struck
@@ -56,49 +56,49 @@
 
 // destination is one partner: its gate, endpoints and waiting messages.
 type destination struct {
-	id                int
-	gate              gate
-	kind              int
-	sharedRoute       *route // of all endpoints, unless they are routes apart
-	endpoints         []*endpoint
-	waiting           []*message // in order of arrival
-	slotUse           float64    // slot time it had of late, in seconds
-	slotUseAt         time.Duration
-	calls             []*call // out, oldest first
-	lastGateTrialAt   time.Duration
-	recentArrivals    float64 // messages that came of late, fading
-	recentArrivalsAt  time.Duration
-	requester         grantRequester
-	coordinators      []int         // senders that keep its limit, the first before the others
-	requests          requestQueue  // of senders that ask this one
-	lastPeerRequestAt time.Duration // last ask of another sender
-	coordinated       bool          // stands in the sender's list of those
-	active            bool          // stands in the sender's list of those with something to do
+	id                      int
+	gate                    gate
+	kind                    int
+	sharedRoute             *route // of all endpoints, unless they are routes apart
+	endpoints               []*endpoint
+	waiting                 []*message // in order of arrival
+	slotUse                 float64    // slot time it had of late, in seconds
+	slotUseUpdatedAt        time.Duration
+	calls                   []*call // out, oldest first
+	lastGateTrialAt         time.Duration
+	recentArrivals          float64 // messages that came of late, fading
+	recentArrivalsUpdatedAt time.Duration
+	requester               grantRequester
+	coordinators            []int         // senders that keep its limit, the first before the others
+	requests                requestQueue  // of senders that ask this one
+	lastPeerRequestAt       time.Duration // last ask of another sender
+	coordinated             bool          // stands in the sender's list of those
+	hasWork                 bool          // stands in the sender's list of those with something to do
 }
 
 // claim is what a sender has asked and got of a destination's keeper.
 type grantRequester struct {
-	rank              int  // of the keeper that is asked
-	uncoordinated     bool // none answers
-	seq               uint16
-	pendingCalls      int // calls asked for and not granted yet
-	requestedAt       time.Duration
-	answeredAt        time.Duration
-	missedRequests    int // asks in a row without an answer
-	lastSeekAt        time.Duration
-	seekTurn          int    // of the keepers that are sought
-	lastGrantSeq      uint16 // the furthest grant that has come
-	grantsSeen        uint64 // which of those before it have
-	grants            []grant
-	unansweredSince   time.Duration // first ask since the keeper was last heard
-	recentGrants      float64       // grants that came of late, fading as arrivals do,
-	recentGrantsAt    time.Duration
-	grantedShare      float64 // and their part of the arrivals when the keeper fell silent
-	allowanceTokens   float64 // of the allowance
-	allowanceTokensAt time.Duration
-	allowanceFactor   float64       // factor on it: refusals cut it
-	lastFailureAt     time.Duration // last call that failed there, but for refusals
-	firstSeenAt       time.Duration // the destination was first heard of
+	coordinatorRank       int  // of the keeper that is asked
+	uncoordinated         bool // none answers
+	requestSeq            uint16
+	pendingCalls          int // calls asked for and not granted yet
+	requestedAt           time.Duration
+	answeredAt            time.Duration
+	missedRequests        int // asks in a row without an answer
+	lastSeekAt            time.Duration
+	seekTurn              int    // of the keepers that are sought
+	lastGrantSeq          uint16 // the furthest grant that has come
+	grantsSeen            uint64 // which of those before it have
+	grants                []grant
+	unansweredSince       time.Duration // first ask since the keeper was last heard
+	recentGrants          float64       // grants that came of late, fading as arrivals do,
+	recentGrantsUpdatedAt time.Duration
+	grantedShare          float64 // and their part of the arrivals when the keeper fell silent
+	allowanceTokens       float64 // of the allowance
+	allowanceRefilledAt   time.Duration
+	allowanceFactor       float64       // factor on it: refusals cut it
+	lastFailureAt         time.Duration // last call that failed there, but for refusals
+	firstSeenAt           time.Duration // the destination was first heard of
 }
 
 // grant is leave for one call.
@@ -110,11 +110,11 @@
 // want is what a sender has asked of this one, the keeper.
 type grantRequest struct {
 	from           int
-	seq            uint16
+	requestSeq     uint16
 	calls          int
 	urgency        uint8
-	route          uint16 // drawn by who asks
-	since          time.Duration
+	preferredRoute uint16 // drawn by who asks
+	waitingSince   time.Duration
 	refreshedAt    time.Duration // last said
 	answerOwed     bool          // the ask has no answer yet
 	lastGrantSeq   uint16
@@ -134,36 +134,36 @@
 
 // route is what limits, waits and outages bind: a destination, or an endpoint that is a route apart.
 type route struct {
-	waitUntil         time.Duration // rule six
-	limit             float64       // calls a second as reported
-	reported          bool
-	limitLeft         float64 // share of it left at the last report
-	weight            float64
-	limitShare        float64 // this sender's part of the limit
-	limitShareAt      time.Duration
-	tokens            float64
-	refilledAt        time.Duration
-	failures          int           // failures in a row
-	firstFailureAt    time.Duration // the first of them
-	refusalBackoff    time.Duration // after the last of the refusals in a row
-	circuitOpen       bool
-	failureRanNothing bool // the last failure proved that nothing ran
-	nextTrialAt       time.Duration
-	trialBackoff      time.Duration
-	trialInFlight     bool          // a trial is out
-	recoveryStartedAt time.Duration // start of the recovery; 0 none
-	outageStartedAt   time.Duration // start of the outage
-	demandSinceOutage float64       // this sender's messages for the route since then
-	peakRate          float64       // most calls passed in a second, for want of any limit
-	windowSuccesses   float64
-	windowStartedAt   time.Duration
-	lastTrialAt       time.Duration // last trial, where it stands for all senders
-	lastSuccessAt     time.Duration // last pass, there
-	refusedShare      float64       // smoothed share of calls refused over the limit, there
-	lastCutAt         time.Duration // last cut for refusals, where it stands for all senders
-	fleetWide         bool          // it stands for the calls of all senders
-	initialShare      float64       // the part of its limit that its keeper began with, there
-	fleetRoute        *route        // the same route as its keeper knows it
+	waitUntil           time.Duration // rule six
+	reportedLimit       float64       // calls a second as reported
+	limitReported       bool
+	limitLeft           float64 // share of it left at the last report
+	weight              float64
+	limitShare          float64 // this sender's part of the limit
+	limitShareUpdatedAt time.Duration
+	tokens              float64
+	refilledAt          time.Duration
+	failures            int           // failures in a row
+	firstFailureAt      time.Duration // the first of them
+	refusalBackoff      time.Duration // after the last of the refusals in a row
+	circuitOpen         bool
+	failureRanNothing   bool // the last failure proved that nothing ran
+	nextTrialAt         time.Duration
+	trialBackoff        time.Duration
+	trialInFlight       bool          // a trial is out
+	recoveryStartedAt   time.Duration // start of the recovery; 0 none
+	outageStartedAt     time.Duration // start of the outage
+	demandSinceOutage   float64       // this sender's messages for the route since then
+	peakRate            float64       // most calls passed in a second, for want of any limit
+	windowSuccesses     float64
+	windowStartedAt     time.Duration
+	lastTrialAt         time.Duration // last trial, where it stands for all senders
+	lastSuccessAt       time.Duration // last pass, there
+	refusedShare        float64       // smoothed share of calls refused over the limit, there
+	lastCutAt           time.Duration // last cut for refusals, where it stands for all senders
+	fleetWide           bool          // it stands for the calls of all senders
+	initialShare        float64       // the part of its limit that its keeper began with, there
+	fleetRoute          *route        // the same route as its keeper knows it
 }
 
 type endpoint struct {
@@ -187,7 +187,7 @@
 	key            string
 	worth          float64
 	dest           *destination
-	arrived        time.Duration
+	arrivedAt      time.Duration
 	handedInAt     time.Duration // first hand-in, as far as the deadline tells
 	aim            time.Duration
 	deadline       time.Duration
@@ -196,7 +196,7 @@
 	firstRunSentAt time.Duration // send time of the first attempt that may have run
 	mayHaveRun     bool          // there is such an attempt
 	runZone        int           // its endpoint's zone
-	notBefore      time.Duration
+	retryAt        time.Duration
 	queued         bool
 	ended          bool
 	resumed        bool // at a restart
@@ -239,7 +239,7 @@
 	if d == nil {
 		d = &destination{id: id, sharedRoute: newRoute(), requester: grantRequester{allowanceFactor: 1, firstSeenAt: s.now}}
 		if s.cfg.ColdStart {
-			d.requester.allowanceTokensAt = s.now // not one call for each sender
+			d.requester.allowanceRefilledAt = s.now // not one call for each sender
 		}
 		s.destinations[id] = d
 		s.destinationOrder = append(s.destinationOrder, d)
@@ -266,13 +266,13 @@
 		return
 	}
 	d := m.dest
-	if !d.active {
-		d.active = true
+	if !d.hasWork {
+		d.hasWork = true
 		s.activeDestinations = append(s.activeDestinations, d)
 	}
 	m.queued = true
 	i := len(d.waiting)
-	for i > 0 && d.waiting[i-1].arrived > m.arrived {
+	for i > 0 && d.waiting[i-1].arrivedAt > m.arrivedAt {
 		i--
 	}
 	d.waiting = append(d.waiting, nil)
@@ -318,18 +318,18 @@
 }
 
 // Pool counts the listed endpoints, and those of them that are avoided: taken out by operators, or struck.
-func (s *Sender) Pool() (size, avoided int) {
+func (s *Sender) EndpointCounts() (listed, avoided int) {
 	for _, d := range s.destinationOrder {
 		for _, e := range d.endpoints {
 			if e.listed && s.endpoints[e.id] == e {
-				size++
+				listed++
 				if e.disabled || (e.ready && e.route.circuitOpen) {
 					avoided++
 				}
 			}
 		}
 	}
-	return size, avoided
+	return listed, avoided
 }
 
 // usable tells that neither the list nor the operators forbid new work there.
@@ -381,14 +381,14 @@
 
 // rate is how many messages a second came here for the destination of late.
 func (d *destination) arrivalRate(now time.Duration) float64 {
-	return d.recentArrivals * math.Exp(-seconds(now-d.recentArrivalsAt)/seconds(demandDecayTime)) / seconds(demandDecayTime)
+	return d.recentArrivals * math.Exp(-seconds(now-d.recentArrivalsUpdatedAt)/seconds(demandDecayTime)) / seconds(demandDecayTime)
 }
 
 // spend brings the slot time that the destination had of late up to now.
 func (d *destination) decaySlotUse(now time.Duration) {
-	fade := math.Exp(-seconds(now-d.slotUseAt) / seconds(slotUseDecayTime))
+	fade := math.Exp(-seconds(now-d.slotUseUpdatedAt) / seconds(slotUseDecayTime))
 	d.slotUse = d.slotUse*fade + float64(len(d.calls))*seconds(slotUseDecayTime)*(1-fade)
-	d.slotUseAt = now
+	d.slotUseUpdatedAt = now
 }
 
 // recovering tells that the route is struck, or not yet surely warm again.
@@ -406,7 +406,7 @@
 // report takes what an endpoint tells of its limit; odd values are skipped.
 func (s *Sender) applyReport(r *route, rep LimitReport) {
 	if rep.HasLimit && rep.Limit >= 0 && !math.IsInf(rep.Limit, 0) {
-		r.reported, r.limit, r.limitLeft = true, rep.Limit, 0
+		r.limitReported, r.reportedLimit, r.limitLeft = true, rep.Limit, 0
 		if rep.HasLeft && rep.Left > 0 {
 			r.limitLeft = min(rep.Left, 1)
 		}
@@ -503,15 +503,15 @@
 }
 
 // take notes a new message and its demand on the destination.
-func (s *Sender) newMessage(e MessageArrived) (*message, *destination) {
+func (s *Sender) registerMessage(e MessageArrived) (*message, *destination) {
 	d := s.destination(e.Dest)
-	d.recentArrivals, d.recentArrivalsAt = d.arrivalRate(s.now)*seconds(demandDecayTime)+1, s.now
+	d.recentArrivals, d.recentArrivalsUpdatedAt = d.arrivalRate(s.now)*seconds(demandDecayTime)+1, s.now
 	class := &Class{Effect: AtMostOnce} // of a class that is not known, as after a restart with other settings, nothing is repeated
 	if e.Class >= 0 && e.Class < len(s.cfg.Classes) {
 		class = &s.cfg.Classes[e.Class]
 	}
 	m := &message{
-		id: e.ID, class: class, dest: d, arrived: s.now, deadline: e.Deadline, worth: class.Worth,
+		id: e.ID, class: class, dest: d, arrivedAt: s.now, deadline: e.Deadline, worth: class.Worth,
 		handedInAt: e.Deadline - class.Deadline,
 	}
 	m.aim = min(class.Aim+duration(class.AimStretch*seconds(e.Hint)), max(class.Deadline, class.Aim))
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -45,17 +45,17 @@
 func run(in io.Reader, out io.Writer) error {
 	h := newHost(out)
 	r := bufio.NewReaderSize(in, 1<<20)
-	var t *batch
+	var b *batch
 	for n := 1; ; n++ {
 		text, err := r.ReadBytes('\n')
 		if len(text) > 0 && text[0] != '\n' {
-			var fail error
-			if t, fail = h.handleLine(t, text); fail != nil {
-				return fmt.Errorf("line %d: %w", n, fail)
+			var lineErr error
+			if b, lineErr = h.handleLine(b, text); lineErr != nil {
+				return fmt.Errorf("line %d: %w", n, lineErr)
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			if t != nil {
+			if b != nil {
 				return fmt.Errorf("line %d: input ends inside a batch", n)
 			}
 			return nil
@@ -67,90 +67,90 @@
 }
 
 // line takes one line of input and returns the batch that is open after it.
-func (h *host) handleLine(t *batch, text []byte) (*batch, error) {
+func (h *host) handleLine(b *batch, text []byte) (*batch, error) {
 	l, err := wire.Parse(text)
 	if err != nil {
-		return t, err
+		return b, err
 	}
 	if l.Type == "Turn" {
-		if t != nil {
-			return t, errors.New("Turn inside a batch")
+		if b != nil {
+			return b, errors.New("Turn inside a batch")
 		}
 		return &batch{now: wire.FromMillis(l.Time), events: map[string][]choice.Event{}}, nil
 	}
-	if t == nil {
-		return t, fmt.Errorf("%s outside a batch", l.Type)
+	if b == nil {
+		return b, fmt.Errorf("%s outside a batch", l.Type)
 	}
 	switch l.Type {
 	case "YourTurn":
-		for _, node := range t.nodeOrder {
+		for _, node := range b.nodeOrder {
 			if h.nodes[node] != nil {
-				if err := h.stepNode(t.now, node, t.events[node]); err != nil {
-					return t, err
+				if err := h.stepNode(b.now, node, b.events[node]); err != nil {
+					return b, err
 				}
 			}
 		}
 		if _, err := fmt.Fprintln(h.out, wire.DoneLine); err != nil {
-			return t, err
+			return b, err
 		}
 		return nil, h.out.Flush()
 	case "Manifest":
 		entries, err := wire.Entries(l.Records)
 		if err != nil {
-			return t, fmt.Errorf("Manifest %d: %w", l.ListNumber, err)
+			return b, fmt.Errorf("Manifest %d: %w", l.ListNumber, err)
 		}
 		h.lists[l.ListNumber] = entries
-		return t, nil
+		return b, nil
 	case "Born":
 		settings, err := wire.Settings(l.Settings)
 		if err != nil {
-			return t, fmt.Errorf("Born %s: %w", l.Node, err)
+			return b, fmt.Errorf("Born %s: %w", l.Node, err)
 		}
 		seed, err := strconv.ParseUint(l.Seed.String(), 10, 64)
 		if err != nil {
 			signed, serr := strconv.ParseInt(l.Seed.String(), 10, 64)
 			if serr != nil {
-				return t, fmt.Errorf("Born %s: nonce64: %w", l.Node, err)
+				return b, fmt.Errorf("Born %s: nonce64: %w", l.Node, err)
 			}
 			seed = uint64(signed)
 		}
 		h.nodes[l.Node] = choice.New(settings, seed)
-		t.resetNode(l.Node)
-		return t, nil
+		b.resetNode(l.Node)
+		return b, nil
 	case "Down":
 		if h.nodes[l.Node] == nil {
-			return t, fmt.Errorf("Down for %q, which was never born", l.Node)
+			return b, fmt.Errorf("Down for %q, which was never born", l.Node)
 		}
 		delete(h.nodes, l.Node)
-		t.resetNode(l.Node)
-		return t, nil
+		b.resetNode(l.Node)
+		return b, nil
 	}
 	if h.nodes[l.Node] == nil {
-		return t, fmt.Errorf("%s for %q, which was never born", l.Type, l.Node)
+		return b, fmt.Errorf("%s for %q, which was never born", l.Type, l.Node)
 	}
 	ev, err := wire.Event(l, h.lists)
 	if err != nil {
-		return t, fmt.Errorf("%s for %q: %w", l.Type, l.Node, err)
+		return b, fmt.Errorf("%s for %q: %w", l.Type, l.Node, err)
 	}
 	if ev != nil {
-		t.addEvent(l.Node, ev)
+		b.addEvent(l.Node, ev)
 	}
-	return t, nil
+	return b, nil
 }
 
-func (t *batch) addEvent(node string, ev choice.Event) {
-	if _, ok := t.events[node]; !ok {
-		t.nodeOrder = append(t.nodeOrder, node)
+func (b *batch) addEvent(node string, ev choice.Event) {
+	if _, ok := b.events[node]; !ok {
+		b.nodeOrder = append(b.nodeOrder, node)
 	}
-	t.events[node] = append(t.events[node], ev)
+	b.events[node] = append(b.events[node], ev)
 }
 
 // reset forgets what an earlier life of the instance was told in this batch; it has its turn all the same.
-func (t *batch) resetNode(node string) {
-	if _, ok := t.events[node]; !ok {
-		t.nodeOrder = append(t.nodeOrder, node)
+func (b *batch) resetNode(node string) {
+	if _, ok := b.events[node]; !ok {
+		b.nodeOrder = append(b.nodeOrder, node)
 	}
-	t.events[node] = nil
+	b.events[node] = nil
 }
 
 // step runs one instance and writes its actions; a panic becomes a Broken line.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -595,7 +595,7 @@
 
 // publish brings the gauges up to date for readers that must not wait for the loop.
 func (n *Node) publishGauges() {
-	size, avoided := n.sender.Pool()
+	size, avoided := n.sender.EndpointCounts()
 	n.metrics.Active.Store(int64(n.openMessages))
 	n.metrics.ListRevision.Store(n.listRevision)
 	if n.membership != nil {
