--- a/cmd/harrierramp/faultledger_test.go
+++ b/cmd/harrierramp/faultledger_test.go
@@ -71,12 +71,12 @@
 }
 
 // sent notes that a client begins to hand a message in.
-func (l *faultLedger) recordSubmission(id, class string, life time.Duration) {
+func (l *faultLedger) recordSubmission(id, class string, ttl time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	m := l.message(id)
-	m.class, m.deadline = class, l.now()+life
-	m.addEvent(l.now(), "handed in as %s for %v", class, life)
+	m.class, m.deadline = class, l.now()+ttl
+	m.addEvent(l.now(), "handed in as %s for %v", class, ttl)
 	l.counts["handed in"]++
 }
 
--- a/cmd/harrierramp/faults_test.go
+++ b/cmd/harrierramp/faults_test.go
@@ -21,10 +21,10 @@
 }
 
 // handIn hands one message in on a connection of its own and returns the answer.
-func (p *faultScenario) submit(t *testing.T, id, class string, life time.Duration) string {
+func (p *faultScenario) submit(t *testing.T, id, class string, ttl time.Duration) string {
 	t.Helper()
-	p.ledger.recordSubmission(id, class, life)
-	fields := fmt.Sprintf("c=%s,dest=1,k=%s,d=%d", class, id, life.Milliseconds())
+	p.ledger.recordSubmission(id, class, ttl)
+	fields := fmt.Sprintf("c=%s,dest=1,k=%s,d=%d", class, id, ttl.Milliseconds())
 	line := testkit.Exchange(t, p.node.addr, testkit.EnqueueRequest(id, fields, "body"))
 	p.ledger.recordAnswer(id, line)
 	return line
@@ -33,8 +33,8 @@
 // mustHaveStruck says that a play gives no verdict where a fault has met fewer calls than it takes to show something.
 func (p *faultScenario) requireStruck(t *testing.T, f *injectedFault, least int) {
 	t.Helper()
-	if met := p.schedule.struckCalls(f); met < least {
-		t.Errorf("no verdict: %d calls have failed, and it takes %d", met, least)
+	if struck := p.schedule.struckCalls(f); struck < least {
+		t.Errorf("no verdict: %d calls have failed, and it takes %d", struck, least)
 	}
 }
 
--- a/cmd/harrierramp/faultplay_test.go
+++ b/cmd/harrierramp/faultscenario_test.go
@@ -252,16 +252,16 @@
 // threads waits for, and has the node write down its goroutines, which ends it.
 func monitorResponsiveness(t *testing.T, scenario *faultScenario) {
 	go func() {
-		for heard := time.Now(); t.Context().Err() == nil; time.Sleep(pingInterval) {
+		for lastAnswer := time.Now(); t.Context().Err() == nil; time.Sleep(pingInterval) {
 			if scenario.ledger.restartedSince(scenario.ledger.now()-maxPingSilence) || scenario.node.respondsToPing() {
-				heard = time.Now()
+				lastAnswer = time.Now()
 				continue
 			}
-			if time.Since(heard) < maxPingSilence {
+			if time.Since(lastAnswer) < maxPingSilence {
 				continue
 			}
 			scenario.ledger.recordViolation("silence", "the node has not answered PING for %v; its injector: slowest %v, interrupted %d\n%s",
-				time.Since(heard), scenario.node.injector.Slowest(), scenario.node.injector.Interrupted(), scenario.node.threadStates())
+				time.Since(lastAnswer), scenario.node.injector.Slowest(), scenario.node.injector.Interrupted(), scenario.node.threadStates())
 			scenario.node.signal(syscall.SIGQUIT)
 			return
 		}
@@ -311,18 +311,18 @@
 	defer c.disconnect()
 	for i := 0; c.l.now() < scenarioDuration-quietDuration+time.Second; i++ {
 		class := []string{"status", "order", "payout"}[c.rng.IntN(3)]
-		life := time.Duration(200+c.rng.IntN(1300)) * time.Millisecond
+		ttl := time.Duration(200+c.rng.IntN(1300)) * time.Millisecond
 		id := fmt.Sprintf("m%dx%d", c.number, i)
-		fields := fmt.Sprintf("c=%s,d=%d,dest=%d", class, life.Milliseconds(), 1+c.rng.IntN(2))
+		fields := fmt.Sprintf("c=%s,d=%d,dest=%d", class, ttl.Milliseconds(), 1+c.rng.IntN(2))
 		if class == "order" {
 			fields += ",k=" + id
 		}
-		c.submit(id, class, life, testkit.EnqueueRequest(id, fields, strings.Repeat("b", c.rng.IntN(600))))
-		rest := time.Duration(10+c.rng.IntN(60)) * time.Millisecond
+		c.submit(id, class, ttl, testkit.EnqueueRequest(id, fields, strings.Repeat("b", c.rng.IntN(600))))
+		pause := time.Duration(10+c.rng.IntN(60)) * time.Millisecond
 		if c.rng.IntN(100) == 0 {
-			rest = 2200*time.Millisecond + time.Duration(c.rng.IntN(20)-10)*time.Millisecond // where idle connections end
+			pause = 2200*time.Millisecond + time.Duration(c.rng.IntN(20)-10)*time.Millisecond // where idle connections end
 		}
-		time.Sleep(rest)
+		time.Sleep(pause)
 	}
 }
 
@@ -334,7 +334,7 @@
 }
 
 // handIn hands one message in, once more on a new connection if an old one has ended meanwhile.
-func (c *faultClient) submit(id, class string, life time.Duration, request string) {
+func (c *faultClient) submit(id, class string, ttl time.Duration, request string) {
 	for {
 		if c.nc == nil {
 			nc, err := net.DialTimeout("tcp", c.n.addr, clientTimeout)
@@ -343,9 +343,9 @@
 			}
 			c.nc, c.br, c.answered = nc, bufio.NewReader(nc), false
 		}
-		again := c.answered
+		reused := c.answered
 		began := c.l.now()
-		c.l.recordSubmission(id, class, life)
+		c.l.recordSubmission(id, class, ttl)
 		if c.nc.SetDeadline(time.Now().Add(clientTimeout)) != nil {
 			c.disconnect()
 			return
@@ -356,12 +356,12 @@
 		if written {
 			line, err = c.br.ReadString('\n')
 		}
-		switch late, _ := err.(net.Error); {
+		switch netErr, _ := err.(net.Error); {
 		case err == nil:
 			c.l.recordAnswer(id, strings.TrimSpace(line))
 			c.answered = true
 			return
-		case late != nil && late.Timeout():
+		case netErr != nil && netErr.Timeout():
 			c.l.recordEvent(id, "its client has waited long enough")
 			c.disconnect()
 			return
@@ -369,7 +369,7 @@
 		c.disconnect()
 		time.Sleep(20 * time.Millisecond) // a kill is noted by then
 		switch {
-		case again:
+		case reused:
 			c.l.recordEvent(id, "the old connection has ended: %v", err)
 			continue
 		case written && !c.l.restartedSince(began):
