--- a/internal/cli/journal.go
+++ b/internal/cli/journal.go
@@ -42,7 +42,7 @@
 	for _, s := range m.Attempts {
 		outcome := "out, or cut off: it may have run"
 		switch {
-		case s.NotRun:
+		case s.NotExecuted:
 			outcome = "did not run"
 		case s.Failed:
 			outcome = "failed: it may have run"
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -246,7 +246,7 @@
 	var mu sync.Mutex
 	accepted := map[string]bool{}
 	until := time.Now().Add(f.Duration)
-	outage := f.partners[len(f.partners)-1]
+	failing := f.partners[len(f.partners)-1]
 	var senders sync.WaitGroup
 	for n, addr := range f.nodeAddrs {
 		senders.Go(func() {
@@ -276,10 +276,10 @@
 	}
 	sleep(ctx, f.Duration/3)
 	fmt.Fprintln(f.Out, "partner office-2 shuts")
-	outage.SetRefusing(true)
+	failing.SetRefusing(true)
 	sleep(ctx, f.Duration/3)
 	fmt.Fprintln(f.Out, "partner office-2 is back")
-	outage.SetRefusing(false)
+	failing.SetRefusing(false)
 	senders.Wait()
 	r.Accepted = len(accepted)
 	notices := map[string]string{}
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -461,7 +461,7 @@
 	}
 	var b [finalReadBytes]byte
 	n, err := nonblock.Read(nc, b[:])
-	replay.replay = append(replay.replay, b[:n]...)
+	replay.prefix = append(replay.prefix, b[:n]...)
 	return err == nil
 }
 
@@ -471,8 +471,8 @@
 // client has ended its side too, or lingerTimeout, or maxSkipped bytes, or until the place is wanted.
 func (s *Server) lingeringClose(nc net.Conn) {
 	defer nc.Close()
-	half, ok := nc.(interface{ CloseWrite() error })
-	if !ok || half.CloseWrite() != nil {
+	halfCloser, ok := nc.(interface{ CloseWrite() error })
+	if !ok || halfCloser.CloseWrite() != nil {
 		return
 	}
 	s.mu.Lock()
@@ -559,7 +559,7 @@
 // converse answers requests until the connection is to end, or is passed on to another process. The error is what the
 // connection said, if anything.
 func (s *Server) serveRequests(nc net.Conn, start connStart) (closeReason, error) {
-	replay := &replayReader{src: transient.Reader(nc), replay: start.unanswered}
+	replay := &replayReader{src: transient.Reader(nc), prefix: start.unanswered}
 	r := bufio.NewReaderSize(replay, 4096)
 	lastActivity, requestStart, hadRequest := start.lastActivity, start.requestStart, start.hadRequest
 	for {
@@ -568,7 +568,7 @@
 		if err := nc.SetDeadline(lastActivity.Add(idleTimeout)); err != nil {
 			return closeConnBroken, err
 		}
-		if r.Buffered() == 0 && len(replay.replay) == 0 && !s.updateState(nc, true, lastActivity) {
+		if r.Buffered() == 0 && len(replay.prefix) == 0 && !s.updateState(nc, true, lastActivity) {
 			if !s.handingOver() {
 				return closeIdle, nil
 			} else if s.handOverConn(nc, replay, lastActivity, requestStart) {
@@ -644,14 +644,14 @@
 // again.
 type replayReader struct {
 	src      io.Reader
-	replay   []byte // read before anything of src
+	prefix   []byte // read before anything of src
 	recorded []byte
 }
 
 func (t *replayReader) Read(p []byte) (n int, err error) {
-	if len(t.replay) > 0 {
-		n = copy(p, t.replay)
-		t.replay = t.replay[n:]
+	if len(t.prefix) > 0 {
+		n = copy(p, t.prefix)
+		t.prefix = t.prefix[n:]
 	} else {
 		n, err = t.src.Read(p)
 	}
@@ -671,7 +671,7 @@
 }
 
 // unanswered is all that has been read, and is to be read again, of requests without an answer.
-func (t *replayReader) unanswered() []byte { return slices.Concat(t.recorded, t.replay) }
+func (t *replayReader) unanswered() []byte { return slices.Concat(t.recorded, t.prefix) }
 
 // command answers one command.
 func (s *Server) handleCommand(args [][]byte, receivedAt time.Time) string {
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -223,9 +223,9 @@
 
 // A request that comes cut at any byte is one request, and what follows it in the same piece is the next.
 func TestRequestSplitAtAnyByte(t *testing.T) {
-	handed := make(chan Request, 1)
+	received := make(chan Request, 1)
 	_, addr := startTestServer(t, 4, func(q Request) Answer {
-		handed <- q
+		received <- q
 		return Answer{}
 	})
 	text := testkit.EnqueueRequest("id", "c=notice,t=globex,d=8000,dest=7", "bo\r\ndy")
@@ -236,12 +236,12 @@
 		}
 		runtime.Gosched() // the pieces may still come as one; most don't
 		testkit.MustExchange(t, nc, br, text[cut:], "+OK")
-		if q := <-handed; string(q.Body) != "bo\r\ndy" || q.ID != "id" || q.Dest != 7 || q.Tenant != 1 {
+		if q := <-received; string(q.Body) != "bo\r\ndy" || q.ID != "id" || q.Dest != 7 || q.Tenant != 1 {
 			t.Fatalf("cut at %d: got %+v", cut, q)
 		}
 	}
 	testkit.MustExchange(t, nc, br, text+testkit.EncodeRESP("PING"), "+OK")
-	<-handed
+	<-received
 	if line, err := br.ReadString('\n'); line != "+PONG\r\n" {
 		t.Errorf("got %q, %v", line, err)
 	}
@@ -250,9 +250,9 @@
 // Clients walk away inside a request, or before its answer: nothing of half a request is taken on, the whole one
 // is, once, and the places are free again.
 func TestClientDisconnects(t *testing.T) {
-	handed, answers := make(chan Request, 100), make(chan struct{})
+	received, answers := make(chan Request, 100), make(chan struct{})
 	c, addr := startTestServer(t, 4, func(q Request) Answer {
-		handed <- q
+		received <- q
 		<-answers
 		return Answer{}
 	})
@@ -271,14 +271,14 @@
 	if _, err := io.WriteString(nc, text); err != nil {
 		t.Fatal(err)
 	}
-	if q := <-handed; q.ID != "id" {
+	if q := <-received; q.ID != "id" {
 		t.Errorf("%q was handed in", q.ID)
 	}
 	nc.Close()
 	close(answers)
 	testkit.Eventually(t, "the places are free", func() bool { return c.ConnCount() == 0 && len(c.connSem) == 0 })
-	if len(handed) != 0 {
-		t.Errorf("%d messages beside the whole one", len(handed))
+	if len(received) != 0 {
+		t.Errorf("%d messages beside the whole one", len(received))
 	}
 }
 
--- a/internal/journal/fuzz_test.go
+++ b/internal/journal/fuzz_test.go
@@ -18,9 +18,9 @@
 		if m, err = j.Accept(m); err != nil {
 			f.Fatal(err)
 		}
-		j.Attempt(m, Attempt{At: m.Deadline, Zone: 1, ListRevision: 5, Incarnation: 1})
-		j.Failed(m, 0)
-		j.Ended(m, Ending{Failed: true})
+		j.RecordAttempt(m, Attempt{At: m.Deadline, Zone: 1, ListRevision: 5, Incarnation: 1})
+		j.RecordFailed(m, 0)
+		j.RecordEnded(m, Ending{Failed: true})
 	}
 	if err := j.Close(); err != nil {
 		f.Fatal(err)
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -57,11 +57,12 @@
 
 // Send is an attempt. One that has not failed was out when the journal ended, and may have run as well.
 type Attempt struct {
-	At             time.Time
-	Zone           int
-	ListRevision   int64  `json:"List"` // the revision that it rests on, and
-	Incarnation    uint32 `json:"Life"` // whose process's; 0 where that is not told
-	NotRun, Failed bool
+	At           time.Time
+	Zone         int
+	ListRevision int64  `json:"List"` // the revision that it rests on, and
+	Incarnation  uint32 `json:"Life"` // whose process's; 0 where that is not told
+	NotExecuted  bool   `json:"NotRun"`
+	Failed       bool
 }
 
 // Ending is the final answer of a message.
@@ -106,19 +107,21 @@
 }
 
 // Attempt notes that an attempt is about to be sent.
-func (j *Journal) Attempt(p *Message, s Attempt) { j.enqueue(attemptRecord(p.seq, s)) }
+func (j *Journal) RecordAttempt(p *Message, s Attempt) { j.enqueue(attemptRecord(p.seq, s)) }
 
 // NotRun notes that the n-th attempt failed and is proven not to have run.
-func (j *Journal) NotRun(p *Message, n int) { j.enqueue(outcomeRecord(recNotExecuted, p.seq, n)) }
+func (j *Journal) RecordNotExecuted(p *Message, n int) {
+	j.enqueue(outcomeRecord(recNotExecuted, p.seq, n))
+}
 
 // Failed notes that the n-th attempt failed and may have run.
-func (j *Journal) Failed(p *Message, n int) { j.enqueue(outcomeRecord(recFailed, p.seq, n)) }
+func (j *Journal) RecordFailed(p *Message, n int) { j.enqueue(outcomeRecord(recFailed, p.seq, n)) }
 
 // Ended notes the final answer of a message, whose notice is still owed.
-func (j *Journal) Ended(p *Message, e Ending) { j.enqueue(endedRecord(p.seq, e)) }
+func (j *Journal) RecordEnded(p *Message, e Ending) { j.enqueue(endedRecord(p.seq, e)) }
 
 // Over notes that nothing is owed any more.
-func (j *Journal) Settled(p *Message) { j.enqueue(record(recSettled, p.seq)) }
+func (j *Journal) RecordSettled(p *Message) { j.enqueue(record(recSettled, p.seq)) }
 
 // Owed are the messages that still owe something, in the order in which they were taken on.
 func (j *Journal) Unsettled() []*Message {
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -229,7 +229,7 @@
 			t.Fatalf("down after %d bytes of 3 MB", j.fileBytes)
 		}
 		if i > 0 {
-			j.Settled(p)
+			j.RecordSettled(p)
 		}
 	}
 	mustFlush(t, j)
--- a/internal/journal/recovery.go
+++ b/internal/journal/recovery.go
@@ -79,7 +79,7 @@
 		}
 	case recNotExecuted:
 		if n := f.uvarint(); !f.malformed && n < uint64(len(p.Attempts)) {
-			p.Attempts[n].NotRun, p.Attempts[n].Failed = true, true
+			p.Attempts[n].NotExecuted, p.Attempts[n].Failed = true, true
 		}
 	case recFailed:
 		if n := f.uvarint(); !f.malformed && n < uint64(len(p.Attempts)) {
@@ -176,7 +176,7 @@
 		for i, s := range p.Attempts {
 			put(attemptRecord(p.seq, s))
 			switch {
-			case s.NotRun:
+			case s.NotExecuted:
 				put(outcomeRecord(recNotExecuted, p.seq, i))
 			case s.Failed:
 				put(outcomeRecord(recFailed, p.seq, i))
--- a/internal/node/clockstep_test.go
+++ b/internal/node/clockstep_test.go
@@ -21,7 +21,7 @@
 		if _, ok := n.accept(submission{Request: ingress.Request{ID: "a", Tenant: -1, Dest: 7, TTL: 50 * time.Second, ReceivedAt: began}}); !ok {
 			t.Fatal("not taken on")
 		}
-		n.journal.Attempt(n.messages["a"], journal.Attempt{At: began})
+		n.journal.RecordAttempt(n.messages["a"], journal.Attempt{At: began})
 		flushJournal(t, n.journal)
 		deadline, sent := n.clockAt(n.messages["a"].Deadline), n.clockAt(n.messages["a"].Attempts[0].At)
 
--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -19,7 +19,7 @@
 	r := choice.MessageResumed{MessageArrived: n.arrivedEvent(p, p.Deadline), Attempts: len(p.Attempts)}
 	for _, s := range p.Attempts {
 		r.Failed = r.Failed || s.Failed
-		if !s.NotRun && !r.MayHaveRun {
+		if !s.NotExecuted && !r.MayHaveRun {
 			r.MayHaveRun, r.FirstRunSentAt, r.Zone = true, n.clockAt(s.At), s.Zone
 		}
 	}
@@ -92,7 +92,7 @@
 		n.openMessages--
 	}
 	delete(n.messages, p.ID)
-	n.journal.Settled(p)
+	n.journal.RecordSettled(p)
 }
 
 // called notes the outcome of a call.
@@ -117,9 +117,9 @@
 	switch e.Outcome {
 	case choice.Success:
 	case choice.Rejected, choice.ConnectFailed, choice.NotSent:
-		n.journal.NotRun(m, e.n)
+		n.journal.RecordNotExecuted(m, e.n)
 	default:
-		n.journal.Failed(m, e.n)
+		n.journal.RecordFailed(m, e.n)
 	}
 	if e.MessageDone && m.Ended == nil {
 		if e.Outcome == choice.Success {
@@ -162,7 +162,7 @@
 		return
 	}
 	n.openMessages--
-	n.journal.Ended(p, e)
+	n.journal.RecordEnded(p, e)
 	n.pending.notices = append(n.pending.notices, pendingNotice{outbox.NewNotice(p), p.Deadline.Add(-unrecordedNoticeLead)})
 }
 
@@ -179,7 +179,7 @@
 	if n.audit != nil {
 		sent.ListRevision, sent.Incarnation = n.listRevision, n.audit.incarnation
 	}
-	n.journal.Attempt(p, sent)
+	n.journal.RecordAttempt(p, sent)
 	n.metrics.ObserveFirstCall(time.Since(n.processStart))
 	if name.n == 0 && !p.ReceivedAt.IsZero() {
 		n.metrics.ObserveFirstAttempt(p.Dest, now.Sub(p.ReceivedAt))
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -546,8 +546,8 @@
 					t.Fatal(err)
 				}
 				for i, write := range []func(){
-					func() { j.Attempt(m, journal.Attempt{At: time.Now()}) }, func() { j.NotRun(m, 0) },
-					func() { j.Ended(m, journal.Ending{RetryAfter: time.Second}) },
+					func() { j.RecordAttempt(m, journal.Attempt{At: time.Now()}) }, func() { j.RecordNotExecuted(m, 0) },
+					func() { j.RecordEnded(m, journal.Ending{RetryAfter: time.Second}) },
 				} {
 					if i < point {
 						write()
@@ -582,8 +582,8 @@
 		failed, touched bool
 	}{
 		{"out at the kill", func(*journal.Journal, *journal.Message) {}, false, true},
-		{"timed out", func(j *journal.Journal, p *journal.Message) { j.Failed(p, 0) }, true, true},
-		{"refused", func(j *journal.Journal, p *journal.Message) { j.NotRun(p, 0) }, true, false},
+		{"timed out", func(j *journal.Journal, p *journal.Message) { j.RecordFailed(p, 0) }, true, true},
+		{"refused", func(j *journal.Journal, p *journal.Message) { j.RecordNotExecuted(p, 0) }, true, false},
 	} {
 		dir := t.TempDir()
 		j := openJournalAt(t, dir)
@@ -591,7 +591,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		j.Attempt(m, journal.Attempt{At: time.Now()})
+		j.RecordAttempt(m, journal.Attempt{At: time.Now()})
 		c.write(j, m)
 		flushJournal(t, j)
 		n := &Node{clockStart: time.Now()}
@@ -616,8 +616,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	j.Attempt(late, journal.Attempt{At: time.Now().Add(-time.Minute)})
-	j.Attempt(forgotten, journal.Attempt{At: time.Now().Add(-2 * time.Minute)}) // its key is remembered for one
+	j.RecordAttempt(late, journal.Attempt{At: time.Now().Add(-time.Minute)})
+	j.RecordAttempt(forgotten, journal.Attempt{At: time.Now().Add(-2 * time.Minute)}) // its key is remembered for one
 	flushJournal(t, j)
 	startNode(t, r, state, memberJSON("e", p.Addr(), 7, "SERVING"))
 	testkit.Eventually(t, "the overdue one's end", func() bool { return r.noticeState("late") == "returned" })
--- a/internal/node/pending.go
+++ b/internal/node/pending.go
@@ -74,7 +74,7 @@
 // withhold is release while the journal can't be written: calls end as not sent, and notices go whose time has come.
 func (n *Node) withdrawPending() {
 	for _, c := range n.pending.calls {
-		n.journal.NotRun(c.message, c.n)
+		n.journal.RecordNotExecuted(c.message, c.n)
 		if n.audit != nil {
 			n.audit.record.callEnded(c.auditSeq, egress.Result{Outcome: choice.NotSent})
 		}
--- a/internal/partner/partner.go
+++ b/internal/partner/partner.go
@@ -155,10 +155,10 @@
 	p.warmUpStart, p.recentCalls = time.Now(), nil
 }
 
-func (p *Partner) emit(s Event) {
+func (p *Partner) emit(e Event) {
 	if p.cfg.OnEvent != nil {
-		s.Endpoint = p.cfg.ID
-		p.cfg.OnEvent(s)
+		e.Endpoint = p.cfg.ID
+		p.cfg.OnEvent(e)
 	}
 }
 
@@ -203,24 +203,24 @@
 		http.NotFound(w, r)
 		return
 	}
-	s := Event{RemoteAddr: r.RemoteAddr, MessageID: r.Header.Get("X-Trace-Id"), Header: r.Header}
+	e := Event{RemoteAddr: r.RemoteAddr, MessageID: r.Header.Get("X-Trace-Id"), Header: r.Header}
 	now := time.Now()
 	overloaded := false
-	s.Load, overloaded = p.recordLoad(now)
-	s.Type = CallReceived
-	p.emit(s)
+	e.Load, overloaded = p.recordLoad(now)
+	e.Type = CallReceived
+	p.emit(e)
 	if overloaded {
 		p.emit(Event{Type: Overloaded})
 	}
 	if p.refusing.Load() || p.isDown(now) {
-		s.Type = CallRefused
-		p.emit(s)
+		e.Type = CallRefused
+		p.emit(e)
 		http.Error(w, "shut", http.StatusServiceUnavailable)
 		return
 	}
 	if retryAfter, ok := p.takeToken(now); !ok {
-		s.Type = CallRefused
-		p.emit(s)
+		e.Type = CallRefused
+		p.emit(e)
 		w.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
 		http.Error(w, "above the limit", http.StatusTooManyRequests)
 		return
@@ -231,9 +231,9 @@
 		case <-r.Context().Done():
 		}
 	}
-	p.ledger.recordRun(s.MessageID) // it may have run, whether or not the answer arrives
-	s.Type = CallExecuted
-	p.emit(s)
+	p.ledger.recordRun(e.MessageID) // it may have run, whether or not the answer arrives
+	e.Type = CallExecuted
+	p.emit(e)
 }
 
 // warmth is the share of its rate that it takes at a moment. The lock is held.
