--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -62,16 +62,19 @@
 		InFlight       []Attempt `json:"Out"` // attempts that are out at the old process
 	}
 	Attempt struct {
-		ID string
-		N  int
+		MessageID string `json:"ID"`
+		Number    int    `json:"N"`
 	}
 	CallResult struct {
 		Attempt
-		Endpoint               string
-		Outcome                choice.Outcome
-		Wait, Took             time.Duration
-		NoSlot, Closed, Reused bool
-		Report                 choice.LimitReport
+		Endpoint    string
+		Outcome     choice.Outcome
+		RetryAfter  time.Duration `json:"Wait"`
+		Took        time.Duration
+		NoSlot      bool
+		MessageDone bool `json:"Closed"`
+		Reused      bool
+		Report      choice.LimitReport
 	}
 	Command struct {
 		Number   int
--- a/internal/node/auditlog.go
+++ b/internal/node/auditlog.go
@@ -19,7 +19,7 @@
 	metrics    *metrics.Set
 	now        func() time.Time
 	seq        int64
-	line       auditlog.Entry // of the step
+	entry      auditlog.Entry // of the step
 	lastReason *string        // that was last written
 }
 
@@ -44,7 +44,7 @@
 		return 0
 	}
 	a.seq++
-	a.line.Starts = append(a.line.Starts, auditlog.CallStart{Seq: a.seq, Endpoint: endpoint})
+	a.entry.Starts = append(a.entry.Starts, auditlog.CallStart{Seq: a.seq, Endpoint: endpoint})
 	return a.seq
 }
 
@@ -60,13 +60,13 @@
 		}
 		e.WriteStartMS, e.WriteTookMS = a.wallMillis(r.WriteStart), r.WriteEnd.Sub(r.WriteStart).Milliseconds()
 	}
-	a.line.Ends = append(a.line.Ends, e)
+	a.entry.Ends = append(a.entry.Ends, e)
 }
 
 // clock notes what a list server's clock showed in an exchange.
 func (a *auditLog) noteServerClock(e statusReportResult) {
 	if a != nil {
-		a.line.ClockSync = &auditlog.ClockSync{ServerMS: e.serverClockMS, EndedMS: a.wallMillis(e.ended), TookMS: e.took.Milliseconds()}
+		a.entry.ClockSync = &auditlog.ClockSync{ServerMS: e.serverClockMS, EndedMS: a.wallMillis(e.ended), TookMS: e.took.Milliseconds()}
 	}
 }
 
@@ -80,16 +80,16 @@
 		return
 	}
 	if reason != a.lastReason && reason != nil {
-		a.line.StaleReason = *reason
+		a.entry.StaleReason = *reason
 	}
-	l := a.line
+	l := a.entry
 	if len(l.Starts) == 0 && len(l.Ends) == 0 && l.ClockSync == nil && l.StaleReason == "" {
 		return
 	}
 	if len(l.Starts) > 0 {
 		l.Revision = revision
 	}
-	if a.lastReason, a.line = reason, (auditlog.Entry{}); a.file.Write(l) != nil {
+	if a.lastReason, a.entry = reason, (auditlog.Entry{}); a.file.Write(l) != nil {
 		a.metrics.AuditRecordsLost.Add(1)
 	}
 }
--- a/internal/node/clockstep.go
+++ b/internal/node/clockstep.go
@@ -12,13 +12,13 @@
 // wallClock notices when the wall clock is set while the process runs. The journal's times outlast the process, and so
 // can't be on the monotonic clock.
 type wallClock struct {
-	began  time.Time     // with both readings
-	offset time.Duration // of the wall clock since then, as far as the journal knows
+	startedAt     time.Time     // with both readings
+	appliedOffset time.Duration // of the wall clock since then, as far as the journal knows
 }
 
 // stepped is how far the wall clock has been set since the journal's times were written, 0 for not to speak of.
 func (w *wallClock) stepped(now time.Time) time.Duration {
-	by := now.Round(0).Sub(w.began.Round(0)) - now.Sub(w.began) - w.offset
+	by := now.Round(0).Sub(w.startedAt.Round(0)) - now.Sub(w.startedAt) - w.appliedOffset
 	if by.Abs() < minClockStep {
 		return 0
 	}
@@ -35,7 +35,7 @@
 	err := n.journal.Restamp(func(t time.Time) time.Time { return now.Add(n.clockAt(t) - n.clockAt(now)) })
 	n.log.Warn("clock_stepped", "by", by, "messages", len(n.messages), "err", err)
 	if err == nil {
-		n.wallClock.offset += by
+		n.wallClock.appliedOffset += by
 	}
 }
 
--- a/internal/node/clockstep_test.go
+++ b/internal/node/clockstep_test.go
@@ -16,7 +16,7 @@
 		state, began := t.TempDir(), time.Now()
 		n := &Node{
 			journal: openJournalAt(t, state), messages: map[string]*journal.Message{}, knownDests: map[int]bool{7: true}, clockStart: began,
-			wallClock: wallClock{began: began}, log: slog.New(slog.DiscardHandler),
+			wallClock: wallClock{startedAt: began}, log: slog.New(slog.DiscardHandler),
 		}
 		if _, ok := n.accept(submission{Request: ingress.Request{ID: "a", Tenant: -1, Dest: 7, TTL: 50 * time.Second, ReceivedAt: began}}); !ok {
 			t.Fatal("not taken on")
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -42,7 +42,7 @@
 		}
 		if e == nil || e.Addr != m.Addr {
 			n.retireEndpoint(e)
-			e = &egress.Endpoint{ID: m.ID, Addr: m.Addr, Zone: entries[i].Zone, Cooldown: n.endpointWait(entries[i])}
+			e = &egress.Endpoint{ID: m.ID, Addr: m.Addr, Zone: entries[i].Zone, Cooldown: n.endpointCooldown(entries[i])}
 			e.Disabled.Store(n.overrides.disabled[m.ID])
 			n.endpoints[m.ID] = e
 		}
@@ -64,12 +64,12 @@
 }
 
 // waitOf is where the waits are kept that bind an endpoint: its own if it is a route apart.
-func (n *Node) endpointWait(e choice.Entry) *egress.Cooldown {
+func (n *Node) endpointCooldown(e choice.Entry) *egress.Cooldown {
 	if kinds := n.cfg.Settings.Kinds; e.Kind >= 0 && e.Kind < len(kinds) && kinds[e.Kind].SeparateRoutes {
 		return new(egress.Cooldown)
 	}
-	if n.destWaits[e.Dest] == nil {
-		n.destWaits[e.Dest] = new(egress.Cooldown)
+	if n.destCooldowns[e.Dest] == nil {
+		n.destCooldowns[e.Dest] = new(egress.Cooldown)
 	}
-	return n.destWaits[e.Dest]
+	return n.destCooldowns[e.Dest]
 }
--- a/internal/node/estimates.go
+++ b/internal/node/estimates.go
@@ -48,8 +48,8 @@
 }
 
 // read returns what was written and how long ago; ok is false where there is nothing that can be used.
-func (l *estimateStore) read(now time.Time) (e choice.MemoryRestored, ok bool, err error) {
-	raw, err := os.ReadFile(l.path)
+func (s *estimateStore) read(now time.Time) (e choice.MemoryRestored, ok bool, err error) {
+	raw, err := os.ReadFile(s.path)
 	if errors.Is(err, os.ErrNotExist) {
 		return e, false, nil
 	}
@@ -71,8 +71,8 @@
 }
 
 // write replaces the file. What is too large for its room is not kept.
-func (l *estimateStore) write(m choice.Memory, now time.Time) error {
-	l.dirty, l.nextWrite = false, now.Add(estimatesWriteInterval)
+func (s *estimateStore) write(m choice.Memory, now time.Time) error {
+	s.dirty, s.nextWrite = false, now.Add(estimatesWriteInterval)
 	memory, err := json.Marshal(m)
 	if err != nil {
 		return fmt.Errorf("learnt: %w", err)
@@ -81,10 +81,10 @@
 	if err != nil {
 		return fmt.Errorf("learnt: %w", err)
 	}
-	if int64(len(raw)) > l.maxBytes {
-		return fmt.Errorf("learnt: %d bytes, and room for %d", len(raw), l.maxBytes)
+	if int64(len(raw)) > s.maxBytes {
+		return fmt.Errorf("learnt: %d bytes, and room for %d", len(raw), s.maxBytes)
 	}
-	return atomicfile.Replace(l.path, raw)
+	return atomicfile.Replace(s.path, raw)
 }
 
 // keepLearnt writes it down if it is due.
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -56,7 +56,7 @@
 		state.Members = append(state.Members, n.listMembers[id])
 	}
 	for a := range n.inFlight {
-		state.InFlight = append(state.InFlight, handover.Attempt{ID: a.id, N: a.n})
+		state.InFlight = append(state.InFlight, handover.Attempt{MessageID: a.messageID, Number: a.attempt})
 	}
 	return state, nil
 }
@@ -136,9 +136,9 @@
 const startupRetryTimeout = 20 * time.Second
 
 // patiently does what a start needs, again as long as it fails for a reason that may pass.
-func (n *Node) retryStartup(ctx context.Context, do func() error) error {
-	failed := func(err error) { n.log.Warn("start_waits", "err", err) }
-	return transient.Retry(ctx, startupRetryTimeout, failed, do)
+func (n *Node) retryStartup(ctx context.Context, operation func() error) error {
+	onFailure := func(err error) { n.log.Warn("start_waits", "err", err) }
+	return transient.Retry(ctx, startupRetryTimeout, onFailure, operation)
 }
 
 // replayed makes the events of what the journal says is still owed, in the order in which it was taken on.
@@ -152,16 +152,16 @@
 		}
 	}
 	for _, e := range unreported {
-		n.inFlight[e.attemptID] = inFlightCall{message: n.journaledMessage(e.id), endpoint: e.endpoint}
+		n.inFlight[e.attemptID] = inFlightCall{message: n.journaledMessage(e.messageID), endpoint: e.endpoint}
 		events = append(events, n.finishCall(e))
 	}
 	carried := map[string]bool{}
 	if ownership.State != nil {
 		for _, name := range ownership.State.InFlight {
-			a := attemptID{name.ID, name.N}
-			n.inFlight[a] = inFlightCall{message: n.journaledMessage(a.id), cancel: func() {
+			a := attemptID{name.MessageID, name.Number}
+			n.inFlight[a] = inFlightCall{message: n.journaledMessage(a.messageID), cancel: func() {
 				if err := ownership.Predecessor.Send(handover.Frame{Cancel: &name}, -1); err != nil {
-					n.log.Debug("cancel_not_passed_on", "msg_id", name.ID, "err", err)
+					n.log.Debug("cancel_not_passed_on", "msg_id", name.MessageID, "err", err)
 				}
 			}}
 			n.remoteCalls++
@@ -219,7 +219,7 @@
 				n.log.Error("client_not_adopted", "err", err)
 				break
 			}
-			n.clients.Adopt(nc, *f.Client)
+			n.ingress.Adopt(nc, *f.Client)
 		case f.CallResult != nil:
 			n.enqueue(ctx, *f.CallResult)
 		case f.Command != nil:
@@ -252,8 +252,8 @@
 	if endpoint == nil {
 		endpoint = &egress.Endpoint{ID: e.Endpoint, Cooldown: new(egress.Cooldown)}
 	}
-	return callResult{attemptID{e.ID, e.N}, endpoint, egress.Result{
-		Outcome: e.Outcome, RetryAfter: e.Wait, NoSlot: e.NoSlot, MessageDone: e.Closed, Reused: e.Reused, Report: e.Report,
+	return callResult{attemptID{e.MessageID, e.Number}, endpoint, egress.Result{
+		Outcome: e.Outcome, RetryAfter: e.RetryAfter, NoSlot: e.NoSlot, MessageDone: e.MessageDone, Reused: e.Reused, Report: e.Report,
 	}, e.Took}
 }
 
@@ -261,7 +261,7 @@
 func (n *Node) failRemoteCalls() (events []choice.Event) {
 	for a, o := range n.inFlight {
 		if o.endpoint == nil {
-			events = append(events, n.finishCall(n.remoteResult(handover.CallResult{Attempt: handover.Attempt{ID: a.id, N: a.n}, Outcome: choice.ConnReset})))
+			events = append(events, n.finishCall(n.remoteResult(handover.CallResult{Attempt: handover.Attempt{MessageID: a.messageID, Number: a.attempt}, Outcome: choice.ConnReset})))
 		}
 	}
 	return events
--- a/internal/node/listcache.go
+++ b/internal/node/listcache.go
@@ -67,9 +67,9 @@
 	}
 	// The whole fleet may be starting. Where list servers answer, their lists come to one node after the other; so do the
 	// kept ones come into force.
-	turn := n.newTurn()
+	pacer := n.newPacer()
 	n.startup = coldstart.New(coldstart.Config{
-		CachedAfter: n.cfg.Registry.KeptListWait.Duration() + turn.InitialDelay(), CachedMaxAge: n.cfg.Registry.KeptListMaxAge.Duration(), QueryCycle: turn.Cycle(),
+		CachedAfter: n.cfg.Registry.KeptListWait.Duration() + pacer.InitialDelay(), CachedMaxAge: n.cfg.Registry.KeptListMaxAge.Duration(), QueryCycle: pacer.Cycle(),
 	}, n.now(), cached)
 	if n.startup.CachedListDue(n.now()) {
 		n.listUnconfirmed = true
--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -108,7 +108,7 @@
 	n.estimates.dirty = true
 	n.metrics.ObserveAttempt(int(e.Outcome), e.took)
 	if n.log.Enabled(context.Background(), slog.LevelDebug) {
-		n.log.Debug("attempt_ended", "msg_id", e.id, "dest", m.Dest, "endpoint", e.endpoint.ID, "attempt", e.n,
+		n.log.Debug("attempt_ended", "msg_id", e.messageID, "dest", m.Dest, "endpoint", e.endpoint.ID, "attempt", e.attempt,
 			"outcome", metrics.OutcomeLabels[e.Outcome], "took", e.took)
 	}
 	if delete(n.inFlight, e.attemptID); o.endpoint == nil {
@@ -117,9 +117,9 @@
 	switch e.Outcome {
 	case choice.Success:
 	case choice.Rejected, choice.ConnectFailed, choice.NotSent:
-		n.journal.RecordNotExecuted(m, e.n)
+		n.journal.RecordNotExecuted(m, e.attempt)
 	default:
-		n.journal.RecordFailed(m, e.n)
+		n.journal.RecordFailed(m, e.attempt)
 	}
 	if e.MessageDone && m.Ended == nil {
 		if e.Outcome == choice.Success {
@@ -134,7 +134,7 @@
 		e.endpoint.Cooldown.Extend(time.Now().Add(e.RetryAfter))
 	}
 	return choice.AttemptEnded{
-		ID: e.id, Attempt: e.n, Endpoint: e.endpoint.ID, Outcome: e.Outcome, Took: e.took, MessageDone: e.MessageDone,
+		ID: e.messageID, Attempt: e.attempt, Endpoint: e.endpoint.ID, Outcome: e.Outcome, Took: e.took, MessageDone: e.MessageDone,
 		RetryAfter: e.RetryAfter, NoSlot: e.NoSlot, ReusedConn: e.Reused, Report: e.Report,
 	}
 }
@@ -174,14 +174,14 @@
 		e = &egress.Endpoint{ID: a.Endpoint, Cooldown: new(egress.Cooldown)}
 		e.Withdrawn.Store(true)
 	}
-	name, now := attemptID{a.ID, len(p.Attempts)}, time.Now()
-	sent := journal.Attempt{At: now, Zone: e.Zone}
+	id, now := attemptID{a.ID, len(p.Attempts)}, time.Now()
+	record := journal.Attempt{At: now, Zone: e.Zone}
 	if n.audit != nil {
-		sent.ListRevision, sent.Incarnation = n.listRevision, n.audit.incarnation
+		record.ListRevision, record.Incarnation = n.listRevision, n.audit.incarnation
 	}
-	n.journal.RecordAttempt(p, sent)
+	n.journal.RecordAttempt(p, record)
 	n.metrics.ObserveFirstCall(time.Since(n.processStart))
-	if name.n == 0 && !p.ReceivedAt.IsZero() {
+	if id.attempt == 0 && !p.ReceivedAt.IsZero() {
 		n.metrics.ObserveFirstAttempt(p.Dest, now.Sub(p.ReceivedAt))
 	}
 	c := egress.Call{ID: p.ID, Key: p.Key, Body: p.Body, Endpoint: e, Deadline: n.wallTime(a.AbandonAt)}
@@ -191,9 +191,9 @@
 	if n.audit != nil && n.cfg.Audit.MarkCalls {
 		c.DecisionBasis = n.listVersion()
 	}
-	var act int64
+	var seq int64
 	if n.audit != nil {
-		act = n.audit.record.callStarted(e.ID)
+		seq = n.audit.record.callStarted(e.ID)
 	}
-	n.pending.calls = append(n.pending.calls, pendingCall{name, p, c, n.pool, act})
+	n.pending.calls = append(n.pending.calls, pendingCall{id, p, c, n.pool, seq})
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -45,8 +45,8 @@
 
 // attempt names a call that is out.
 type attemptID struct {
-	id string
-	n  int
+	messageID string
+	attempt   int
 }
 
 // outCall is a call that is out.
@@ -64,7 +64,7 @@
 	sender            *choice.Sender
 	journal           *journal.Journal
 	pool              *egress.Pool
-	client            *http.Client
+	httpClient        *http.Client
 	Level             *slog.LevelVar             // of log, for operators to change; nil if they may not
 	discovery         *listwatch.Addresses       // shared
 	peers             *peers                     // nil if the fleet has no datagrams
@@ -78,7 +78,7 @@
 	floor             listwatch.Floor
 	ownershipLock     *os.File // this process owns the node while it has it
 	overrides         *operatorOverrides
-	clients           *ingress.Server // shared
+	ingress           *ingress.Server // shared
 	metrics           *metrics.Set    // shared
 	serving           atomic.Bool     // shared: the loop runs
 	handedOver        atomic.Bool     // shared: a successor owns the node
@@ -102,7 +102,7 @@
 	startupWait       atomic.Pointer[waitReason] // shared: nil once there is a list
 	// The list that is known comes from before the start, and no server has confirmed it yet.
 	listUnconfirmed bool
-	destWaits       map[int]*egress.Cooldown // of destinations whose endpoints share them
+	destCooldowns   map[int]*egress.Cooldown // of destinations whose endpoints share them
 	noticeQueue     []outbox.Notice          // not yet handed to the reporter
 	knownEndpoints  map[string]bool          // endpoints that a list has ever named
 	knownDests      map[int]bool             // all that a list has ever named
@@ -152,15 +152,15 @@
 	}
 	n := &Node{
 		cfg: cfg, log: log, sender: choice.New(cfg.Settings, seed(cfg.Seed)), clockStart: time.Now(), processStart: time.Now(),
-		metrics:   metrics.New(cfg.Names.Classes),
-		client:    newListClient(cfg),
-		discovery: listwatch.NewAddresses(cfg.DiscoveryAddrs()),
-		events:    make(chan any, eventQueueSize), notices: make(chan []outbox.Notice), handoverRequests: make(chan *handover.Link),
+		metrics:    metrics.New(cfg.Names.Classes),
+		httpClient: newListClient(cfg),
+		discovery:  listwatch.NewAddresses(cfg.DiscoveryAddrs()),
+		events:     make(chan any, eventQueueSize), notices: make(chan []outbox.Notice), handoverRequests: make(chan *handover.Link),
 		recheckList: make(chan struct{}, 1),
 		messages:    map[string]*journal.Message{}, inFlight: map[attemptID]inFlightCall{}, endpoints: map[string]*egress.Endpoint{},
-		destWaits: map[int]*egress.Cooldown{}, knownDests: map[int]bool{}, knownEndpoints: map[string]bool{},
+		destCooldowns: map[int]*egress.Cooldown{}, knownDests: map[int]bool{}, knownEndpoints: map[string]bool{},
 	}
-	n.wallClock.began = n.processStart
+	n.wallClock.startedAt = n.processStart
 	n.metrics.ListServiceEnabled, n.metrics.MembershipEnabled = cfg.Registry != nil, cfg.Membership != nil
 	return n
 }
@@ -196,11 +196,11 @@
 	// The parts outlive ctx by the time that it takes to leave.
 	processCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	var background sync.WaitGroup
-	n.clients = ingress.NewServer(ln, n.cfg.Limits.Sockets/3, n.cfg.Names, func(q ingress.Request) ingress.Answer { return n.submit(processCtx, q) })
-	n.clients.SetLogger(n.log)
-	n.clients.SetNotReadyReason(n.notReadyReason)
-	n.clients.Pause()
-	background.Go(func() { n.clients.Serve(processCtx) })
+	n.ingress = ingress.NewServer(ln, n.cfg.Limits.Sockets/3, n.cfg.Names, func(q ingress.Request) ingress.Answer { return n.submit(processCtx, q) })
+	n.ingress.SetLogger(n.log)
+	n.ingress.SetNotReadyReason(n.notReadyReason)
+	n.ingress.Pause()
+	background.Go(func() { n.ingress.Serve(processCtx) })
 	exitDue := make(chan struct{})
 	background.Go(func() {
 		defer close(exitDue)
@@ -211,7 +211,7 @@
 		backoff.Sleep(processCtx, stopSendingAfter)
 		n.enqueue(processCtx, choice.ShuttingDown{})
 		backoff.Sleep(processCtx, exitAfter-stopSendingAfter)
-		n.clients.Close() // those inside a request get their answers from the loop, which still runs
+		n.ingress.Close() // those inside a request get their answers from the loop, which still runs
 	})
 	defer background.Wait()
 	defer cancel()
@@ -234,7 +234,7 @@
 			return err
 		}
 		n.log.Info("handover_done", "out", len(n.inFlight))
-		n.clients.HandOver(func(nc net.Conn, m ingress.ConnHandover) error { return moveClient(successor, nc, m) })
+		n.ingress.HandOver(func(nc net.Conn, m ingress.ConnHandover) error { return moveClient(successor, nc, m) })
 		n.handedOver.Store(true)
 		var stopped bool
 		unreported, stopped = n.relay(ctx, successor, exitDue)
@@ -273,7 +273,7 @@
 		if n.cfg.Registry != nil {
 			policy = outbox.ServiceRetryPolicy()
 		}
-		outbox.Run(ownerCtx, n.log, n.client, n.discovery, policy, n.notices, func(b []outbox.Notice) { n.enqueue(ownerCtx, acceptedNotices(b)) })
+		outbox.Run(ownerCtx, n.log, n.httpClient, n.discovery, policy, n.notices, func(b []outbox.Notice) { n.enqueue(ownerCtx, acceptedNotices(b)) })
 	})
 	if ln, err := handover.Listen(n.cfg.StateDir); err != nil {
 		n.log.Error("handover_unavailable", "err", err)
@@ -293,16 +293,16 @@
 		background.Go(func() { n.peers.receive(ownerCtx, n.log, &n.metrics.UnknownSenders, n.offer) })
 		defer n.peers.close()
 	}
-	n.clients.Drain(n.overrides.drained)
-	n.clients.Resume()
+	n.ingress.Drain(n.overrides.drained)
+	n.ingress.Resume()
 	n.serving.Store(true)
 	successor = n.loop(processCtx, exitDue)
 	n.serving.Store(false)
 	if successor != nil {
-		n.clients.Pause()
+		n.ingress.Pause()
 		n.openMessages = 0 // the successor's figure now
 		n.publishGauges()
-		n.client.CloseIdleConnections()
+		n.httpClient.CloseIdleConnections()
 		return successor, n.journal.Close()
 	}
 
@@ -315,7 +315,7 @@
 	endOwnership()
 	n.calls.Wait()
 	n.pool.Close()
-	n.client.CloseIdleConnections()
+	n.httpClient.CloseIdleConnections()
 	return nil, n.journal.Close()
 }
 
@@ -449,7 +449,7 @@
 			}
 		case revisionDatagram:
 			if n.staleness != nil {
-				n.staleness.core.Receive(n.now(), e.from, e.payload)
+				n.staleness.detector.Receive(n.now(), e.from, e.payload)
 			}
 		case membersQuery:
 			e.reply <- n.membersView()
@@ -511,7 +511,7 @@
 	if o.endpoint == "" {
 		err := n.overrides.setDrained(o.on)
 		if err == nil {
-			n.clients.Drain(o.on)
+			n.ingress.Drain(o.on)
 		}
 		done(err)
 		return nil
@@ -582,8 +582,8 @@
 	} else {
 		n.performPending(ctx)
 	}
-	for _, name := range n.cancelled {
-		if c, ok := n.inFlight[name]; ok {
+	for _, id := range n.cancelled {
+		if c, ok := n.inFlight[id]; ok {
 			c.cancel()
 		}
 	}
@@ -595,12 +595,12 @@
 
 // publish brings the gauges up to date for readers that must not wait for the loop.
 func (n *Node) publishGauges() {
-	size, avoided := n.sender.EndpointCounts()
+	size, ejected := n.sender.EndpointCounts()
 	n.metrics.Active.Store(int64(n.openMessages))
 	n.metrics.ListRevision.Store(n.listRevision)
 	if n.membership != nil {
 		n.metrics.PublishMembership(n.membership.core, n.now())
 	}
 	n.metrics.PoolSize.Store(int64(size))
-	n.metrics.PoolEjected.Store(int64(avoided))
+	n.metrics.PoolEjected.Store(int64(ejected))
 }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -25,9 +25,9 @@
 
 // peers carries the module's notes between the nodes of a fleet, as datagrams: late, or not at all.
 type peers struct {
-	conn    *net.UDPConn
-	addrs   []netip.AddrPort
-	numbers map[netip.AddrPort]int
+	conn        *net.UDPConn
+	addrs       []netip.AddrPort
+	nodeNumbers map[netip.AddrPort]int
 }
 
 // listenToPeers opens the socket for notes. Without an address for it, or without other nodes, there are none.
@@ -35,14 +35,14 @@
 	if cfg.PeerListen == "" || !cfg.Settings.PeerDatagrams || len(cfg.Peers) < 2 {
 		return nil, nil
 	}
-	p := &peers{numbers: map[netip.AddrPort]int{}}
+	p := &peers{nodeNumbers: map[netip.AddrPort]int{}}
 	for i, text := range cfg.Peers {
 		addr, err := netip.ParseAddrPort(text)
 		if err != nil {
 			return nil, err
 		}
 		p.addrs = append(p.addrs, addr)
-		p.numbers[addr] = i
+		p.nodeNumbers[addr] = i
 	}
 	at, err := netip.ParseAddrPort(cfg.PeerListen)
 	if err != nil {
@@ -84,7 +84,7 @@
 			}
 			continue
 		}
-		number, ok := p.numbers[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
+		number, ok := p.nodeNumbers[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 		if !ok || n > maxDatagram {
 			unknownSenders.Add(1)
 			continue // nobody of the fleet
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -28,11 +28,11 @@
 		all = append(all, &peers{conn: conn})
 	}
 	for _, p := range all {
-		p.numbers = map[netip.AddrPort]int{}
+		p.nodeNumbers = map[netip.AddrPort]int{}
 		for i, q := range all[:2] {
 			addr := q.conn.LocalAddr().(*net.UDPAddr).AddrPort()
 			p.addrs = append(p.addrs, addr)
-			p.numbers[addr] = i
+			p.nodeNumbers[addr] = i
 		}
 	}
 	return all[0], all[1], all[2]
--- a/internal/node/pending.go
+++ b/internal/node/pending.go
@@ -74,12 +74,12 @@
 // withhold is release while the journal can't be written: calls end as not sent, and notices go whose time has come.
 func (n *Node) withdrawPending() {
 	for _, c := range n.pending.calls {
-		n.journal.RecordNotExecuted(c.message, c.n)
+		n.journal.RecordNotExecuted(c.message, c.attempt)
 		if n.audit != nil {
 			n.audit.record.callEnded(c.auditSeq, egress.Result{Outcome: choice.NotSent})
 		}
-		n.withdrawnCalls = append(n.withdrawnCalls, choice.AttemptEnded{ID: c.id, Attempt: c.n, Endpoint: c.call.Endpoint.ID, Outcome: choice.NotSent})
-		n.log.Debug("call_withdrawn", "msg_id", c.id, "attempt", c.n, "endpoint", c.call.Endpoint.ID)
+		n.withdrawnCalls = append(n.withdrawnCalls, choice.AttemptEnded{ID: c.messageID, Attempt: c.attempt, Endpoint: c.call.Endpoint.ID, Outcome: choice.NotSent})
+		n.log.Debug("call_withdrawn", "msg_id", c.messageID, "attempt", c.attempt, "endpoint", c.call.Endpoint.ID)
 	}
 	n.pending.calls = nil
 	now := time.Now()
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -57,8 +57,8 @@
 				e.reply <- ingress.Answer{HandedOver: true}
 			case callResult:
 				if l.Send(handover.Frame{CallResult: &handover.CallResult{
-					Attempt: handover.Attempt{ID: e.id, N: e.n}, Endpoint: e.endpoint.ID, Outcome: e.Outcome, Wait: e.RetryAfter, Took: e.took,
-					NoSlot: e.NoSlot, Closed: e.MessageDone, Reused: e.Reused, Report: e.Report,
+					Attempt: handover.Attempt{MessageID: e.messageID, Number: e.attempt}, Endpoint: e.endpoint.ID, Outcome: e.Outcome, RetryAfter: e.RetryAfter, Took: e.took,
+					NoSlot: e.NoSlot, MessageDone: e.MessageDone, Reused: e.Reused, Report: e.Report,
 				}}, -1) != nil {
 					unreported = append(unreported, e)
 				} else {
@@ -73,7 +73,7 @@
 				}
 			}
 		case c := <-cancels:
-			if o, ok := n.inFlight[attemptID{c.ID, c.N}]; ok {
+			if o, ok := n.inFlight[attemptID{c.MessageID, c.Number}]; ok {
 				o.cancel()
 			}
 		case d := <-results:
@@ -99,7 +99,7 @@
 			}
 			exitDue = nil
 		case <-tick.C:
-			if ctx.Err() != nil && len(n.inFlight) == 0 && (exitDue == nil || n.clients.ConnCount() == 0) {
+			if ctx.Err() != nil && len(n.inFlight) == 0 && (exitDue == nil || n.ingress.ConnCount() == 0) {
 				return nil, true
 			}
 		}
--- a/internal/node/staleness.go
+++ b/internal/node/staleness.go
@@ -11,7 +11,7 @@
 
 // ward is the node's side of straggler: the loop owns it, and hands it datagrams and the time.
 type stalenessGuard struct {
-	core      *staleness.Detector
+	detector  *staleness.Detector
 	heartbeat time.Duration // of list servers; 0 where they have none
 }
 
@@ -29,19 +29,19 @@
 	if n.audit == nil || !n.cfg.Audit.Fencing || n.peers == nil {
 		return nil
 	}
-	return &stalenessGuard{core: staleness.New(staleness.Config{
+	return &stalenessGuard{detector: staleness.New(staleness.Config{
 		Self: n.cfg.Settings.Number, FleetSize: len(n.peers.addrs), Seed: rand.Uint64(),
 	}, n.now(), n.listRevision), heartbeat: n.cfg.Registry.HeartbeatInterval.Duration()}
 }
 
-func (g *stalenessGuard) fenced() bool { return g != nil && g.core.Fenced() }
+func (g *stalenessGuard) fenced() bool { return g != nil && g.detector.Fenced() }
 
 // wait is how long it is until there is something to do.
 func (g *stalenessGuard) untilDue(now time.Duration) time.Duration {
 	if g == nil {
 		return time.Hour
 	}
-	return max(g.core.WakeAt()-now, 0)
+	return max(g.detector.WakeAt()-now, 0)
 }
 
 // shutWait is what clients are told to wait while the node is shut out, and up to as much more.
@@ -54,13 +54,13 @@
 		return
 	}
 	now := n.now()
-	guard.core.SetRevision(now, n.listRevision)
-	guard.core.SetFloor(n.floor.Revision)
+	guard.detector.SetRevision(now, n.listRevision)
+	guard.detector.SetFloor(n.floor.Revision)
 	if guard.heartbeat > 0 {
-		guard.core.SetServerSilent(now, now-n.clockAt(n.metrics.LastListActivity()) > 3*guard.heartbeat)
+		guard.detector.SetServerSilent(now, now-n.clockAt(n.metrics.LastListActivity()) > 3*guard.heartbeat)
 	}
-	result := guard.core.Step(now)
-	for _, d := range guard.core.Take() {
+	result := guard.detector.Step(now)
+	for _, d := range guard.detector.Take() {
 		n.peers.send(choice.SendDatagram{To: d.To, Payload: d.Payload}, n.log)
 	}
 	n.metrics.PeersAheadBy.Store(max(result.NewerRevision-n.listRevision, 0))
@@ -72,7 +72,7 @@
 	if !result.FenceChanged {
 		return
 	}
-	if !guard.core.Fenced() {
+	if !guard.detector.Fenced() {
 		if !n.belowFloor {
 			n.fenceReason.Store(nil)
 		}
@@ -96,13 +96,13 @@
 }
 
 // floored takes what the list service asks of every node. A node that is not fit acts no more until the floor is another.
-func (n *Node) applyFloor(told *listwatch.Floor) {
+func (n *Node) applyFloor(announced *listwatch.Floor) {
 	if n.audit == nil {
 		return
 	}
 	var f listwatch.Floor
-	if told != nil {
-		f = *told
+	if announced != nil {
+		f = *announced
 	}
 	if f == n.floor {
 		return
--- a/internal/node/upgrade_test.go
+++ b/internal/node/upgrade_test.go
@@ -26,12 +26,12 @@
 
 // platform holds the clients' socket, as it does in service, and starts processes of one node on it.
 type platform struct {
-	t         *testing.T
-	discovery *fakeDiscovery
-	state     string
-	known     []string
-	listener  *net.TCPListener
-	passed    *os.File
+	t          *testing.T
+	discovery  *fakeDiscovery
+	state      string
+	known      []string
+	listener   *net.TCPListener
+	socketFile *os.File
 }
 
 func newPlatform(t *testing.T, r *fakeDiscovery, known ...string) *platform {
@@ -41,10 +41,10 @@
 		t.Fatal(err)
 	}
 	p := &platform{t: t, discovery: r, state: t.TempDir(), known: known, listener: ln.(*net.TCPListener)}
-	if p.passed, err = p.listener.File(); err != nil {
+	if p.socketFile, err = p.listener.File(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { errors.Join(p.passed.Close(), ln.Close()) })
+	t.Cleanup(func() { errors.Join(p.socketFile.Close(), ln.Close()) })
 	return p
 }
 
@@ -65,7 +65,7 @@
 	cmd.Env = append(append(os.Environ(), "CORALYARD_TEST_CHILD=upgrade", "ROUTER_STATE="+p.state,
 		"ROUTER_CONFIG="+writeConfig(p.t, p.addr(), p.discovery.addr(), p.known...)), env...)
 	cmd.Stderr = os.Stderr
-	cmd.ExtraFiles = []*os.File{p.passed}
+	cmd.ExtraFiles = []*os.File{p.socketFile}
 	out, err := cmd.StdoutPipe()
 	if err != nil {
 		p.t.Fatal(err)
@@ -407,15 +407,15 @@
 
 // Another process that has the socket may make it a blocking one at any moment: an accept still heeds a pause and a
 // close, and closing it here does not end it there.
-func TestPassedListenerObeysDeadlineAndClose(t *testing.T) {
+func TestInheritedListenerObeysDeadlineAndClose(t *testing.T) {
 	node := newPlatform(t, newFakeDiscovery(t))
-	number, err := syscall.Dup(int(node.passed.Fd()))
+	number, err := syscall.Dup(int(node.socketFile.Fd()))
 	if err != nil {
 		t.Fatal(err)
 	}
-	meddle := func() { // as the start of another process may
+	setBlocking := func() { // as the start of another process may
 		t.Helper()
-		if err := syscall.SetNonblock(int(node.passed.Fd()), false); err != nil {
+		if err := syscall.SetNonblock(int(node.socketFile.Fd()), false); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -433,7 +433,7 @@
 	}
 	for range 2 {
 		dial()
-		meddle()
+		setBlocking()
 		nc, err := ln.Accept()
 		if err != nil {
 			t.Fatal(err)
@@ -448,7 +448,7 @@
 		}()
 		time.Sleep(50 * time.Millisecond) // lets it wait; were it too little, the test would only see less
 	}
-	meddle()
+	setBlocking()
 	accept()
 	if err := ln.(interface{ SetDeadline(time.Time) error }).SetDeadline(time.Unix(1, 0)); err != nil {
 		t.Fatal(err)
--- a/internal/outbox/outbox_test.go
+++ b/internal/outbox/outbox_test.go
@@ -37,14 +37,14 @@
 	}
 	notices := make(chan []Notice, 1)
 	notices <- batch
-	settled := 0
+	accepted := 0
 	Run(ctx, slog.New(slog.DiscardHandler), srv.Client(), listwatch.NewAddresses([]string{srv.Listener.Addr().String()}), AgentRetryPolicy(), notices, func(done []Notice) {
-		if settled += len(done); settled >= count {
+		if accepted += len(done); accepted >= count {
 			cancel()
 		}
 	})
-	if settled != count {
-		t.Errorf("%d of %d notices settled", settled, count)
+	if accepted != count {
+		t.Errorf("%d of %d notices settled", accepted, count)
 	}
 	close(sizes)
 	for n := range sizes {
@@ -67,12 +67,12 @@
 	defer cancel()
 	notices := make(chan []Notice, 1)
 	notices <- []Notice{NewNotice(&journal.Message{ID: "a", Ended: &journal.Ending{}})}
-	settled := 0
+	accepted := 0
 	Run(ctx, slog.New(slog.DiscardHandler), srv.Client(), listwatch.NewAddresses([]string{srv.Listener.Addr().String()}), ServiceRetryPolicy(), notices, func(done []Notice) {
-		settled += len(done)
+		accepted += len(done)
 		cancel()
 	})
-	if settled != 1 || len(posts) > 2 {
-		t.Errorf("%d settled after %d posts", settled, len(posts))
+	if accepted != 1 || len(posts) > 2 {
+		t.Errorf("%d settled after %d posts", accepted, len(posts))
 	}
 }
