--- a/choice/choice.go
+++ b/choice/choice.go
@@ -106,8 +106,8 @@
 			s.handleMemberChanged(e)
 		case MemoryRestored:
 			s.handleMemoryRestored(e)
-		case Suspended:
-			s.suspended = e.On
+		case SendsPaused:
+			s.sendsPaused = e.On
 		}
 	}
 	for _, e := range events {
@@ -138,7 +138,7 @@
 		s.emit(RequestList{})
 	}
 	s.expireMessages()
-	if !s.shuttingDown && !s.suspended { // what is held goes on in the next life, or once it is known what holds
+	if !s.shuttingDown && !s.sendsPaused { // what is held goes on in the next life, or once it is known what holds
 		s.sendWaiting()
 		if s.sharesLimits() {
 			if s.requestGrants(); s.issueGrants() {
@@ -617,9 +617,9 @@
 			if slow {
 				slowCalls++
 			}
-			patience := max(slowCallFactor*c.endpoint.smoothedLatency, seconds(minSlowCallTime))
-			patience *= math.Pow(timeoutFailureFactor, float64(c.endpoint.route.failures))
-			overdue := seconds(s.now-c.sentAt) / patience
+			slowThreshold := max(slowCallFactor*c.endpoint.smoothedLatency, seconds(minSlowCallTime))
+			slowThreshold *= math.Pow(timeoutFailureFactor, float64(c.endpoint.route.failures))
+			overdue := seconds(s.now-c.sentAt) / slowThreshold
 			if (c.repeatable && overdue > 1) || (!c.repeatable && slow && victim == nil) {
 				if victim == nil || (c.repeatable && (!victim.repeatable || overdue > mostOverdue)) {
 					victim, mostOverdue = c, overdue
@@ -717,9 +717,9 @@
 	var odds []float64
 	for _, e := range m.dest.endpoints {
 		if check(m, e) {
-			if shunned := s.now < e.ejectedUntil; shunned && len(candidates) > 0 && s.now >= candidates[0].ejectedUntil {
+			if ejected := s.now < e.ejectedUntil; ejected && len(candidates) > 0 && s.now >= candidates[0].ejectedUntil {
 				continue
-			} else if !shunned && len(candidates) > 0 && s.now < candidates[0].ejectedUntil {
+			} else if !ejected && len(candidates) > 0 && s.now < candidates[0].ejectedUntil {
 				candidates, odds, total = nil, nil, 0 // whoever takes connections comes before those that don't
 			}
 			o := math.Pow(max(e.penalizedLatency, seconds(minResponseTime)), -pickLatencyExponent)
@@ -813,7 +813,7 @@
 		o.inFlight++
 		c.unfinished++
 		c.repeatable = c.repeatable && o.class.Effect != AtMostOnce
-		s.emit(Send{ID: o.id, Endpoint: e.id, AbandonAt: s.timeout(o, e), LatestStart: s.latestStart(o)})
+		s.emit(Send{ID: o.id, Endpoint: e.id, AbandonAt: s.abandonAt(o, e), LatestStart: s.latestStart(o)})
 	}
 	if s.needsGrant(d) {
 		s.consumeGrant(e)
@@ -832,7 +832,7 @@
 
 // timeout is the clock time at which an attempt is abandoned. An unsafe message cannot be tried again, so it
 // is given all its time.
-func (s *Sender) timeout(m *message, e *endpoint) time.Duration {
+func (s *Sender) abandonAt(m *message, e *endpoint) time.Duration {
 	last := m.deadline - answerMargin/2
 	if m.class.Effect == AtMostOnce {
 		return last
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -104,20 +104,20 @@
 }
 
 // A process that has yet to look sends nothing, ends what is due, and goes on from where it was.
-func TestNothingIsSentWhileSuspended(t *testing.T) {
+func TestNothingIsSentWhilePaused(t *testing.T) {
 	w := newScenario(t, testSettings(), 1)
 	w.step(0, oneEndpoint())
 	w.step(5*ms, w.newArrival("before", 0, 0))
-	w.step(5*ms, Suspended{On: true}, w.newArrival("in it", 0, 0))
+	w.step(5*ms, SendsPaused{On: true}, w.newArrival("in it", 0, 0))
 	w.idle(time.Second)
 	if len(w.sends) != 1 {
 		t.Fatalf("%d calls are made: %v", len(w.sends), w.log)
 	}
-	w.step(5*ms, Suspended{})
+	w.step(5*ms, SendsPaused{})
 	if len(w.sends) != 2 {
 		t.Errorf("%d calls are made after it: %v", len(w.sends), w.log)
 	}
-	w.step(5*ms, Suspended{On: true}, w.newArrival("late", 0, 0))
+	w.step(5*ms, SendsPaused{On: true}, w.newArrival("late", 0, 0))
 	w.drainAll() // each message has its end in time, or the story fails
 }
 
--- a/choice/datagram.go
+++ b/choice/datagram.go
@@ -170,9 +170,9 @@
 }
 
 // ask sends an ask for so many calls.
-func (s *Sender) sendRequest(d *destination, coordinator, n int, urgency float64, route uint16) {
+func (s *Sender) sendRequest(d *destination, coordinator, calls int, urgency float64, route uint16) {
 	c := &d.requester
-	if n > 0 {
+	if calls > 0 {
 		if c.answeredAt >= c.requestedAt {
 			// Who has a part of a call in a second makes none or a whole one: where each begins is left to chance,
 			// so that all together make what they may from the first moment on, and not all at once.
@@ -187,7 +187,7 @@
 	}
 	c.requestSeq++
 	s.sendDatagram(coordinator, datagram{
-		kind: datagramRequest, dest: d.id, route: route, seq: c.requestSeq, lastGrantSeq: c.lastGrantSeq, count: min(n, 255),
+		kind: datagramRequest, dest: d.id, route: route, seq: c.requestSeq, lastGrantSeq: c.lastGrantSeq, count: min(calls, 255),
 		urgency: uint8(255 * min(urgency, 1)),
 	})
 }
@@ -208,9 +208,9 @@
 	switch ahead, behind := seq-c.lastGrantSeq, c.lastGrantSeq-seq; {
 	case behind < 64:
 		bit := uint64(1) << behind
-		old := c.grantsSeen&bit != 0
+		seen := c.grantsSeen&bit != 0
 		c.grantsSeen |= bit
-		return !old
+		return !seen
 	case ahead < 64:
 		c.grantsSeen = c.grantsSeen<<ahead | 1
 	default:
--- a/choice/fleet.go
+++ b/choice/fleet.go
@@ -208,7 +208,7 @@
 	if o == ConnectFailed && s.othersAvailable(ep) {
 		o = NotSent // of that endpoint alone
 	}
-	if s.needsGrant(ep.dest) && !s.suspended { // what it knows may be long past
+	if s.needsGrant(ep.dest) && !s.sendsPaused { // what it knows may be long past
 		s.sendDatagram(s.coordinator(ep.dest, ep.dest.requester.coordinatorRank), datagram{
 			kind: datagramCallEnd, dest: ep.dest.id, route: s.routeID(ep), outcome: o, wait: wait,
 		})
--- a/choice/fleet_test.go
+++ b/choice/fleet_test.go
@@ -217,15 +217,15 @@
 }
 
 func TestFleetKeepsToSharedLimit(t *testing.T) {
-	alone := newFleetSim(t, 40, false)
-	alone.run(20*time.Second, 1.5*fleetLimit)
+	uncoordinated := newFleetSim(t, 40, false)
+	uncoordinated.run(20*time.Second, 1.5*fleetLimit)
 	w := newFleetSim(t, 40, true)
 	w.run(20*time.Second, 1.5*fleetLimit)
 	if least := int(0.9 * 20 * fleetLimit); w.passed < least || w.refused > w.passed/10 {
 		t.Errorf("%d calls passed and %d were refused; at least %d could pass", w.passed, w.refused, least)
 	}
-	if alone.passed > w.passed*3/4 {
-		t.Errorf("without notes %d passed, with them %d: the test does not tell", alone.passed, w.passed)
+	if uncoordinated.passed > w.passed*3/4 {
+		t.Errorf("without notes %d passed, with them %d: the test does not tell", uncoordinated.passed, w.passed)
 	}
 }
 
--- a/choice/membership_test.go
+++ b/choice/membership_test.go
@@ -138,14 +138,14 @@
 
 // A keeper that leaves tells the next what the destination takes; without that the next one begins with more.
 func TestLeavingCoordinatorHandsOverLimit(t *testing.T) {
-	after := func(hand bool) (part float64) {
+	after := func(handOver bool) (part float64) {
 		w := newFleetSim(t, 12, true)
 		w.run(3*time.Second, fleetLimit)
 		d := w.senders[0].destinations[0]
 		first, second := w.senders[0].coordinator(d, 0), w.senders[0].coordinator(d, 1)
 		known := w.senders[first].destinations[0].endpoints[0]
 		w.senders[first].fleetRoute(known).limitShare = 0.2
-		w.step(first, ShuttingDown{HandOver: hand})
+		w.step(first, ShuttingDown{HandOver: handOver})
 		w.senders[first] = nil
 		for i := range w.senders {
 			w.step(i, MemberChanged{Number: first, Gone: true, LeftCleanly: true})
--- a/choice/memory.go
+++ b/choice/memory.go
@@ -70,15 +70,15 @@
 // itself stays.
 func (s *Sender) handleMemoryRestored(e MemoryRestored) {
 	trust := math.Exp(-seconds(e.Age) / seconds(memoryDecayTime))
-	for _, r := range e.Dests {
-		d := s.destinations[r.ID]
+	for _, dest := range e.Dests {
+		d := s.destinations[dest.ID]
 		if d == nil || e.Age < 0 {
 			continue
 		}
-		if !d.gate.sampled && r.Average > 0 && r.Baseline > 0 {
-			d.gate = gate{average: r.Baseline + trust*max(r.Average-r.Baseline, 0), baseline: r.Baseline, sampledAt: s.now, sampled: true}
+		if !d.gate.sampled && dest.Average > 0 && dest.Baseline > 0 {
+			d.gate = gate{average: dest.Baseline + trust*max(dest.Average-dest.Baseline, 0), baseline: dest.Baseline, sampledAt: s.now, sampled: true}
 		}
-		for _, remembered := range r.Routes {
+		for _, remembered := range dest.Routes {
 			ep := s.endpoints[remembered.Endpoint]
 			if ep == nil || ep.dest != d {
 				continue
--- a/choice/operator_test.go
+++ b/choice/operator_test.go
@@ -62,20 +62,20 @@
 // Told before any list has named it, as after a restart, it holds as well; putting back one that was never out
 // costs nothing.
 func TestDisabledBeforeListed(t *testing.T) {
-	for _, out := range []bool{true, false} {
+	for _, disabled := range []bool{true, false} {
 		s := New(testSettings(), 1)
-		told := Event(EndpointEnabled{"a"})
-		if out {
-			told = EndpointDisabled{"a"}
+		event := Event(EndpointEnabled{"a"})
+		if disabled {
+			event = EndpointDisabled{"a"}
 		}
-		s.Step(time.Hour, []Event{told})
+		s.Step(time.Hour, []Event{event})
 		sent := false
 		for _, a := range s.Step(time.Hour+ms, []Event{oneEndpoint(), MessageArrived{ID: "m", Deadline: 2 * time.Hour}}) {
 			_, ok := a.(Send)
 			sent = sent || ok
 		}
-		if sent == out || s.endpoints["a"].route.recovering() {
-			t.Errorf("out %v: sent %v, recovering %v", out, sent, s.endpoints["a"].route.recovering())
+		if sent == disabled || s.endpoints["a"].route.recovering() {
+			t.Errorf("out %v: sent %v, recovering %v", disabled, sent, s.endpoints["a"].route.recovering())
 		}
 	}
 }
--- a/choice/requestqueue_test.go
+++ b/choice/requestqueue_test.go
@@ -30,8 +30,8 @@
 // debts as looking through all, and its heaps stay whole.
 func TestRequestQueueMatchesLinearScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var l requestQueue
-		var plain []*grantRequest
+		var q requestQueue
+		var scanned []*grantRequest
 		rng := rand.New(rand.NewPCG(1, 1))
 		now := time.Second
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
@@ -39,53 +39,53 @@
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0, 1:
 				from := rapid.IntRange(0, 12).Draw(t, "from")
-				w := l.requestOf(from, 0, rng)
-				if !slices.Contains(plain, w) {
-					plain = append(plain, w)
+				w := q.requestOf(from, 0, rng)
+				if !slices.Contains(scanned, w) {
+					scanned = append(scanned, w)
 				}
 				if w.calls == 0 {
 					w.waitingSince = now
 				}
 				w.calls, w.urgency = rapid.IntRange(0, 3).Draw(t, "n"), uint8(rapid.IntRange(0, 2).Draw(t, "urgency"))
-				l.refresh(w, now)
+				q.refresh(w, now)
 			case 2:
-				if w := l.head(now); w != nil {
+				if w := q.head(now); w != nil {
 					w.calls--
 					w.answerOwed = false
-					l.reposition(w, now)
+					q.reposition(w, now)
 				}
 			case 3:
-				if w := l.byNode[rapid.IntRange(0, 12).Draw(t, "lost")]; w != nil {
+				if w := q.byNode[rapid.IntRange(0, 12).Draw(t, "lost")]; w != nil {
 					w.deferredUntil = now + time.Duration(rapid.IntRange(-1, 1).Draw(t, "until"))*connectFailureDeferral
-					l.reposition(w, now)
+					q.reposition(w, now)
 				}
 			case 4:
-				plain = slices.DeleteFunc(plain, func(w *grantRequest) bool { return now-w.refreshedAt >= requestTTL })
-				if l.expire(now-requestTTL) != (len(plain) == 0) {
-					t.Fatalf("%d are left", len(plain))
+				scanned = slices.DeleteFunc(scanned, func(w *grantRequest) bool { return now-w.refreshedAt >= requestTTL })
+				if q.expire(now-requestTTL) != (len(scanned) == 0) {
+					t.Fatalf("%d are left", len(scanned))
 				}
 			}
-			if got, want := l.head(now), headByScan(plain, now); got != want {
+			if got, want := q.head(now), headByScan(scanned, now); got != want {
 				t.Fatalf("first is %+v, and should be %+v", got, want)
 			}
-			if len(l.byNode) != len(plain) {
-				t.Fatalf("%d in the line, %d should be", len(l.byNode), len(plain))
+			if len(q.byNode) != len(scanned) {
+				t.Fatalf("%d in the line, %d should be", len(q.byNode), len(scanned))
 			}
-			for _, h := range []requestHeap{l.ready, l.deferred} {
+			for _, h := range []requestHeap{q.ready, q.deferred} {
 				for i, w := range h {
-					if w.heapIndex != i || w.calls <= 0 || l.byNode[w.from] != w {
+					if w.heapIndex != i || w.calls <= 0 || q.byNode[w.from] != w {
 						t.Fatalf("%+v at %d", w, i)
 					}
 				}
 			}
 		}
 		var owed, answered int
-		for _, w := range plain {
+		for _, w := range scanned {
 			if w.answerOwed {
 				owed++
 			}
 		}
-		l.answerPending(func(*grantRequest) { answered++ })
+		q.answerPending(func(*grantRequest) { answered++ })
 		if owed != answered {
 			t.Fatalf("%d are owed an answer, %d get one", owed, answered)
 		}
@@ -96,24 +96,24 @@
 func BenchmarkRequestQueue(b *testing.B) {
 	for _, senders := range []int{30, 300, 3000, 30000} {
 		b.Run(fmt.Sprint(senders), func(b *testing.B) {
-			var l requestQueue
+			var q requestQueue
 			now := time.Second
 			rng := rand.New(rand.NewPCG(1, 1))
 			for i := range senders {
-				w := l.requestOf(i, 0, rng)
+				w := q.requestOf(i, 0, rng)
 				w.calls, w.urgency, w.waitingSince = 1, uint8(i%3), now
-				l.refresh(w, now)
+				q.refresh(w, now)
 			}
 			for i := 0; b.Loop(); i++ {
 				now += time.Millisecond
-				w := l.head(now)
+				w := q.head(now)
 				w.calls--
-				l.reposition(w, now)
-				w = l.requestOf(i%senders, 0, rng)
+				q.reposition(w, now)
+				w = q.requestOf(i%senders, 0, rng)
 				w.calls, w.waitingSince = 1, now
-				l.refresh(w, now)
-				l.answerPending(func(*grantRequest) {})
-				l.expire(now - requestTTL*time.Duration(senders))
+				q.refresh(w, now)
+				q.answerPending(func(*grantRequest) {})
+				q.expire(now - requestTTL*time.Duration(senders))
 			}
 		})
 	}
--- a/choice/state.go
+++ b/choice/state.go
@@ -35,7 +35,7 @@
 	listRetryBackoff   time.Duration               // pause before the list is asked for again
 	listRequestAt      time.Duration
 	shuttingDown       bool
-	suspended          bool            // Blind holds
+	sendsPaused        bool            // Blind holds
 	disabledEndpoints  map[string]bool // endpoints that operators have taken out
 	failureRate        float64         // smoothed share of failures at routes not known to be struck
 	actions            []Action
--- a/choice/types.go
+++ b/choice/types.go
@@ -193,9 +193,9 @@
 
 // Blind says that this process did not run for a while and has yet to confirm what it knows, or that it has: nothing new is
 // sent in between, and final answers come in time as ever.
-type Suspended struct{ On bool }
+type SendsPaused struct{ On bool }
 
-func (Suspended) event()        {}
+func (SendsPaused) event()      {}
 func (MemberChanged) event()    {}
 func (ShuttingDown) event()     {}
 func (EndpointDisabled) event() {}
--- a/internal/node/staleness.go
+++ b/internal/node/staleness.go
@@ -92,7 +92,7 @@
 		return events
 	}
 	n.sendsPaused = pause
-	return append(events, choice.Suspended{On: pause})
+	return append(events, choice.SendsPaused{On: pause})
 }
 
 // floored takes what the list service asks of every node. A node that is not fit acts no more until the floor is another.
