--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -31,7 +31,7 @@
 			return err
 		},
 	}
-	c.Flags().DurationVar(&o.Duration, "for", o.Duration, "how long messages are handed in (default 6s, at most 1m)")
+	c.Flags().DurationVar(&o.TrafficDuration, "for", o.TrafficDuration, "how long messages are handed in (default 6s, at most 1m)")
 	c.Flags().Float64Var(&o.Rate, "rate", o.Rate, "messages a second at each node (default 40, at most 500)")
 	c.Flags().BoolVar(&verbose, "verbose", false, "show the logs of the processes")
 	return c
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -27,11 +27,11 @@
 
 // Options are what may be changed. Zero values are taken as the defaults.
 type Options struct {
-	Program  string        // of the nodes; this one if empty
-	Duration time.Duration // of traffic; 6 s, 1 min at most
-	Rate     float64       // messages a second at each node; 40, 500 at most
-	Out      io.Writer     // for people
-	Log      io.Writer     // of the processes; nil to drop it
+	Program         string        // of the nodes; this one if empty
+	TrafficDuration time.Duration // of traffic; 6 s, 1 min at most
+	Rate            float64       // messages a second at each node; 40, 500 at most
+	Out             io.Writer     // for people
+	Log             io.Writer     // of the processes; nil to drop it
 }
 
 const (
@@ -62,8 +62,8 @@
 
 // Run plays the demonstration and prints its table.
 func Run(ctx context.Context, o Options) (r Result, err error) {
-	if o.Duration <= 0 || o.Duration > time.Minute {
-		o.Duration = 6 * time.Second
+	if o.TrafficDuration <= 0 || o.TrafficDuration > time.Minute {
+		o.TrafficDuration = 6 * time.Second
 	}
 	if o.Rate <= 0 || o.Rate > 500 {
 		o.Rate = 40
@@ -245,7 +245,7 @@
 	var r Result
 	var mu sync.Mutex
 	accepted := map[string]bool{}
-	until := time.Now().Add(f.Duration)
+	until := time.Now().Add(f.TrafficDuration)
 	failing := f.partners[len(f.partners)-1]
 	var senders sync.WaitGroup
 	for n, addr := range f.nodeAddrs {
@@ -274,10 +274,10 @@
 			}
 		})
 	}
-	sleep(ctx, f.Duration/3)
+	sleep(ctx, f.TrafficDuration/3)
 	fmt.Fprintln(f.Out, "partner office-2 shuts")
 	failing.SetRefusing(true)
-	sleep(ctx, f.Duration/3)
+	sleep(ctx, f.TrafficDuration/3)
 	fmt.Fprintln(f.Out, "partner office-2 is back")
 	failing.SetRefusing(false)
 	senders.Wait()
--- a/internal/egress/local_errors_test.go
+++ b/internal/egress/local_errors_test.go
@@ -34,12 +34,12 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p, tries := testPool(), 0
-			connect := p.dialContext
+			dialContext := p.dialContext
 			p.dialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 				if tries++; tries <= c.times {
 					return nil, c.err
 				}
-				return connect(ctx, network, addr)
+				return dialContext(ctx, network, addr)
 			}
 			began := time.Now()
 			if got := p.Do(t.Context(), testCall(endpointAt(partner.Addr()))); got.Outcome != c.want {
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -713,12 +713,12 @@
 }
 
 // callBackAll ends every wait for the rest of a request; with cut every other as well, and no more are begun.
-func (s *Server) interruptAll(expired bool) {
+func (s *Server) interruptAll(closeExpired bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.closeExpired = expired
+	s.closeExpired = closeExpired
 	for nc, p := range s.conns {
-		if expired {
+		if closeExpired {
 			nc.SetDeadline(time.Unix(1, 0))
 		} else if !p.closing {
 			interruptRead(nc)
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -163,10 +163,10 @@
 			t.Fatalf("got %q, %v", line, err)
 		}
 		c.mu.Lock()
-		open := len(c.conns)
+		conns := len(c.conns)
 		c.mu.Unlock()
-		if open > 2 {
-			t.Errorf("%d connections are open", open)
+		if conns > 2 {
+			t.Errorf("%d connections are open", conns)
 		}
 	}
 }
--- a/internal/journal/recovery.go
+++ b/internal/journal/recovery.go
@@ -19,17 +19,17 @@
 	if err := os.Remove(j.path() + ".new"); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
-	f, err := os.OpenFile(j.path(), os.O_RDWR|os.O_CREATE, 0o600)
+	file, err := os.OpenFile(j.path(), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
-	j.file = f
-	switch err := j.replay(f); {
+	j.file = file
+	switch err := j.replay(file); {
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF): // what a torn tail would have guarded was not done
 	case errors.Is(err, errCorrupt):
 		j.Damage = fmt.Errorf("journal: at byte %d: %w", j.fileBytes, err)
 	default: // what stands behind is not known, and may be owed
-		return nil, errors.Join(fmt.Errorf("journal: at byte %d: %w", j.fileBytes, err), f.Close())
+		return nil, errors.Join(fmt.Errorf("journal: at byte %d: %w", j.fileBytes, err), file.Close())
 	}
 	// Without a truncation a new file has to be written before anything is appended.
 	j.needsRewrite = j.truncateTail() != nil
@@ -142,25 +142,25 @@
 			j.compactNotBefore = time.Now().Add(CompactRetryDelay)
 		}
 	}()
-	f, err := os.OpenFile(j.path()+".new", os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
+	file, err := os.OpenFile(j.path()+".new", os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
 		return fmt.Errorf("journal: compaction: %w", err)
 	}
 	defer func() {
 		if err != nil {
-			err = errors.Join(fmt.Errorf("journal: compaction: %w", err), f.Close(), os.Remove(f.Name()))
+			err = errors.Join(fmt.Errorf("journal: compaction: %w", err), file.Close(), os.Remove(file.Name()))
 		}
 	}()
-	size, err := j.writeLive(f)
+	size, err := j.writeLive(file)
 	if err != nil {
 		return err
 	}
-	if err := os.Rename(f.Name(), j.path()); err != nil {
+	if err := os.Rename(file.Name(), j.path()); err != nil {
 		return err
 	}
 	old := j.file
-	j.file, j.fileBytes, j.pending, j.needsRewrite, j.staleTail = f, size, nil, false, false // a large buffer is not kept
-	old.Close()                                                                              // nothing of the old file is needed any more
+	j.file, j.fileBytes, j.pending, j.needsRewrite, j.staleTail = file, size, nil, false, false // a large buffer is not kept
+	old.Close()                                                                                 // nothing of the old file is needed any more
 	return nil
 }
 
--- a/internal/lab/stage/judge_test.go
+++ b/internal/lab/stage/judge_test.go
@@ -176,7 +176,7 @@
 		l.hand(m)
 		l.answered(m, model.Taken, true)
 		for _, e := range c.does {
-			e.Endpoint, e.RemoteAddr = "p0-0", "127.0.0.1:1"
+			e.Endpoint, e.PeerAddr = "p0-0", "127.0.0.1:1"
 			l.partner(0, e)
 		}
 		broken := strings.Join(l.report(nil).Broken, "\n")
--- a/internal/lab/stage/ledger.go
+++ b/internal/lab/stage/ledger.go
@@ -449,7 +449,7 @@
 			l.breaks("copies", "%s is called for %s while its call at %s is out since %v", e.id, s.MessageID, o.endpoint, at-o.began)
 		}
 	}
-	c := &call{endpoint: e.id, from: s.RemoteAddr, began: at, attempt: len(m.calls)}
+	c := &call{endpoint: e.id, from: s.PeerAddr, began: at, attempt: len(m.calls)}
 	m.calls = append(m.calls, c)
 	ev := model.Event{At: at, Node: node, Msg: s.MessageID, First: m.id, Class: m.class, Dest: e.dest, Endpoint: e.id, Attempt: c.attempt, Wrote: at}
 	ev.What = model.Sent
@@ -468,7 +468,7 @@
 		return
 	}
 	m.tell(at, "%s ends %s with %d", e.id, s.MessageID, o)
-	i := slices.IndexFunc(m.calls, func(c *call) bool { return c.from == s.RemoteAddr && c.endpoint == e.id && !c.ended })
+	i := slices.IndexFunc(m.calls, func(c *call) bool { return c.from == s.PeerAddr && c.endpoint == e.id && !c.ended })
 	ev := model.Event{At: at, Node: node, Msg: s.MessageID, First: m.id, Class: m.class, Dest: e.dest, Endpoint: e.id, Outcome: o}
 	if i < 0 && s.MessageID == m.tryID && o == choice.Success {
 		l.breaks("strange", "%s runs %s without a call of it", e.id, s.MessageID)
--- a/internal/lab/stage/stage.go
+++ b/internal/lab/stage/stage.go
@@ -165,7 +165,7 @@
 	cfg := partner.Config{
 		ID: endpointID(dest, n), Rate: spec.Rate, Burst: spec.Burst, Latency: spec.Latency.Duration(), Listen: own, MaxConns: spec.Connections,
 	}
-	cfg.OnEvent = func(s partner.Event) { st.ledger.partner(st.nodeOf(s.RemoteAddr), s) }
+	cfg.OnEvent = func(s partner.Event) { st.ledger.partner(st.nodeOf(s.PeerAddr), s) }
 	if spec.Cold {
 		c := st.ledger.day.Settings
 		cfg.ColdStart = partner.ColdStart{InitialShare: c.ColdCapacity, OverloadFactor: c.OverloadMultiple, WarmUpTime: c.WarmUpTime, OverloadWindow: c.OverloadDuration, Downtime: 2 * time.Second}
--- a/internal/partner/partner.go
+++ b/internal/partner/partner.go
@@ -58,12 +58,12 @@
 
 // Seen is one thing that comes to a partner. Load is what was sent in the last span over what it bears, where it is cold.
 type Event struct {
-	Type       EventType
-	Endpoint   string
-	RemoteAddr string // host and port
-	MessageID  string // of the message
-	Header     http.Header
-	Load       float64
+	Type      EventType
+	Endpoint  string
+	PeerAddr  string // host and port
+	MessageID string // of the message
+	Header    http.Header
+	Load      float64
 }
 
 // Ledger is what has run at all partners that share it. It is safe for use by many goroutines.
@@ -170,16 +170,16 @@
 		p.openConns++
 		full := p.cfg.MaxConns > 0 && p.openConns > p.cfg.MaxConns
 		p.mu.Unlock()
-		p.emit(Event{Type: ConnectionOpened, RemoteAddr: nc.RemoteAddr().String()})
+		p.emit(Event{Type: ConnectionOpened, PeerAddr: nc.RemoteAddr().String()})
 		if full {
-			p.emit(Event{Type: ConnectionRejected, RemoteAddr: nc.RemoteAddr().String()})
+			p.emit(Event{Type: ConnectionRejected, PeerAddr: nc.RemoteAddr().String()})
 			nc.Close()
 		}
 	case http.StateClosed, http.StateHijacked:
 		p.mu.Lock()
 		p.openConns--
 		p.mu.Unlock()
-		p.emit(Event{Type: ConnectionClosed, RemoteAddr: nc.RemoteAddr().String()})
+		p.emit(Event{Type: ConnectionClosed, PeerAddr: nc.RemoteAddr().String()})
 	}
 }
 
@@ -203,7 +203,7 @@
 		http.NotFound(w, r)
 		return
 	}
-	e := Event{RemoteAddr: r.RemoteAddr, MessageID: r.Header.Get("X-Trace-Id"), Header: r.Header}
+	e := Event{PeerAddr: r.RemoteAddr, MessageID: r.Header.Get("X-Trace-Id"), Header: r.Header}
 	now := time.Now()
 	overloaded := false
 	e.Load, overloaded = p.recordLoad(now)
