--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -71,7 +71,7 @@
 }
 
 // Wake is when KeptDue has to be asked; 0 for never.
-func (s *Start) Wake() time.Duration {
+func (s *Start) WakeAt() time.Duration {
 	if !s.cacheUsable || s.serverAnswered {
 		return 0
 	}
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -18,7 +18,7 @@
 	if !n.serving.Load() {
 		return admin.ErrNotServing.Error()
 	}
-	return n.notReadyReason()
+	return n.unavailableReason()
 }
 
 // Stats are the figures as StatsD lines.
--- a/internal/node/estimates.go
+++ b/internal/node/estimates.go
@@ -16,7 +16,7 @@
 
 const (
 	estimatesFileName      = "learnt.json"
-	estimatesDiskShare     = 16              // the file may take this part of the disk, and as much again while it is replaced:
+	estimatesDiskDivisor   = 16              // the file may take this part of the disk, and as much again while it is replaced:
 	minEstimatesBytes      = 24 << 10        // 192 KiB of 3 MB hold 1,024 destinations; but never less than this
 	estimatesWriteInterval = 2 * time.Second // between writes
 	maxEstimatesAge        = 2 * time.Minute // older than this it is worth nothing
@@ -44,7 +44,7 @@
 
 // learntRoom is the room of the file, in bytes.
 func estimatesBytes(c config.Config) int64 {
-	return max(int64(diskMB(c)*(1<<20))/estimatesDiskShare, minEstimatesBytes)
+	return max(int64(diskMB(c)*(1<<20))/estimatesDiskDivisor, minEstimatesBytes)
 }
 
 // read returns what was written and how long ago; ok is false where there is nothing that can be used.
--- a/internal/node/listcache.go
+++ b/internal/node/listcache.go
@@ -13,14 +13,14 @@
 	"harrierramp/internal/listwatch"
 )
 
-const listCacheDiskShare = 8 // the kept list may take this part of the disk, and as much again while it is replaced
+const listCacheDiskDivisor = 8 // the kept list may take this part of the disk, and as much again while it is replaced
 
 // keptRoom is the room of the kept list, 0 if there is none.
 func listCacheBytes(c config.Config) int64 {
 	if c.Registry == nil || !c.Registry.KeepList {
 		return 0
 	}
-	return min(int64(diskMB(c)*(1<<20))/listCacheDiskShare, listwatch.MaxCachedList)
+	return min(int64(diskMB(c)*(1<<20))/listCacheDiskDivisor, listwatch.MaxCachedList)
 }
 
 // diskMB is the limit of the lasting folder.
@@ -100,7 +100,7 @@
 }
 
 // awaiting says what the start waits for, and since when; empty once it is ready. It may be called from any goroutine.
-func (n *Node) notReadyReason() string {
+func (n *Node) unavailableReason() string {
 	if a := n.startupWait.Load(); a != nil {
 		return fmt.Sprintf("waiting for the list since %.1f s: %s", time.Since(a.since).Seconds(), a.reason)
 	}
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -22,7 +22,7 @@
 	t          *testing.T
 	discovery  *fakeDiscovery
 	peers      []string
-	state      []string
+	stateDirs  []string
 	adminAddrs []string
 	kill       []func() // as SIGKILL would: nobody is told
 	stop       []func() // as SIGTERM does
@@ -49,7 +49,7 @@
 		}
 		defer conn.Close()
 		f.peers = append(f.peers, conn.LocalAddr().String())
-		f.state = append(f.state, t.TempDir())
+		f.stateDirs = append(f.stateDirs, t.TempDir())
 	}
 	return f
 }
@@ -77,7 +77,7 @@
 
 func (f *testFleet) start(i int) {
 	f.t.Helper()
-	cfg, err := loadConfig(f.config(i, fastMembership), f.state[i])
+	cfg, err := loadConfig(f.config(i, fastMembership), f.stateDirs[i])
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -155,7 +155,7 @@
 	}
 	before = f.view(2).Incarnation
 	f.stop[2]()
-	if err := os.Remove(filepath.Join(f.state[2], memberIncarnationFile)); err != nil {
+	if err := os.Remove(filepath.Join(f.stateDirs[2], memberIncarnationFile)); err != nil {
 		t.Fatal(err)
 	}
 	f.start(2)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -198,7 +198,7 @@
 	var background sync.WaitGroup
 	n.ingress = ingress.NewServer(ln, n.cfg.Limits.Sockets/3, n.cfg.Names, func(q ingress.Request) ingress.Answer { return n.submit(processCtx, q) })
 	n.ingress.SetLogger(n.log)
-	n.ingress.SetNotReadyReason(n.notReadyReason)
+	n.ingress.SetNotReadyReason(n.unavailableReason)
 	n.ingress.Pause()
 	background.Go(func() { n.ingress.Serve(processCtx) })
 	exitDue := make(chan struct{})
@@ -407,8 +407,8 @@
 	if n.listCache != nil {
 		wait = min(wait, n.listCache.UntilDue(time.Now()))
 	}
-	if n.startup != nil && n.startup.Wake() > 0 {
-		wait = min(wait, max(n.startup.Wake()-n.now(), 0))
+	if n.startup != nil && n.startup.WakeAt() > 0 {
+		wait = min(wait, max(n.startup.WakeAt()-n.now(), 0))
 	}
 	return min(wait, n.untilClockCheck(), n.membership.untilDue(n.now()), n.audit.untilDue(n.now()), n.staleness.untilDue(n.now()))
 }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	maxDatagram           = 256 // a longer one is not allowed between nodes
+	maxDatagramBytes      = 256 // a longer one is not allowed between nodes
 	peerBindAttempts      = 20
 	peerBindRetryInterval = 10 * time.Millisecond
 )
@@ -71,7 +71,7 @@
 
 // receive hands on what other nodes send, until the socket is closed. What comes from elsewhere is counted.
 func (p *peers) receive(ctx context.Context, log *slog.Logger, unknownSenders *atomic.Int64, deliver func(any) bool) {
-	b := make([]byte, maxDatagram+1)
+	b := make([]byte, maxDatagramBytes+1)
 	for {
 		n, from, err := p.conn.ReadFromUDPAddrPort(b)
 		if errors.Is(err, net.ErrClosed) || ctx.Err() != nil {
@@ -85,7 +85,7 @@
 			continue
 		}
 		number, ok := p.nodeNumbers[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
-		if !ok || n > maxDatagram {
+		if !ok || n > maxDatagramBytes {
 			unknownSenders.Add(1)
 			continue // nobody of the fleet
 		}
@@ -103,7 +103,7 @@
 
 // send sends a note; one that can't be sent is as good as lost.
 func (p *peers) send(a choice.SendDatagram, log *slog.Logger) {
-	if p == nil || a.To < 0 || a.To >= len(p.addrs) || len(a.Payload) > maxDatagram {
+	if p == nil || a.To < 0 || a.To >= len(p.addrs) || len(a.Payload) > maxDatagramBytes {
 		return
 	}
 	if _, err := p.conn.WriteToUDPAddrPort(a.Payload, p.addrs[a.To]); err != nil {
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -49,7 +49,7 @@
 		b.receive(t.Context(), log, &strangers, func(e any) bool { got <- e; return true })
 	}()
 	stranger.send(choice.SendDatagram{To: 1, Payload: []byte("of nobody")}, log)
-	a.send(choice.SendDatagram{To: 1, Payload: []byte(strings.Repeat("x", maxDatagram+1))}, log)
+	a.send(choice.SendDatagram{To: 1, Payload: []byte(strings.Repeat("x", maxDatagramBytes+1))}, log)
 	a.send(choice.SendDatagram{To: 7, Payload: []byte("to nobody")}, log)
 	a.send(choice.SendDatagram{To: 1, Payload: []byte("a note")}, log)
 	a.send(choice.SendDatagram{To: 1, Payload: []byte("Membership's")}, log)
--- a/internal/node/upgrade_test.go
+++ b/internal/node/upgrade_test.go
@@ -28,7 +28,7 @@
 type platform struct {
 	t          *testing.T
 	discovery  *fakeDiscovery
-	state      string
+	stateDir   string
 	known      []string
 	listener   *net.TCPListener
 	socketFile *os.File
@@ -40,7 +40,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &platform{t: t, discovery: r, state: t.TempDir(), known: known, listener: ln.(*net.TCPListener)}
+	p := &platform{t: t, discovery: r, stateDir: t.TempDir(), known: known, listener: ln.(*net.TCPListener)}
 	if p.socketFile, err = p.listener.File(); err != nil {
 		t.Fatal(err)
 	}
@@ -62,7 +62,7 @@
 func (p *platform) start(env ...string) *process {
 	p.t.Helper()
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(append(os.Environ(), "CORALYARD_TEST_CHILD=upgrade", "ROUTER_STATE="+p.state,
+	cmd.Env = append(append(os.Environ(), "CORALYARD_TEST_CHILD=upgrade", "ROUTER_STATE="+p.stateDir,
 		"ROUTER_CONFIG="+writeConfig(p.t, p.addr(), p.discovery.addr(), p.known...)), env...)
 	cmd.Stderr = os.Stderr
 	cmd.ExtraFiles = []*os.File{p.socketFile}
@@ -349,7 +349,7 @@
 	mustAnswer(t, node.addr(), testkit.EnqueueRequest("a", "c=payout,d=50000,dest=8", ""), "+OK")
 
 	// One that takes the state and is gone.
-	c, err := handover.Acquire(t.Context(), node.state, true)
+	c, err := handover.Acquire(t.Context(), node.stateDir, true)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/pausemonitor/pausemonitor.go
+++ b/internal/pausemonitor/pausemonitor.go
@@ -32,36 +32,36 @@
 
 // Step notes that the process runs at a moment, and when it last heard of what it acts on. changed is whether it has just
 // become blind, or no longer is; missed is how long the gap was in the former case.
-func (g *Monitor) Step(now, lastHeard time.Duration) (changed bool, paused time.Duration) {
-	if g.stepped && now-g.lastStep > MinPause {
-		paused = now - g.lastStep
-		changed, g.stale, g.pauseEnd, g.pauseLength = !g.stale, true, now, paused
-		g.Pauses++
+func (m *Monitor) Step(now, lastHeard time.Duration) (changed bool, paused time.Duration) {
+	if m.stepped && now-m.lastStep > MinPause {
+		paused = now - m.lastStep
+		changed, m.stale, m.pauseEnd, m.pauseLength = !m.stale, true, now, paused
+		m.Pauses++
 	}
-	g.lastStep, g.stepped = now, true
-	if g.stale && paused == 0 && (lastHeard >= g.pauseEnd+ReceiveDelay || now-g.pauseEnd >= MaxStale) {
-		g.stale, changed = false, true
+	m.lastStep, m.stepped = now, true
+	if m.stale && paused == 0 && (lastHeard >= m.pauseEnd+ReceiveDelay || now-m.pauseEnd >= MaxStale) {
+		m.stale, changed = false, true
 	}
 	return changed, paused
 }
 
 // Lain is how long something that was read at a moment may have lain unread, since the process did not run: what is read
 // soon after a gap may have come at its beginning.
-func (g *Monitor) UnreadFor(readAt time.Duration) time.Duration {
-	if readAt <= g.pauseEnd-g.pauseLength || readAt > g.pauseEnd+ReceiveDelay {
+func (m *Monitor) UnreadFor(readAt time.Duration) time.Duration {
+	if readAt <= m.pauseEnd-m.pauseLength || readAt > m.pauseEnd+ReceiveDelay {
 		return 0
 	}
-	return g.pauseLength
+	return m.pauseLength
 }
 
 // Blind tells whether nothing new may be begun on what was known.
-func (g *Monitor) Stale() bool { return g.stale }
+func (m *Monitor) Stale() bool { return m.stale }
 
 // Wait is when Step has to be asked again at the latest.
-func (g *Monitor) UntilNextStep(now time.Duration) time.Duration {
+func (m *Monitor) UntilNextStep(now time.Duration) time.Duration {
 	next := StepInterval
-	if g.stale {
+	if m.stale {
 		next = StaleStepInterval
 	}
-	return max(g.lastStep+next-now, 0)
+	return max(m.lastStep+next-now, 0)
 }
--- a/internal/pausemonitor/pausemonitor_test.go
+++ b/internal/pausemonitor/pausemonitor_test.go
@@ -22,10 +22,10 @@
 		"something is said after it": {10 * time.Second, []time.Duration{10 * ms, 240 * ms}, 250 * ms},
 		"a minute":                   {time.Minute, []time.Duration{150 * ms}, 150 * ms},
 	} {
-		var g Monitor
+		var m Monitor
 		now := time.Duration(0)
 		for ; now <= time.Second; now += 50 * ms {
-			if changed, _ := g.Step(now, now); changed || g.Stale() {
+			if changed, _ := m.Step(now, now); changed || m.Stale() {
 				t.Fatalf("%s: blind at %v", name, now)
 			}
 		}
@@ -39,7 +39,7 @@
 					heard = end + h
 				}
 			}
-			if g.Step(now, heard); g.Stale() {
+			if m.Step(now, heard); m.Stale() {
 				staleFor = now - end + 50*ms
 			}
 		}
@@ -48,7 +48,7 @@
 			wantUnread = 0
 		}
 		for at, want := range map[time.Duration]time.Duration{before - ms: 0, end - ms: wantUnread, end + ReceiveDelay: wantUnread, end + ReceiveDelay + ms: 0} {
-			if got := g.UnreadFor(at); got != want {
+			if got := m.UnreadFor(at); got != want {
 				t.Errorf("%s: what is read %v after its end may have lain for %v, want %v", name, at-end, got, want)
 			}
 		}
@@ -61,8 +61,8 @@
 // Whatever the ticks and whatever is heard: never blind for longer than the bound while it runs, never without a gap.
 func TestStalePeriodIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var g Monitor
-		now, heard, since, gaps := time.Duration(0), time.Duration(0), time.Duration(0), int64(0)
+		var m Monitor
+		now, heard, since, pauses := time.Duration(0), time.Duration(0), time.Duration(0), int64(0)
 		for i := range rapid.IntRange(1, 200).Draw(t, "ticks") {
 			pause := time.Duration(rapid.Int64Range(0, int64(2*time.Second)).Draw(t, "pause"))
 			now += pause
@@ -71,13 +71,13 @@
 			}
 			if pause > MinPause && i > 0 {
 				since = now
-				gaps++
+				pauses++
 			}
-			g.Step(now, heard)
-			if g.Pauses != gaps || g.Stale() && (gaps == 0 || now-since >= MaxStale) || pause > MinPause && i > 0 && !g.Stale() {
-				t.Fatalf("%d gaps of %d, blind %v, %v after the last", g.Pauses, gaps, g.Stale(), now-since)
+			m.Step(now, heard)
+			if m.Pauses != pauses || m.Stale() && (pauses == 0 || now-since >= MaxStale) || pause > MinPause && i > 0 && !m.Stale() {
+				t.Fatalf("%d gaps of %d, blind %v, %v after the last", m.Pauses, pauses, m.Stale(), now-since)
 			}
-			if wait := g.UntilNextStep(now); wait <= 0 || wait > StepInterval {
+			if wait := m.UntilNextStep(now); wait <= 0 || wait > StepInterval {
 				t.Fatalf("it wants to be asked after %v", wait)
 			}
 		}
