--- a/choice/choice.go
+++ b/choice/choice.go
@@ -1,7 +1,32 @@
-// Package choice decides for a delivery node: refuse or admit a message, when to send it, to which endpoint,
-// whether to try again, when to give up. Its interface (Settings, Events, Actions) is in types.go and its
-// bare state in state.go; every decision, table and tuned value is here. A Sender is a deterministic state
-// machine: time comes with Step, randomness from the seed, and it shares nothing with other senders.
+// Package choice makes the decisions of a delivery node: whether to admit a message, when and to which endpoint to
+// send it, whether to retry it, and when to give it up.
+//
+// A Sender is a deterministic state machine. Its inputs are the Settings, a random seed and the events that are passed
+// to Step together with the current time; its outputs are actions. It has no clock, does no I/O, and shares no memory
+// with other Senders. The events and actions are in types.go, the state is in state.go, and this file has the
+// decisions about single messages, endpoints and routes. The Senders of a fleet coordinate their use of a
+// destination's rate limit by datagrams, see fleet.go.
+//
+// Every decision keeps these rules:
+//
+//  1. Each message gets exactly one final answer, in time.
+//  2. A message is repeated only as its class's Effect allows.
+//  3. An endpoint that drains, or that operators have disabled, gets no new calls from that step on.
+//  4. A destination that comes back from an outage is not overloaded while it is cold.
+//  5. Messages of an Ordered class with the same key do not overtake each other.
+//  6. A destination gets no calls before its RetryAfter is over.
+//
+// Terms that are used throughout:
+//
+//   - A route is what limits, waits and outages apply to: a destination as a whole or, at some kinds of destination,
+//     each endpoint.
+//   - The gate of a destination admits messages or refuses them at arrival, by the ratio of the average response time
+//     to its baseline.
+//   - The circuit of a route opens when an outage is detected. While it is open, single calls are made as trials. The
+//     first success closes it and starts the recovery, which lasts until the destination is warm.
+//   - The cold budget bounds the calls during a recovery.
+//   - The coordinator of a destination is the node that grants the calls of all nodes to it. A node that hears no
+//     coordinator makes calls within its allowance.
 package choice
 
 import (
@@ -12,68 +37,78 @@
 )
 
 const (
-	// Gate. Bounds of the response ratio are the paper's best, BBC 60-80.
+	// The admission gate of a destination shuts when the ratio of its average response time to the baseline rises
+	// above the upper bound, and opens again when the ratio falls below the lower one. These are the bounds that did
+	// best in the paper that the gate is taken from (bang-bang control, "BBC 60-80").
 	gateUpperRatio, gateLowerRatio = 80, 60
-	// The ratio bounds cannot act before a slow destination's messages expire, so shares of the deadline do.
+	// At a slow destination the messages expire before the ratio reaches its bounds. So the gate also compares the
+	// average with these shares of the class's deadline.
 	gateUpperDeadlineShare, gateLowerDeadlineShare = 0.5, 1.0 / 3
-	smoothingFactor                                = 0.2               // weight of a sample when they come often
-	gateSmoothingTime                              = 2 * time.Second   // after a silence this long a sample weighs more
-	baselineRiseTime                               = 120 * time.Second // the baseline grows by a factor e in this time
-	// A failed attempt counts for so many aims at least: it reads ill, but holding through an outage beats
-	// refusing, so it must not shut the gate alone. The hold that follows does when it grows too long.
+	smoothingFactor                                = 0.2 // weight of a sample in an average, if samples are frequent
+	// A gate sample weighs more the longer it is since the last one: 1 - 1/e after this time.
+	gateSmoothingTime = 2 * time.Second
+	baselineRiseTime  = 120 * time.Second // the baseline rises by a factor of e in this time, up to the average
+	// A failed attempt counts as a response time of at least this many aims, so that the average gets worse. But it is
+	// better to hold messages through an outage than to refuse them, so failures alone must not shut the gate. The
+	// long response times of the held messages shut it when the outage lasts too long.
 	failurePenaltyAims = 1.0
-	minResponseTime    = 5 * time.Millisecond   // keeps ratios finite
-	gateTrialInterval  = 500 * time.Millisecond // pause between trial messages of a shut, idle gate
-
-	// Health of a route.
-	failureRateSmoothing    = 0.05                    // weight of a call in the share of failures met everywhere
-	maxRandomRunProbability = 0.02                    // a run of failures less likely than this by that share is no luck
-	minOutageRetryAfter     = 2200 * time.Millisecond // a told wait longer than any limit's span means shut
-	minTrialBackoff         = 250 * time.Millisecond  // half-open trials: first pause,
-	minEjectionTime         = 1 * time.Second         // an endpoint without connections is left alone so long at first,
-	maxEjectionTime         = 10 * time.Second        // and at the longest
-	maxTrialBackoff         = 1000 * time.Millisecond // and the longest, a fraction of the outages worth noticing
-	failuresToOpen          = 3                       // failures in a row that make an outage where they are rare,
-	sustainedFailureTime    = 2 * time.Second         // one less if none passed for so long,
-	rareCallCount           = 0.5                     // or where we have so few calls in that time
-	// Rule four counts the load of knowing senders; a tenth less than all of it leaves room for chance.
+	minResponseTime    = 5 * time.Millisecond   // lower bound of response times, so that ratios stay finite
+	gateTrialInterval  = 500 * time.Millisecond // pause between messages that a shut gate admits as trials
+
+	// Health of a route: the circuit breaker.
+	failureRateSmoothing    = 0.05 // weight of a call in the failure rate over all routes
+	maxRandomRunProbability = 0.02 // a run of failures that is less likely than this at that rate is not chance
+	// A longer RetryAfter exceeds the window of any rate limit, so it means that the destination is down.
+	minOutageRetryAfter = 2200 * time.Millisecond
+	minTrialBackoff     = 250 * time.Millisecond // first pause between the trials of an open circuit
+	minEjectionTime     = 1 * time.Second        // an endpoint that takes no connection is avoided this long at first,
+	maxEjectionTime     = 10 * time.Second       // and at most this long
+	// Longest pause between trials. It is a fraction of the length of an outage that matters.
+	maxTrialBackoff      = 1000 * time.Millisecond
+	failuresToOpen       = 3               // consecutive failures that open the circuit if failures are rare elsewhere;
+	sustainedFailureTime = 2 * time.Second // one less is enough if no call succeeded for this long,
+	rareCallCount        = 0.5             // or if this node expects fewer calls than this in that time
+	// Share of its even part of the cold budget that a node may use whatever its own demand is. The bound on the load
+	// during a recovery counts the calls of all nodes that know of the outage; 10 % less leaves room for chance.
 	evenColdShare = 0.9
-	// Of its own demand a sender takes less, for a busy destination may be asked for more than it can do.
+	// Share of its own demand that a node may send during a recovery. It is lower, because the demand on a busy
+	// destination may exceed its capacity.
 	demandColdShare = 0.4
-	maxWeightError  = 1.5 // a rough weight may be this many times too high
+	maxWeightError  = 1.5 // factor by which an approximate weight may be too high
 
-	// Connections.
-	connTableFullTime   = 30 * time.Second // idle connections of a kind are given back so long after a sign
-	connTableSmoothing  = 0.1              // of full tables: by a smoothed share, weighing a call so much,
-	connTableFullExcess = 0.4              // so many more calls are refused over new connections than over kept ones
+	// Connections. An endpoint has a connection table of limited size, in which idle connections count.
+	connTableFullTime   = 30 * time.Second // after a sign of full tables, idle connections are closed for this long
+	connTableSmoothing  = 0.1              // weight of a call in the shares of refused calls that give the sign:
+	connTableFullExcess = 0.4              // new connections are refused this much more often than reused ones
 
 	// Slots.
-	slowCallFactor       = 5                      // a call older than so many usual times makes its destination slow
-	minSlowCallTime      = 700 * time.Millisecond // but not before this, or noise would
-	slotUseDecayTime     = 2 * time.Second        // slot time fades from memory in this span
-	slotChargePerCall    = 10 * time.Millisecond  // slot time booked at once, so that sends of one moment take turns
-	maxImpairedSlotShare = 0.4                    // share of the slots that all slow destinations together may hold
-
-	// Pacing.
-	shareCutFactor       = 0.5                    // factor on this sender's part at a refusal over the limit
-	shareGrowthPerSecond = 0.25                   // growth a second while calls pass, of the part or an even share
-	demandDecayTime      = 10 * time.Second       // this sender's own demand is what arrived of late
-	burstSeconds         = 0.25                   // seconds of pace that may go at once
-	minRefusalBackoff    = 120 * time.Millisecond // first rest after a refusal that told no wait
+	slowCallFactor       = 5                      // a destination with a call older than this many latencies is slow,
+	minSlowCallTime      = 700 * time.Millisecond // but not before this time, because of random variation
+	slotUseDecayTime     = 2 * time.Second        // decay time of the slot time that a destination has used
+	slotChargePerCall    = 10 * time.Millisecond  // slot time that is charged at once, so that destinations alternate
+	maxImpairedSlotShare = 0.4                    // share of the slots that all impaired destinations may hold together
+
+	// Rate limits.
+	shareCutFactor = 0.5 // factor on this node's share of a limit when a call is refused over the limit
+	// Growth of the share per second while calls succeed, relative to the share or to an even one if that is larger.
+	shareGrowthPerSecond = 0.25
+	demandDecayTime      = 10 * time.Second       // decay time of the arrivals and grants that are counted as recent
+	burstSeconds         = 0.25                   // a token bucket holds this many seconds of its rate
+	minRefusalBackoff    = 120 * time.Millisecond // first pause of a route after a refusal without a RetryAfter
 
 	// Attempts.
-	timeoutLatencyFactor = 6                      // time-out in usual times, where a repeat is allowed,
-	timeoutFailureFactor = 1.5                    // growing with each failure in a row, lest a slow one never pass
-	minTimeoutAims       = 0.5                    // and this share of the aim at least: a repeat still fits in it,
-	maxTimeoutAims       = 2.0                    // and at most so many aims
-	retryBackoffBase     = 100 * time.Millisecond // rest of a message after a failure, doubled each time
-	pickLatencyExponent  = 2                      // odds of an endpoint fall with this power of its response
-	minWakeInterval      = 10 * time.Millisecond  // wakes are this far apart at least,
-	waitingPollInterval  = 30 * time.Millisecond  // and this far while something waits
+	timeoutLatencyFactor = 6                      // time-out in smoothed latencies, where a repeat is allowed,
+	timeoutFailureFactor = 1.5                    // times this per failure in a row, so that slow calls can succeed,
+	minTimeoutAims       = 0.5                    // and at least this many aims, which leaves time for a repeat,
+	maxTimeoutAims       = 2.0                    // and at most this many
+	retryBackoffBase     = 100 * time.Millisecond // pause of a message after a failure, doubled with each attempt
+	pickLatencyExponent  = 2                      // the odds of an endpoint fall with this power of its latency
+	minWakeInterval      = 10 * time.Millisecond  // shortest time between wakes,
+	waitingPollInterval  = 30 * time.Millisecond  // and the time between them while a message waits to be sent
 	answerMargin         = 15 * time.Millisecond  // final answers are given this long before the deadline
 )
 
-// New returns the decision maker of a delivery node that has just started.
+// New returns the Sender of a delivery node that has just started.
 func New(cfg Settings, seed uint64) *Sender {
 	source := rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)
 	s := &Sender{
@@ -90,10 +125,12 @@
 	return s
 }
 
-// Step takes the events of a moment and returns what to do about them, in order.
+// Step handles the events that came by the time now, and returns the actions to carry out, in order. Events are
+// handled in two passes: lists, operators' commands, membership and pauses first, so that a drain takes effect in the
+// same step; then messages and outcomes.
 func (s *Sender) Step(now time.Duration, events []Event) []Action {
 	s.now, s.actions = now, nil
-	// Lists and operators first: a drain acts in the step that told of it.
+	// Lists and operators first: no message may go to an endpoint that drains as of this step.
 	for _, e := range events {
 		switch e := e.(type) {
 		case ListUpdate:
@@ -127,7 +164,7 @@
 				s.finish(m, nil)
 			}
 		case WakeDue:
-			s.nextWakeAt = 0 // a rounded clock may ring a little before the time
+			s.nextWakeAt = 0 // with a rounded clock the wake may come slightly early, and must be requested again
 		case ShuttingDown:
 			s.shuttingDown = true
 			s.handOverLimits(e)
@@ -138,7 +175,7 @@
 		s.emit(RequestList{})
 	}
 	s.expireMessages()
-	if !s.shuttingDown && !s.sendsPaused { // what is held goes on in the next life, or once it is known what holds
+	if !s.shuttingDown && !s.sendsPaused { // held messages continue in the next process, or after the pause
 		s.sendWaiting()
 		if s.sharesLimits() {
 			if s.requestGrants(); s.issueGrants() {
@@ -152,8 +189,8 @@
 	return s.actions
 }
 
-// setOut takes an endpoint out or puts it back, whatever its health and the list. Who takes one out most
-// likely restarts it, so it is taken for cold on its return.
+// setDisabled disables or enables an endpoint for the operators, whatever its health and the list say. An operator who
+// disables an endpoint most likely restarts it, so it is treated as cold when it is enabled again.
 func (s *Sender) setDisabled(id string, disabled bool) {
 	wasDisabled := s.disabledEndpoints[id]
 	if s.disabledEndpoints[id] = true; !disabled {
@@ -169,7 +206,7 @@
 	}
 }
 
-// arrived admits a message or refuses it at once.
+// handleArrived admits a message or refuses it at once.
 func (s *Sender) handleArrived(e MessageArrived) {
 	if s.messages[e.ID] != nil {
 		return
@@ -182,9 +219,9 @@
 	s.queueMessage(m, e.Key)
 }
 
-// resumed takes back a message from before a restart. It was admitted then, so no gate is asked; what may
-// have run already and may not be repeated ends here. A failure known from before may have been an outage's,
-// whose end this life did not see: the way back there is taken as cold.
+// handleResumed takes over a message from before a restart. It was admitted then, so the gate is not asked again. It
+// ends here if an attempt may have run and must not be repeated. A known failure may have been part of an outage whose
+// end this process did not see, so the routes of the destination start a recovery.
 func (s *Sender) handleResumed(e MessageResumed) {
 	if s.messages[e.ID] != nil {
 		return
@@ -205,8 +242,9 @@
 	s.queueMessage(m, e.Key)
 }
 
-// admit asks the gate, at arrival. Beside the paper's ratio stand two departures: the deadline bounds, and
-// a share of the room for held messages, since one backlog must not turn everybody else's messages away.
+// admit decides at arrival whether a message is taken on. There are two additions to the gate of the paper: bounds in
+// shares of the deadline, and a bound on the messages that one destination may have waiting (the room that is left for
+// open messages), so that the backlog of one does not cause refusals for all.
 func (s *Sender) admit(d *destination, m *message) bool {
 	if s.cfg.MaxOpenMessages > 0 && len(d.waiting) > s.cfg.MaxOpenMessages-len(s.openMessages) {
 		return false
@@ -214,7 +252,7 @@
 	if d.gate.accepts(d.gate.average, seconds(m.class.Deadline)) {
 		return true
 	}
-	// Shut: with nobody held or out, a single trial message lets the ratio fall.
+	// The gate is shut: with no message waiting or in flight, one trial message may bring the average down.
 	if len(d.waiting) == 0 && len(d.calls) == 0 && s.now-d.lastGateTrialAt >= gateTrialInterval {
 		d.lastGateTrialAt = s.now
 		return true
@@ -222,7 +260,7 @@
 	return false
 }
 
-// accepts moves the gate between its bounds and tells whether it is open.
+// accepts moves the gate between its bounds and reports whether it is open. Both values are in seconds.
 func (g *gate) accepts(current, deadline float64) bool {
 	base := max(g.baseline, seconds(minResponseTime))
 	upper, lower := gateUpperRatio*base, gateLowerRatio*base
@@ -233,7 +271,7 @@
 	return !g.shut
 }
 
-// retryAfter asks a refused client to stay away for about as long as the backlog lasts.
+// retryAfter is the time after which a refused client may try again: about as long as the backlog lasts.
 func (s *Sender) retryAfter(d *destination) time.Duration {
 	after := s.cfg.MaxRetryAfter
 	if d.gate.sampled && !d.gate.shut {
@@ -242,7 +280,8 @@
 	return after
 }
 
-// mayRefuse tells whether a refusal promises the truth, that coming again is harmless.
+// refusalIsSafe reports whether a message may be refused: a refusal promises that the client can safely hand the
+// message in again.
 func (s *Sender) refusalIsSafe(m *message) bool {
 	if m.class.Effect == Idempotent || (m.inFlight == 0 && !m.mayHaveRun) {
 		return true
@@ -250,7 +289,7 @@
 	return m.class.Effect == Deduplicated && m.mayHaveRun && m.class.AllEndpointsDeduplicate && s.now <= s.dedupWindowEnd(m)
 }
 
-// giveUp ends a message as its effect allows.
+// giveUp ends a message: refused if that is safe, and failed otherwise.
 func (s *Sender) giveUp(m *message) {
 	if s.refusalIsSafe(m) {
 		s.finish(m, Refuse{ID: m.id, RetryAfter: s.retryAfter(m.dest)})
@@ -259,7 +298,7 @@
 	}
 }
 
-// expire gives every open message its end in time, and sweeps out the ended.
+// expireMessages gives each open message a final answer in time, and removes the messages that have ended.
 func (s *Sender) expireMessages() {
 	s.openMessages = slices.DeleteFunc(s.openMessages, func(m *message) bool {
 		switch {
@@ -267,13 +306,13 @@
 		case s.now >= m.deadline-answerMargin-s.cfg.Tick && m.inFlight == 0, s.now >= m.deadline:
 			s.giveUp(m)
 		case m.mayHaveRun && m.inFlight == 0 && m.class.Effect == Deduplicated && s.now >= s.dedupWindowEnd(m)-2*waitingPollInterval:
-			s.giveUp(m) // soon it could neither be sent nor refused
+			s.giveUp(m) // after the dedup window it could be neither sent nor refused
 		}
 		return m.ended
 	})
 }
 
-// ended takes the outcome of an attempt.
+// handleAttemptEnded handles the outcome of an attempt.
 func (s *Sender) handleAttemptEnded(e AttemptEnded) {
 	key := attempt{e.ID, e.Attempt}
 	m, c := s.inFlight[key].message, s.inFlight[key].call
@@ -298,7 +337,7 @@
 		s.keyBlockedUntil[m.key] = max(s.keyBlockedUntil[m.key], s.now+s.cfg.OrderedPause)
 	}
 	if m.ended {
-		return // ended meanwhile; its turn and its key had to hear of the outcome all the same
+		return // it ended before; the state of its call and its key had to be updated all the same
 	}
 	staleReset := s.isStaleConnReset(c, e)
 	if !staleReset {
@@ -307,7 +346,7 @@
 	switch {
 	case e.MessageDone || e.Outcome == Success:
 		s.finish(m, nil)
-	case m.inFlight > 0: // another copy is out and may still pass
+	case m.inFlight > 0: // another attempt is in flight and may still succeed
 	case s.now >= m.deadline-answerMargin, mayHaveRun && m.class.Effect == AtMostOnce, s.attemptsExhausted(m):
 		s.giveUp(m)
 	default:
@@ -318,19 +357,23 @@
 	}
 }
 
-// stray tells that a call was lost with its connection. An endpoint may close an idle one at any moment, and
-// a call that crosses the close is reset before it could be answered: no sign of an outage or of slowness.
-// If the endpoint is down, the next call, over a new connection, tells.
+// isStaleConnReset reports whether a call was lost because its connection was closed. An endpoint may close an idle
+// connection at any moment, and a call that crosses the close is reset before it could be answered. That is no sign of
+// an outage or of slowness. If the endpoint is down, the next call, over a new connection, shows it.
 func (s *Sender) isStaleConnReset(c *call, e AttemptEnded) bool {
 	return e.Outcome == ConnReset && e.ReusedConn && seconds(e.Took) < c.endpoint.smoothedLatency/2
 }
 
-// sample is the one place that turns outcomes into gate samples. Whatever did not deliver is charged as slow,
-// or fast errors would make the ratio read healthy while everything is rejected; a refusal for being over a
-// limit is pacing news and no sample, for the hold that follows shows in the final one. Of a message held
-// through an outage only the time since the return counts (the call itself in any case): its hold says
-// nothing of what a new one would meet, and the old backlog kept the gate shut for messages that could be
-// in time.
+// sampleGate is the only place that turns outcomes into samples of the gate.
+//
+// An attempt that did not deliver the message counts as slow. Otherwise fast errors would keep the ratio low while
+// every call is rejected. A refusal counts only if all circuits of the destination are open. Otherwise it is over a
+// rate limit, which affects the pace and is no sample: the wait that follows is part of the response time of the
+// delivery.
+//
+// If the message was held through an outage, only the time since the end of the outage counts, or the duration of the
+// call if that is longer. The wait before says nothing about what a new message would meet, and it used to keep the
+// gate shut for messages that could have been delivered in time.
 func (s *Sender) sampleGate(m *message, c *call, o Outcome) {
 	sec := seconds(s.now - max(m.arrivedAt, min(c.endpoint.route.recoveryStartedAt, c.sentAt)))
 	switch o {
@@ -348,7 +391,8 @@
 	m.dest.gate.sample(s.now, sec)
 }
 
-// judge updates the health of an endpoint and its route from an outcome.
+// updateHealth updates the latencies of an endpoint, and the health and the share of the limit of its route, after a
+// call.
 func (s *Sender) updateHealth(c *call, e AttemptEnded) {
 	ep, r, took := c.endpoint, c.endpoint.route, max(seconds(e.Took), seconds(minResponseTime))
 	if c.trial {
@@ -365,29 +409,31 @@
 		ep.smoothedLatency, ep.ejectionTime = smooth(ep.smoothedLatency, took), 0
 		ep.penalizedLatency = smooth(ep.penalizedLatency, took)
 		if r.failures > 0 && r.failureRanNothing && !r.circuitOpen {
-			s.connTableFullUntil[ep.dest.kind] = s.now + connTableFullTime // no connection, then a pass: a full table
+			// Connect failures followed by a success: the table was full.
+			s.connTableFullUntil[ep.dest.kind] = s.now + connTableFullTime
 		}
 		s.recordSuccess(r)
 	case NotSent:
 	case Rejected:
-		// Refusals in a row rest longer each time, over a limit or shut. They are no outage by themselves:
-		// a large fleet meets three in a row at any busy limit.
+		// The pause grows with each refusal in a row, whether the destination is over a limit or down. Refusals alone
+		// are no outage: a large fleet gets three in a row at any busy limit.
 		if s.now-r.waitUntil > r.refusalBackoff {
 			r.refusalBackoff = minRefusalBackoff
-		} else if s.now >= r.waitUntil { // no fellow of the call that told of it
+		} else if s.now >= r.waitUntil { // not from a call that was in flight at the previous refusal
 			r.refusalBackoff *= 2
 		}
 		if backoff := r.refusalBackoff; s.needsGrant(ep.dest) {
-			r.waitUntil = max(r.waitUntil, s.now+e.RetryAfter) // for the rest the keeper holds back grants
+			r.waitUntil = max(r.waitUntil, s.now+e.RetryAfter) // the coordinator makes the pause, by granting less
 		} else {
 			r.waitUntil = max(r.waitUntil, s.now+max(e.RetryAfter, backoff))
 		}
 		ep.penalizedLatency = smooth(ep.penalizedLatency, 2*max(ep.penalizedLatency, took))
-		// Refused where there is no limit: a full queue, as of a destination that hangs.
+		// A refusal by a destination without a limit means a full queue, as when the destination hangs.
 		queueFull := r.limitReported && r.reportedLimit == 0
 		if outage := e.RetryAfter > minOutageRetryAfter; outage || queueFull || r.circuitOpen {
 			s.recordFailure(ep.dest, r, outage, true)
-		} else if e.RetryAfter > 0 || e.ReusedConn || s.now >= s.connTableFullUntil[ep.dest.kind] { // else a full table's
+		} else if e.RetryAfter > 0 || e.ReusedConn || s.now >= s.connTableFullUntil[ep.dest.kind] {
+			// Otherwise the refusal was most likely due to a full connection table.
 			s.cutShare(ep.dest, r)
 			if c := &ep.dest.requester; c.answeredAt < c.requestedAt {
 				c.allowanceFactor *= allowanceCutFactor
@@ -406,8 +452,9 @@
 	}
 }
 
-// shun leaves an endpoint that takes no connection alone for a while, longer each time, and tells whether
-// others of its route are left: then it has most likely gone, the list is late, and the route is not struck.
+// eject avoids an endpoint that takes no connections, for a longer time with each failure. It reports whether other
+// endpoints of its route are available. If so, the endpoint has most likely been removed and the list is late, and the
+// failure does not count against the route.
 func (s *Sender) eject(ep *endpoint) (othersAvailable bool) {
 	if s.now >= ep.ejectedUntil {
 		ep.ejectionTime = min(max(2*ep.ejectionTime, minEjectionTime), maxEjectionTime)
@@ -416,10 +463,11 @@
 	return s.othersAvailable(ep)
 }
 
-// giveBack closes idle connections that stand in other senders' way: an endpoint's table may be small, idle
-// ones counted, and a large fleet fills it. It acts where the connection would be closed before its next use
-// anyway, and at a kind where tables seem full: that costs handshakes while the sign lasts, and what waits
-// for its pace or a rest waits without a connection. One that this step's calls take is no idle one.
+// closeIdleConns closes idle connections that may keep other nodes out: the connection table of an endpoint may be
+// small, idle connections count, and those of a large fleet fill it. A connection is closed if the endpoint would
+// close it before its next use anyway, or if the tables of that kind of destination seem full. In the second case each
+// call costs a handshake, and a message that waits for its turn waits without a connection. A connection that a call
+// of this step uses is not idle.
 func (s *Sender) closeIdleConns() {
 	for _, ep := range s.idleCandidates {
 		rarelyCalled := s.cfg.IdleConnTimeout > 0 && (ep.sendInterval == 0 || ep.sendInterval > seconds(s.cfg.IdleConnTimeout))
@@ -430,9 +478,10 @@
 	s.idleCandidates = s.idleCandidates[:0]
 }
 
-// cut lowers this sender's part of the limit at a refusal. It knows its part by its own demand: whatever it
-// was, it falls to that at once and is halved from there, for where refused calls use up the limit, a fleet
-// that goes on asking gets nothing. The next call comes at any moment of the new pace, lest all come at once.
+// cutShare lowers this node's share of a limit after a refusal. The share falls to this node's own demand at once,
+// whatever it was before, and is halved from there: where refused calls also count against the limit, a fleet that
+// keeps asking gets nothing. The tokens are drawn at random, so that the nodes of a fleet do not make their next calls
+// at the same time.
 func (s *Sender) cutShare(d *destination, r *route) {
 	if limit := s.limit(r); limit > 0 {
 		r.limitShare = min(r.limitShare, 2*d.arrivalRate(s.now)/limit)
@@ -442,12 +491,14 @@
 	r.tokens = min(r.tokens, s.rng.Float64())
 }
 
-// failure notes a sign of an outage. It covers every kind: refused connections, errors, silence, shut doors.
-// A route gone sick gets single trials with growing pauses; the cold budget holds until it is surely warm.
-// One failure is no outage: a run is, if it is longer than the failures met everywhere explain. So a
-// lossy path of our own does not make all destinations look struck. Only calls that follow a pass there count
-// in that share, or an outage would raise the bar for itself. Routes apart of one destination add up their
-// runs, for an outage mostly takes them all and each sees few calls.
+// recordFailure counts a sign of an outage: a failed connection, an error, a time-out, or a refusal that means an
+// outage. If certain is set, the circuit opens at once. An open circuit gets single trials with growing pauses, and
+// after that the cold budget applies until the destination is certain to be warm again.
+//
+// A single failure is no outage. A run of failures is one if it is longer than the failure rate over all routes can
+// explain, so that a lossy network path of this node does not open all circuits. Only the first failure after a
+// success counts in that rate; otherwise an outage would raise the threshold for its own detection. If a destination
+// has separate routes, their runs are added up, because an outage mostly affects all of them and each has few calls.
 func (s *Sender) recordFailure(d *destination, r *route, certain, ranNothing bool) {
 	r.failureRanNothing, r.limitShareUpdatedAt = ranNothing, s.now
 	r.failures++
@@ -471,15 +522,16 @@
 			s.openCircuit(r)
 		}
 	} else if s.now >= r.nextTrialAt {
-		if !r.fleetWide { // one tries for all
+		if !r.fleetWide { // a fleet-wide route keeps its pause: one node makes the trials for all
 			r.trialBackoff = min(2*r.trialBackoff, maxTrialBackoff)
 		}
 		r.nextTrialAt = s.now + r.trialBackoff/2 + time.Duration(s.rng.Int64N(int64(r.trialBackoff)))
 	}
 }
 
-// strike opens an outage. The allowance starts anywhere below one call, or the senders of a large fleet, most
-// of which hold a single message, would all try at the same age of the outage.
+// openCircuit marks the start of an outage. The token bucket starts at a random level below one call. Otherwise the
+// nodes of a large fleet, most of which hold a single message, would all try at the same time after the start of the
+// outage.
 func (s *Sender) openCircuit(r *route) {
 	if !r.recovering() {
 		r.outageStartedAt, r.demandSinceOutage = s.now, 1
@@ -489,13 +541,13 @@
 	r.nextTrialAt = s.now + r.trialBackoff
 }
 
-// cool takes a route for just back from an outage.
+// startRecovery treats a route as just back from an outage, with a cold destination.
 func (s *Sender) startRecovery(r *route) {
 	s.openCircuit(r)
 	r.circuitOpen, r.recoveryStartedAt = false, s.now
 }
 
-// passed notes a delivered call: the end of an outage, a step of the recovery, or plain health.
+// recordSuccess counts a delivered call. It ends an outage, continues a recovery, or lets the share of the limit grow.
 func (s *Sender) recordSuccess(r *route) {
 	if !r.circuitOpen && r.failures == 0 {
 		s.failureRate *= 1 - failureRateSmoothing
@@ -506,11 +558,12 @@
 		r.windowSuccesses, r.windowStartedAt = 0, s.now
 	}
 	r.windowSuccesses++
-	// A rare sender's part would never come back in steps of a second; it grows by its whole pause where the
-	// destination tells that there is room.
+	// The share of a node that calls rarely would never grow back by steps of at most a second. So it grows for the
+	// whole time since the last update, as far as the destination reports that it has room.
 	maxSpan := max(1, r.limitLeft*seconds(demandDecayTime))
 	growth := shareGrowthPerSecond
-	if r.fleetWide && r.refusedShare < fleetRefusalThreshold/4 { // not too much, it seems: who took a limit over soon has all of it
+	if r.fleetWide && r.refusedShare < fleetRefusalThreshold/4 {
+		// Few refusals: a coordinator that took over may soon use the whole limit.
 		growth = takeoverGrowthPerSecond
 	}
 	r.limitShare = min(1, r.limitShare+growth*max(r.limitShare, s.evenShare(r))*min(maxSpan, seconds(s.now-r.limitShareUpdatedAt)))
@@ -523,7 +576,7 @@
 	}
 }
 
-// capacity is a careful guess of what the route takes a second from all senders when it is warm.
+// capacity is a cautious estimate of the calls per second that the route can take from all nodes when it is warm.
 func (s *Sender) capacity(r *route) float64 {
 	switch {
 	case r.reportedLimit > 0:
@@ -536,10 +589,11 @@
 	return max(r.peakRate, 1)
 }
 
-// pace is how many calls a second this sender may send on the route, and whether it is so bound. Of the cold
-// budget it takes what its own demand since the outage began calls for: over all senders that sums up to what
-// the destination is asked for, which a warm one can do. An even share starves the few senders of a large
-// fleet that hold messages, and wastes what the others leave.
+// callRate is the number of calls per second that this node may make on the route, and whether there is such a limit.
+// During a recovery the rate is a part of the cold budget, which is OverloadMultiple times the capacity that the
+// destination has regained by now. The part follows this node's own demand since the start of the outage. Over all
+// nodes that adds up to the demand on the destination, which it can serve when it is warm. An even part would starve
+// the few nodes of a large fleet that hold messages, and waste what the others do not use.
 func (s *Sender) callRate(r *route) (rate float64, limited bool) {
 	if r.recovering() && s.cfg.OverloadDuration > 0 && s.cfg.OverloadMultiple > 0 {
 		capacityShare := s.cfg.ColdCapacity
@@ -565,7 +619,7 @@
 	return r.limitShare * limit, limit > 0
 }
 
-// refill brings the token bucket up to now. On the way back from an outage nothing is saved up for a burst.
+// refill brings the token bucket of a route up to date. During a recovery it saves no tokens for a burst.
 func (s *Sender) refill(r *route) {
 	rate, limited := s.callRate(r)
 	if !limited {
@@ -576,15 +630,15 @@
 	if r.recovering() {
 		maxTokens = 1
 		if r.fleetWide {
-			maxTokens = max(1, fleetRecoveryBurstSeconds*rate) // wakes are too far apart for one call at a time of a whole fleet
+			maxTokens = max(1, fleetRecoveryBurstSeconds*rate) // one call per wake would be too few for a whole fleet
 		}
 	}
 	r.tokens = min(r.tokens+rate*seconds(s.now-r.refilledAt), maxTokens)
 	r.refilledAt = s.now
 }
 
-// lame tells that a destination is slow, or that at each of its routes the last call failed. With few slots,
-// first tries at silent destinations held them all.
+// isImpaired reports whether a destination is slow, or whether the last call failed on all its routes. The latter
+// counts because with few slots, first attempts at destinations that do not answer used to hold all of them.
 func (s *Sender) isImpaired(d *destination) bool {
 	for _, e := range d.endpoints {
 		if e.usable() && e.route.failures == 0 {
@@ -594,15 +648,17 @@
 	return true
 }
 
-// heldBack tells that lame destinations, of which this is one, hold their share of the slots.
+// atImpairedSlotCap reports whether the destination is impaired and all impaired destinations together hold their
+// share of the slots.
 func (s *Sender) atImpairedSlotCap(d *destination) bool {
 	return s.isImpaired(d) && s.cfg.Slots > 0 && float64(s.impairedSlots()) >= max(1, maxImpairedSlotShare*float64(s.cfg.Slots))
 }
 
-// preempt calls off calls that are out far longer than usual while no slot is free: silence, be it a few
-// destinations' or a lossy path's, must not stop delivery to all the others. A call whose messages may be
-// repeated goes first and at once; one that may not, only while slow destinations hold more than their share
-// of the slots, for it ends failed. Called-off work may be wasted; a full node would lose far more.
+// preempt cancels a call that is in flight far longer than usual while no slot is free. Destinations that do not
+// answer, or a lossy network path, must not stop the delivery to all others. A call whose messages may be repeated is
+// cancelled first. A call with an at-most-once message ends as failed, so it is cancelled only while slow destinations
+// hold more than their share of the slots. The work of a cancelled call may be lost, but a node without free slots
+// would lose far more.
 func (s *Sender) preempt() {
 	if !s.cfg.MayCancel || s.cfg.Slots <= 0 || s.callsInFlight < s.cfg.Slots {
 		return
@@ -612,7 +668,7 @@
 		slow := s.isSlow(d)
 		for _, c := range d.calls {
 			if c.cancelRequested {
-				return // its slot is about to come back
+				return // its slot will be free soon
 			}
 			if slow {
 				slowCalls++
@@ -638,8 +694,8 @@
 	}
 }
 
-// release fills free slots: the waiting destination that had the least slot time of late comes first, so that
-// one whose calls last long does not get as many slots as a fast one.
+// sendWaiting fills the free slots. The destination that used the least slot time recently goes first, so that one
+// with long calls does not get as many slots as one with short calls.
 func (s *Sender) sendWaiting() {
 	s.activeDestinations = slices.DeleteFunc(s.activeDestinations, func(d *destination) bool {
 		d.decaySlotUse(s.now)
@@ -668,9 +724,9 @@
 	}
 }
 
-// next finds the message a destination would release now, and its endpoint. The order is that of arrival,
-// unless the queue is so long that waiting costs worth: then the one that loses most by waiting as long
-// as the oldest has waited goes first.
+// nextMessage finds the message that a destination would send now, and its endpoint. Messages go in order of arrival
+// unless the queue is so long that waiting lowers their worth. Then the message goes first that would lose most by
+// waiting as long as the oldest one has waited.
 func (s *Sender) nextMessage(d *destination) (*message, *endpoint) {
 	if s.atImpairedSlotCap(d) {
 		return nil, nil
@@ -697,8 +753,9 @@
 	return best, bestEp
 }
 
-// loss is the worth that a message loses by waiting for another span. What a restart found untried comes
-// before all others, in order of arrival: by its worth alone it would wait to its end.
+// worthLoss is the worth that a message loses if it is sent after the delay and not now. A message that a restart
+// found without an attempt goes before all others, in order of arrival: by its worth alone it could wait until its
+// deadline.
 func (s *Sender) worthLoss(m *message, delay time.Duration) float64 {
 	if m.resumed && m.attempts == 0 {
 		return math.MaxFloat64
@@ -710,7 +767,8 @@
 	return s.worthAt(m, s.now+latency) - s.worthAt(m, s.now+latency+delay)
 }
 
-// draw picks an endpoint at random among those that pass a check, odds falling with smoothed latency.
+// pickEndpoint draws an endpoint at random among those that pass the check. The odds of an endpoint fall with its
+// latency. Ejected endpoints are used only if there are no others.
 func (s *Sender) pickEndpoint(m *message, check func(*message, *endpoint) bool) *endpoint {
 	total := 0.0
 	var candidates []*endpoint
@@ -720,7 +778,7 @@
 			if ejected := s.now < e.ejectedUntil; ejected && len(candidates) > 0 && s.now >= candidates[0].ejectedUntil {
 				continue
 			} else if !ejected && len(candidates) > 0 && s.now < candidates[0].ejectedUntil {
-				candidates, odds, total = nil, nil, 0 // whoever takes connections comes before those that don't
+				candidates, odds, total = nil, nil, 0 // an endpoint that takes connections replaces those that do not
 			}
 			o := math.Pow(max(e.penalizedLatency, seconds(minResponseTime)), -pickLatencyExponent)
 			candidates, odds, total = append(candidates, e), append(odds, o), total+o
@@ -738,8 +796,8 @@
 	return candidates[len(candidates)-1]
 }
 
-// routeOpen is the part of the check that hangs on the endpoint alone: operators, drain, wait,
-// health, budget and pace.
+// routeAllows is the part of the check before a send that depends on the endpoint alone: operators, drain, RetryAfter,
+// circuit breaker and rate.
 func (s *Sender) routeAllows(e *endpoint) bool {
 	r := e.route
 	if !e.usable() || s.now < r.waitUntil {
@@ -754,12 +812,12 @@
 	return !r.circuitOpen || (!r.trialInFlight && s.now >= r.nextTrialAt)
 }
 
-// check is the one gate before every send; no path goes round it.
+// maySend is the check before every send. There is no path around it.
 func (s *Sender) maySend(m *message, e *endpoint) bool {
 	return s.routeAllows(e) && s.messageAllows(m, e)
 }
 
-// fits is the part of the check that hangs on the message.
+// messageAllows is the part of the check that depends on the message.
 func (s *Sender) messageAllows(m *message, e *endpoint) bool {
 	if m.ended || m.inFlight > 0 || s.now < m.retryAt || s.attemptsExhausted(m) {
 		return false
@@ -769,8 +827,8 @@
 	}
 	switch m.class.Effect {
 	case AtMostOnce:
-		// On a sick route an unsafe message risks an unsure end, unless failures there prove that
-		// nothing ran; with most of its time gone it has less to lose.
+		// While the circuit is open, an attempt may end without proof that the message did not run, unless the
+		// failures there prove that nothing runs. A message past half of its time has less to lose.
 		pastHalf := s.now-m.arrivedAt > (m.deadline-m.arrivedAt)/2
 		if m.mayHaveRun || (e.route.circuitOpen && !e.route.failureRanNothing && !pastHalf) {
 			return false
@@ -782,7 +840,7 @@
 	}
 	if m.key != "" {
 		s.trimKeyQueue(m.key)
-		// Whoever had the turn before may try again without a rest.
+		// A message that was tried before may be retried without the pause.
 		queue := s.keyQueues[m.key]
 		if (s.now < s.keyBlockedUntil[m.key] && m.attempts == 0) || (len(queue) > 0 && queue[0] != m) {
 			return false
@@ -791,7 +849,8 @@
 	return true
 }
 
-// send sends a message and, where the kind allows, more of the destination's waiting ones in the same call.
+// send sends a message and, if the kind of destination allows batches, more of the destination's waiting messages in
+// the same call.
 func (s *Sender) send(d *destination, m *message, e *endpoint) {
 	r := e.route
 	c := &call{endpoint: e, sentAt: s.now, trial: r.circuitOpen, repeatable: true}
@@ -830,8 +889,8 @@
 	d.slotUse += seconds(slotChargePerCall)
 }
 
-// timeout is the clock time at which an attempt is abandoned. An unsafe message cannot be tried again, so it
-// is given all its time.
+// abandonAt is the clock time at which an attempt is abandoned. An at-most-once message cannot be retried, so its
+// attempt gets all the time that is left.
 func (s *Sender) abandonAt(m *message, e *endpoint) time.Duration {
 	last := m.deadline - answerMargin/2
 	if m.class.Effect == AtMostOnce {
@@ -846,7 +905,7 @@
 	return min(last, s.now+duration(t))
 }
 
-// probed takes the result of a probe as it takes that of a call.
+// handleProbeEnded treats the result of a probe like that of a call.
 func (s *Sender) handleProbeEnded(e ProbeEnded) {
 	if ep := s.endpoints[e.Endpoint]; ep != nil {
 		s.applyReport(ep.route, e.Report)
--- a/choice/measures.go
+++ b/choice/measures.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// What is counted, measured and looked up for the decisions, and decides nothing itself.
+// This file has the measurements and lookups that the decisions are based on.
 
-// arm asks to be woken when a message's time is up, and soon while one waits for a slot, a rest or a pace.
-// What is out wakes the sender by its outcome; with nothing held it sleeps.
+// scheduleWake requests a wake for the time at which a message must get its final answer, and an early one while a
+// message waits for a slot, a pause or a token. Calls in flight wake the Sender by their outcome. If nothing is held,
+// no wake is requested.
 func (s *Sender) scheduleWake() {
 	due := time.Duration(math.MaxInt64)
 	if s.listRequestAt > 0 {
@@ -29,7 +30,7 @@
 	}
 }
 
-// listed brings the list of endpoints up to date, and asks again for one that could not be had.
+// handleListUpdate applies a list, or schedules another request for one that could not be fetched.
 func (s *Sender) handleListUpdate(l ListUpdate) {
 	if l.Failed {
 		s.listRetryBackoff = min(max(2*s.listRetryBackoff, minTrialBackoff), time.Minute)
@@ -42,7 +43,8 @@
 	s.applyList(l)
 }
 
-// inShare counts a request against its tenant's share, of which this sender sees its part.
+// withinQuota counts a message against its tenant's quota, of which this node has an even part, and reports whether it
+// is within.
 func (s *Sender) withinQuota(i int) bool {
 	if i < 0 || i >= len(s.tenants) || s.cfg.Tenants[i].PerSecond <= 0 {
 		return true
@@ -57,7 +59,7 @@
 	return true
 }
 
-// sample takes a response time into the average, and keeps the lowest average as the baseline.
+// sample adds a response time to the average. The lowest average becomes the baseline.
 func (g *gate) sample(now time.Duration, sec float64) {
 	if !g.sampled {
 		g.sampled, g.average, g.baseline, g.sampledAt = true, sec, sec, now
@@ -70,10 +72,10 @@
 	g.sampledAt = now
 }
 
-// tableSample takes a call's outcome into what is known of the connection tables of a kind, and returns by how much more
-// of the calls over new connections are refused than of those over kept ones; 0 before one of these has been seen. A limit
-// refuses both alike; a full table refuses the new ones, and those that are kept idle fill it. A refusal that tells a
-// wait is a limit's, or a shut door's.
+// sampleConnTable adds a call to the statistics of the connection tables of a kind of destination. It returns by how
+// much more often calls over new connections are refused than those over reused ones, and 0 if there was no call over
+// a reused one yet. A rate limit refuses both alike. A full table refuses new connections, and idle connections are
+// what fills it. A refusal with a RetryAfter comes from a rate limit or an outage.
 func (s *Sender) sampleConnTable(kind int, e AttemptEnded) float64 {
 	t, refused := s.connTables[kind], 0.0
 	if e.Outcome == Rejected {
@@ -93,13 +95,13 @@
 	return t.NewRefused - t.ReusedRefused
 }
 
-// windowEnd is the last moment at which a keyed message's repeat is surely dropped: its call may begin as
-// late as a connect takes at the most.
+// dedupWindowEnd is the last moment at which a repeat of a deduplicated message is certain to be dropped by the
+// destination: establishing the connection may delay the start of the call by up to DialTimeout.
 func (s *Sender) dedupWindowEnd(m *message) time.Duration {
 	return s.latestStart(m) - s.cfg.DialTimeout
 }
 
-// beginBy is the last moment at which a repeat of a keyed message may begin; 0 for none.
+// latestStart is the last moment at which a repeat of a deduplicated message may be written; 0 for no bound.
 func (s *Sender) latestStart(m *message) time.Duration {
 	if m.class.Effect != Deduplicated || !m.mayHaveRun {
 		return 0
@@ -107,7 +109,7 @@
 	return m.firstRunSentAt + m.class.DedupWindow - answerMargin - 2*s.cfg.Tick
 }
 
-// even is a sender's even part of what a route takes; all of it where the route stands for all senders.
+// evenShare is a node's even share of what a route can take, and all of it for a fleet-wide route.
 func (s *Sender) evenShare(r *route) float64 {
 	if r.fleetWide {
 		return 1
@@ -115,7 +117,7 @@
 	return 1 / float64(s.cfg.FleetSize)
 }
 
-// limit is what the route takes a second from all senders as far as it is told, 0 for no limit.
+// limit is the limit of a route in calls per second from all nodes, as far as it is known; 0 for no limit.
 func (s *Sender) limit(r *route) float64 {
 	switch {
 	case !r.limitReported && r.weight > 0:
@@ -126,8 +128,8 @@
 	return s.estimatedLimit(r)
 }
 
-// slow tells that a destination's oldest call has been out far longer than usual: before any time-out has
-// passed, silence and crawling look like this. Its share of the slots is capped then.
+// isSlow reports whether the destination's oldest call is in flight far longer than usual. A destination that does not
+// answer or that gets very slow shows this before its first time-out. Its share of the slots is capped then.
 func (s *Sender) isSlow(d *destination) bool {
 	if len(d.calls) == 0 {
 		return false
@@ -136,7 +138,7 @@
 	return seconds(s.now-c.sentAt) > max(slowCallFactor*c.endpoint.smoothedLatency, seconds(minSlowCallTime))
 }
 
-// lameHeld counts the slots that lame destinations hold.
+// impairedSlots counts the slots that impaired destinations hold.
 func (s *Sender) impairedSlots() int {
 	n := 0
 	for _, d := range s.activeDestinations {
@@ -147,7 +149,7 @@
 	return n
 }
 
-// value is what a delivery at a moment is worth.
+// worthAt is the worth of a delivery of the message at the given clock time.
 func (s *Sender) worthAt(m *message, at time.Duration) float64 {
 	age, lateWorth := at-m.handedInAt, m.class.LateWorth
 	switch {
@@ -161,11 +163,13 @@
 	return m.worth * (1 - (1-lateWorth)*float64(age-m.aim)/float64(max(m.class.Deadline-m.aim, 1)))
 }
 
+// attemptsExhausted reports whether the message has used all the attempts that the settings allow.
 func (s *Sender) attemptsExhausted(m *message) bool {
 	return s.cfg.MaxAttempts > 0 && m.attempts >= s.cfg.MaxAttempts
 }
 
-// fleet is the route as its keeper knows it, for the calls of all.
+// fleetRoute is the fleet-wide view of an endpoint's route, which the coordinator of its destination has. It is
+// created when it is first needed.
 func (s *Sender) fleetRoute(e *endpoint) *route {
 	created := e.route.fleetRoute == nil
 	if created {
@@ -181,7 +185,7 @@
 	return e.route.fleetRoute
 }
 
-// warn tells a keeper that was silent of the outages that this sender has met meanwhile.
+// reportOutages reports the outages that this node met while it heard no coordinator.
 func (s *Sender) reportOutages(d *destination, coordinator int) {
 	reported := map[*route]bool{}
 	for _, e := range d.endpoints {
@@ -196,10 +200,11 @@
 	}
 }
 
-// sure is the share of the cold budget that a keeper hands out: what its rank begins with, all, a half, a quarter or an
-// eighth, so that all who may believe themselves keeper hand out less than twice the budget together, and one that all hear
-// the whole of it. Where the fleet may just have begun it is the part that it has of the limit, but for a quarter, which is
-// for those who hear no keeper and go by their allowance.
+// coldBudgetShare is the share of the cold budget that a coordinator grants from: its initial share of the limit,
+// which is all, a half, a quarter or an eighth by rank. So the coordinator that all nodes hear grants the whole
+// budget, and all nodes that believe they are the coordinator grant less than twice the budget together. If the
+// fleet may have just started, it is three quarters of the present share of the limit; the last quarter is for the
+// nodes that hear no coordinator and use their allowance.
 func (s *Sender) coldBudgetShare(r *route) float64 {
 	if s.cfg.ColdStart {
 		return 0.75 * r.limitShare
@@ -207,12 +212,13 @@
 	return r.initialShare
 }
 
-// best is the most that the route has passed in a second.
+// bestRate is the highest number of successful calls per second on the route so far.
 func (r *route) bestRate(now time.Duration) float64 {
 	return max(r.peakRate, r.windowSuccesses/max(1, seconds(now-r.windowStartedAt)), 1)
 }
 
-// newSince is since when this sender has known a destination of which no keeper has ever told it; 0 if one has.
+// uncoordinatedSince is when this node first heard of a destination for which no coordinator has ever answered. It is
+// 0 if one has, or if the fleet did not just start.
 func (s *Sender) uncoordinatedSince(c *grantRequester) time.Duration {
 	if s.cfg.ColdStart && c.answeredAt == 0 {
 		return c.firstSeenAt
@@ -220,7 +226,7 @@
 	return 0
 }
 
-// grantRate is how many calls a second the keeper granted of late.
+// grantRate is the recent rate of grants, in calls per second.
 func (c *grantRequester) grantRate(now time.Duration) float64 {
 	return c.recentGrants * math.Exp(-seconds(now-c.recentGrantsUpdatedAt)/seconds(demandDecayTime)) / seconds(demandDecayTime)
 }
--- a/choice/types.go
+++ b/choice/types.go
@@ -2,106 +2,117 @@
 
 import "time"
 
-// Effect tells what a repeat of a message may do at its destination.
+// Effect says whether a message of a class may be sent to its destination more than once.
 type Effect uint8
 
 // The effects of a class.
 const (
-	Idempotent   Effect = iota // repeats are harmless
-	Deduplicated               // repeats are dropped for a while
-	AtMostOnce                 // must never run twice
+	Idempotent   Effect = iota // a repeat is harmless
+	Deduplicated               // the destination drops repeats within Class.DedupWindow
+	AtMostOnce                 // the message must never run twice
 )
 
-// Class describes one kind of message. A zero field was not given.
+// Class describes one class of messages. A field that is zero was not configured.
 type Class struct {
-	Aim, Deadline           time.Duration // full worth until Aim, some until Deadline, both from the first hand-in
-	AimStretch              float64       // extra aim, as a multiple of the message's hint
-	Worth                   float64
-	LateWorth               float64 // share of Worth left at the deadline
-	Effect                  Effect
-	DedupWindow             time.Duration `json:"Window"`   // Keyed: how long repeats are dropped
-	AllEndpointsDeduplicate bool          `json:"GroupAll"` // Keyed: every endpoint of the destination drops repeats, not one zone's only
-	Ordered                 bool          // messages with one key take turns
+	// A delivery before Aim has the full worth, and one between Aim and Deadline a lower worth. Both are measured
+	// from the moment at which the client first handed the message in.
+	Aim, Deadline time.Duration
+	AimStretch    float64 // added to Aim, as a multiple of the message's Hint
+	Worth         float64 // value of a timely delivery, relative to the other classes
+	LateWorth     float64 // share of Worth that is left at the deadline
+	Effect        Effect
+	DedupWindow   time.Duration `json:"Window"` // Deduplicated: how long the destination drops repeats
+	// AllEndpointsDeduplicate applies to Deduplicated classes: it is true if all endpoints of a destination drop
+	// repeats of each other's messages, and false if only the endpoints of one zone do.
+	AllEndpointsDeduplicate bool `json:"GroupAll"`
+	Ordered                 bool // messages with the same key are delivered one after the other, in order of arrival
 }
 
 // Kind describes one kind of destination.
 type Kind struct {
-	SeparateRoutes bool `json:"Apart"` // endpoints are routes with limits and outages of their own
-	MaxBatch       int  `json:"Batch"` // messages in one call at most
+	SeparateRoutes bool `json:"Apart"` // each endpoint has its own rate limit and its own outages
+	MaxBatch       int  `json:"Batch"` // most messages in one call
 }
 
-// Tenant is a customer with a share of the service.
+// Tenant is a customer, with a quota of the service.
 type Tenant struct {
-	PerSecond float64 // requests inside its share, all senders together
+	PerSecond float64 // quota in messages per second, over all nodes of the fleet
 }
 
-// Settings are the facts a sender is born with. Zero means not given.
+// Settings are the facts of the deployment that a Sender is created with. A field that is zero was not configured.
 type Settings struct {
-	Classes             []Class
-	Kinds               []Kind
-	Tenants             []Tenant
-	FleetSize           int `json:"Fleet"` // senders altogether
-	Number              int // of this one among them, from 0
-	Slots               int // calls out at once
-	MaxOpenMessages     int `json:"MaxOpen"` // messages held, sent or not
-	MaxAttempts         int
-	MayDuplicate        bool
-	MayProbe            bool
-	MayCancel           bool
-	PeerDatagrams       bool    `json:"MayTell"`      // notes to other senders
-	ColdStart           bool    `json:"Cautious"`     // nothing is remembered from before, and the partners may be as cold as this sender is
-	ListOnRequest       bool    `json:"AskForList"`   // changes of the list come only on request
-	WorthHalves         bool    `json:"Halves"`       // worth halves with each further aim; otherwise it falls evenly
-	ApproximateWeights  bool    `json:"RoughWeights"` // an endpoint's Weight may be half too high or too low
-	WeightIsRate        bool    `json:"Weighted"`     // an endpoint's Weight is a rate in calls a second
-	OverQuotaWorth      float64 `json:"OverShareWorth"`
-	ZoneFee             []float64
-	Tick                time.Duration
-	MaxRetryAfter       time.Duration
-	DialTimeout         time.Duration
-	IdleConnTimeout     time.Duration `json:"ConnIdle"` // idle connections are closed after this
-	DrainTimeout        time.Duration `json:"DrainGrace"`
-	AnswerGrace         time.Duration
-	OverloadMultiple    float64       `json:"FallMultiple"` // a cold destination falls above this multiple of its capacity,
-	OverloadDuration    time.Duration `json:"Fall"`
-	ColdCapacity        float64       `json:"ColdFrom"` // share of its capacity that it has when it returns,
+	Classes         []Class
+	Kinds           []Kind
+	Tenants         []Tenant
+	FleetSize       int  `json:"Fleet"` // number of delivery nodes, each with one Sender
+	Number          int  // of this node in the fleet, from 0
+	Slots           int  // most calls in flight at the same time; 0 for no bound
+	MaxOpenMessages int  `json:"MaxOpen"` // most messages without a final answer; 0 for no bound
+	MaxAttempts     int  // most attempts for one message; 0 for no bound
+	MayDuplicate    bool // two attempts of one message may be in flight at once
+	MayProbe        bool // endpoints may be probed
+	MayCancel       bool // attempts that are in flight may be cancelled
+	PeerDatagrams   bool `json:"MayTell"` // nodes may send datagrams to each other
+	// ColdStart says that this node restored no memory, and that destinations may have started just now as well.
+	ColdStart     bool `json:"Cautious"`
+	ListOnRequest bool `json:"AskForList"` // changes of the list come only after a RequestList
+	// WorthHalves says that the worth halves with each further aim after the first; otherwise it falls linearly.
+	WorthHalves        bool          `json:"Halves"`
+	ApproximateWeights bool          `json:"RoughWeights"`   // an endpoint's Weight may be 50 % too high or too low
+	WeightIsRate       bool          `json:"Weighted"`       // an endpoint's Weight is a rate in calls per second
+	OverQuotaWorth     float64       `json:"OverShareWorth"` // factor on the worth of messages beyond a tenant's quota
+	ZoneFee            []float64     // by zone: cost of a message over a separate route there
+	Tick               time.Duration // interval at which the node handles events
+	MaxRetryAfter      time.Duration // longest wait that a client can be told
+	DialTimeout        time.Duration
+	IdleConnTimeout    time.Duration `json:"ConnIdle"` // endpoints close connections that were idle for this long
+	// DrainTimeout is the time in which sends to an endpoint must stop after the list says that it drains.
+	DrainTimeout time.Duration `json:"DrainGrace"`
+	AnswerGrace  time.Duration // a final answer may come this long after the deadline
+	// A cold destination fails if it gets more than OverloadMultiple times its present capacity for
+	// OverloadDuration.
+	OverloadMultiple float64       `json:"FallMultiple"`
+	OverloadDuration time.Duration `json:"Fall"`
+	// ColdCapacity is the share of its capacity that a destination has right after an outage. It has all of it after
+	// WarmUpTime.
+	ColdCapacity        float64       `json:"ColdFrom"`
 	WarmUpTime          time.Duration `json:"WarmWithin"`
-	OrderedPause        time.Duration `json:"OrderSettle"`
-	ListRequestInterval time.Duration `json:"MustAsk"`
+	OrderedPause        time.Duration `json:"OrderSettle"` // Ordered classes: pause between two messages of one key
+	ListRequestInterval time.Duration `json:"MustAsk"`     // the list must be requested at least this often
 }
 
 // Outcome is how an attempt or a probe ended.
 type Outcome uint8
 
-// The outcomes. Rejected, ConnectFailed and NotSent prove that nothing ran.
+// The outcomes. Rejected, ConnectFailed and NotSent prove that the destination did not process the message.
 const (
-	Success Outcome = iota
-	ServerError
-	Rejected
-	TimedOut
-	ConnectFailed
-	ConnReset
-	Cancelled
-	NotSent
+	Success       Outcome = iota
+	ServerError           // the endpoint answered with an error; it may have processed the message
+	Rejected              // the endpoint refused the call: over its limit, or its queue or connection table is full
+	TimedOut              // no answer until Send.AbandonAt
+	ConnectFailed         // no connection
+	ConnReset             // the connection was lost during the call
+	Cancelled             // by a Cancel
+	NotSent               // the node did not make the call
 )
 
-// Report is what an endpoint says of its limit. A missing value has its flag off.
+// LimitReport is what an endpoint reports about its rate limit. HasLeft and HasLimit say which values it sent.
 type LimitReport struct {
-	Left, Limit       float64 // share of the limit left; the limit in calls a second, 0 for none
+	Left, Limit       float64 // share of the limit that is left; the limit in calls per second, 0 for no limit
 	HasLeft, HasLimit bool
 }
 
-// Phase is an endpoint's place in the list.
+// Phase is the state of an endpoint in the list.
 type Phase uint8
 
 // The phases.
 const (
-	Ready Phase = iota
-	Draining
+	Ready    Phase = iota
+	Draining       // takes no new calls
 	Removed
 )
 
-// Entry is one endpoint of a list.
+// Entry describes one endpoint in a list.
 type Entry struct {
 	Endpoint   string
 	Zone, Kind int
@@ -110,53 +121,55 @@
 	Weight     float64
 }
 
-// Event is one piece of news for a sender: Listed, Arrived, Resumed, Ended, Dropped, Probed, Told,
-// Rang, Leaving, Disabled, Enabled or Member.
+// Event is an input of a Sender: ListUpdate, MessageArrived, MessageResumed, AttemptEnded, MessageDropped, ProbeEnded,
+// DatagramReceived, WakeDue, ShuttingDown, EndpointDisabled, EndpointEnabled, MemberChanged, SendsPaused or
+// MemoryRestored.
 type Event interface{ event() }
 
-// Listed brings the list of endpoints, whole or as changes.
+// ListUpdate brings the list of endpoints: all of it if Whole is set, otherwise the entries that changed. Failed says
+// that the list could not be fetched.
 type ListUpdate struct {
 	Whole, Failed bool
 	Entries       []Entry
 }
 
-// Arrived is a new message.
+// MessageArrived is a new message from a client.
 type MessageArrived struct {
 	ID                  string
 	Class, Tenant, Dest int
 	Key                 string
-	Deadline            time.Duration // clock time after which it cannot be delivered
-	Hint                time.Duration
+	Deadline            time.Duration // clock time from which a delivery is worth nothing
+	Hint                time.Duration // the client's estimate of the extra time needed; see Class.AimStretch
 }
 
-// Resumed is a message that the node took on before its process ended, and whose end it still owes.
+// MessageResumed is a message that an earlier process of the node admitted and that has no final answer yet.
 type MessageResumed struct {
 	MessageArrived
-	Attempts       int           // attempts used so far
-	Failed         bool          // one of them is known to have failed
-	MayHaveRun     bool          // one of them may have run,
-	FirstRunSentAt time.Duration // and the first of these was sent then,
-	Zone           int           // to an endpoint of this zone
+	Attempts       int           // number of attempts so far
+	Failed         bool          // at least one attempt is known to have failed
+	MayHaveRun     bool          // the destination may have processed an attempt
+	FirstRunSentAt time.Duration // send time of the first such attempt
+	Zone           int           // zone of the endpoint that it was sent to
 }
 
-// Ended is the one outcome of a Send.
+// AttemptEnded is the outcome of a Send. Each Send has exactly one.
 type AttemptEnded struct {
 	ID          string
 	Attempt     int
 	Endpoint    string
 	Outcome     Outcome
 	Took        time.Duration
-	MessageDone bool          // the message is over
-	RetryAfter  time.Duration // Rejected: the wait told
-	NoSlot      bool          // NotSent: all slots were taken
-	ReusedConn  bool          // the call went over a connection that had stood idle
+	MessageDone bool          // the message needs no further attempt or answer
+	RetryAfter  time.Duration // Rejected: the wait that the endpoint asks for; 0 for none
+	NoSlot      bool          // NotSent: no slot was free
+	ReusedConn  bool          // the call used a connection that had been idle
 	Report      LimitReport
 }
 
-// Dropped says that nobody wants the message any more.
+// MessageDropped says that nobody waits for the message any more.
 type MessageDropped struct{ ID string }
 
-// Probed is the result of a Probe.
+// ProbeEnded is the outcome of a Probe.
 type ProbeEnded struct {
 	Endpoint string
 	Outcome  Outcome
@@ -164,35 +177,38 @@
 	Report   LimitReport
 }
 
-// Told is a note of another sender. It may be old, and come twice.
+// DatagramReceived is a datagram from the Sender of another node. It may be delayed or duplicated.
 type DatagramReceived struct {
 	From    int
 	Payload []byte
 }
 
-// Rang says that a Wake has fallen due.
+// WakeDue says that the time of a Wake has come.
 type WakeDue struct{ Tag string }
 
-// Leaving says that the process is about to end: what is out may finish, and nothing new should be sent. With HandOver
-// the others know of it, and whoever keeps a limit next is told what this sender knows of it.
+// ShuttingDown says that the process is about to end. Calls in flight may finish, and no new ones are made. With
+// HandOver the other nodes know of the shutdown, and for each destination that this node coordinates, the next
+// coordinator is told the share of the limit that is in use.
 type ShuttingDown struct{ HandOver bool }
 
-// Disabled says that operators have taken an endpoint out: whatever the list and its health say, nothing more goes
-// there until Enabled. The endpoint need not have been listed yet.
+// EndpointDisabled says that operators have disabled an endpoint: it gets no new calls, whatever the list and its
+// health say, until EndpointEnabled. The endpoint need not be in the list yet.
 type EndpointDisabled struct{ Endpoint string }
 
-// Enabled says that operators have put an endpoint back. It was most likely restarted meanwhile.
+// EndpointEnabled says that operators have enabled an endpoint again. The endpoint was most likely restarted in the
+// meantime.
 type EndpointEnabled struct{ Endpoint string }
 
-// Member says that another sender of the fleet is gone, or back. Who has left has said so; who is gone otherwise may
-// be cut off from this one, and go on elsewhere.
+// MemberChanged says that another node of the fleet is gone or is back. LeftCleanly is set if the node announced that
+// it leaves. Otherwise it may be on the far side of a network partition and still be making calls.
 type MemberChanged struct {
 	Number            int
 	Gone, LeftCleanly bool
 }
 
-// Blind says that this process did not run for a while and has yet to confirm what it knows, or that it has: nothing new is
-// sent in between, and final answers come in time as ever.
+// SendsPaused with On set says that the node must not send anything new for the time being: for example, its process
+// did not run for a while and has yet to check that its list is current, or attempts cannot be written to the journal.
+// Final answers are still given in time. SendsPaused without On ends the pause.
 type SendsPaused struct{ On bool }
 
 func (SendsPaused) event()      {}
@@ -209,7 +225,7 @@
 func (WakeDue) event()          {}
 func (DatagramReceived) event() {}
 
-// Recalled is what an earlier process of the node had learnt, so long ago.
+// MemoryRestored brings what an earlier process of the node had learnt, and how long ago that was written.
 type MemoryRestored struct {
 	Memory
 	Age time.Duration
@@ -217,53 +233,56 @@
 
 func (MemoryRestored) event() {}
 
-// Action is one decision: Send, PushBack, Fail, Cancel, Probe, HangUp, Tell, Wake, Watch or Note.
+// Action is an output of a Sender: Send, Refuse, Fail, Cancel, Probe, CloseIdle, SendDatagram, Wake, RequestList or
+// LogLine.
 type Action interface{ action() }
 
-// Send calls an endpoint with a message; it is abandoned at NotPast. Nothing of it is written after BeginBy, however long
-// its connection takes: a repeat that comes later may run again. BeginBy is 0 where NotPast is the only bound.
+// Send asks for a call to an endpoint with the message. The attempt is abandoned at the clock time AbandonAt. If
+// LatestStart is not 0, no byte of the request may be written after it, even if the connection takes that long: a
+// repeat that reaches the destination later might be processed a second time.
 type Send struct {
 	ID, Endpoint           string
 	AbandonAt, LatestStart time.Duration
 }
 
-// PushBack ends a message undelivered; the client may safely come again after RetryAfter.
+// Refuse ends a message undelivered. It promises that the client may safely hand the message in again after
+// RetryAfter.
 type Refuse struct {
 	ID         string
 	RetryAfter time.Duration
 }
 
-// Fail ends a message and promises nothing.
+// Fail ends a message without a promise: the message may have been processed.
 type Fail struct{ ID string }
 
-// Cancel calls off an attempt that is out.
+// Cancel asks to abort an attempt that is in flight.
 type Cancel struct {
 	ID      string
 	Attempt int
 }
 
-// Probe sends a check.
+// Probe asks for a health check of an endpoint.
 type Probe struct{ Endpoint string }
 
-// HangUp gives back idle connections.
+// CloseIdle asks to close the idle connections to an endpoint.
 type CloseIdle struct{ Endpoint string }
 
-// Tell sends a note to another sender. It may never come.
+// SendDatagram sends a datagram to the Sender of another node. It may be lost.
 type SendDatagram struct {
 	To      int
 	Payload []byte
 }
 
-// Wake asks for a Rang at a clock time.
+// Wake asks for a WakeDue event at the clock time At.
 type Wake struct {
 	At  time.Duration
 	Tag string
 }
 
-// Watch asks for changes of the list.
+// RequestList asks for changes of the list of endpoints.
 type RequestList struct{}
 
-// Note is a line for the log.
+// LogLine is a line for the log.
 type LogLine struct{ Text string }
 
 func (Send) action()         {}
