--- a/choice/datagram.go
+++ b/choice/datagram.go
@@ -8,31 +8,38 @@
 	"time"
 )
 
-// A note between senders is a few bytes: every one is paid for by its length.
+// datagramKind is the first byte of a datagram between nodes. Datagrams are kept to a few bytes, because every one is
+// paid for by its length.
 type datagramKind uint8
 
+// The kinds of datagrams.
 const (
-	datagramRequest  datagramKind = 'a' // the sender could use so many calls
-	datagramGrant    datagramKind = 'g' // the receiver may make so many calls
-	datagramCallEnd  datagramKind = 'e' // a call has ended
-	datagramHandOver datagramKind = 'h' // the sender leaves, and the route takes so many 255ths of its limit
-	datagramOutage   datagramKind = 'c' // the sender, which heard no keeper, knows that the route is struck, or for how long it has been back
+	datagramRequest  datagramKind = 'a' // to the coordinator: the sending node could make count calls
+	datagramGrant    datagramKind = 'g' // from the coordinator: the receiver may make count calls
+	datagramCallEnd  datagramKind = 'e' // to the coordinator: a call has ended, with this outcome
+	datagramHandOver datagramKind = 'h' // to the next coordinator: the route uses count/255 of its limit
+	// To the coordinator, from a node that heard none for a while: the circuit of the route is open if count is 0,
+	// and otherwise it has been recovering for the time in wait.
+	datagramOutage datagramKind = 'c'
 )
 
+// maxDatagramSize is the size of the longest datagram, a request, in bytes.
 const maxDatagramSize = 11
 
+// datagram is a message between the Senders of two nodes. Which fields are used depends on the kind.
 type datagram struct {
 	kind         datagramKind
 	dest         int
-	route        uint16 // of those apart; 0 where all endpoints share one
-	seq          uint16
-	lastGrantSeq uint16 // the last grant that has come
-	count        int
-	urgency      uint8
+	route        uint16 // see routeID
+	seq          uint16 // number of the request, or of the grant
+	lastGrantSeq uint16 // request: number of the last grant that has arrived
+	count        int    // at most 255
+	urgency      uint8  // request: worth of the best message, as a fraction of 255
 	outcome      Outcome
-	wait         time.Duration
+	wait         time.Duration // call end: the RetryAfter of a refusal; outage: age of the recovery
 }
 
+// encode returns the datagram in its wire form. Durations are in whole milliseconds, up to 65.535 s.
 func (dg datagram) encode() []byte {
 	b := append(make([]byte, 0, maxDatagramSize), byte(dg.kind))
 	b = binary.BigEndian.AppendUint16(b, uint16(dg.dest))
@@ -55,6 +62,7 @@
 	return b
 }
 
+// decodeDatagram decodes a datagram, and reports whether it is valid.
 func decodeDatagram(b []byte) (datagram, bool) {
 	if len(b) < 8 {
 		return datagram{}, false
@@ -78,7 +86,8 @@
 	return dg, true
 }
 
-// mark names an endpoint's route in notes.
+// routeID identifies an endpoint's route in datagrams: 0 if all endpoints of the destination share a route, and
+// otherwise a hash of the endpoint's ID.
 func (s *Sender) routeID(e *endpoint) uint16 {
 	if !s.hasSeparateRoutes(e.dest) {
 		return 0
@@ -89,7 +98,8 @@
 	return max(uint16(v^v>>16), 1)
 }
 
-// mix orders the senders in which they keep a destination's limit, another order for each destination.
+// rankHash orders the nodes by rank as coordinators of a destination. The order differs from destination to
+// destination.
 func rankHash(dest, node int) uint64 {
 	x := uint64(dest)<<32 ^ uint64(node)
 	for range 3 {
@@ -98,11 +108,12 @@
 	return x
 }
 
-// newer tells that a number is not one of the last that came before another; numbers wrap, and those of a process
-// that was started anew begin anywhere.
+// isNewer reports whether a sequence number is none of the last 64 numbers up to last. Numbers wrap around, and those
+// of a restarted process begin anywhere.
 func isNewer(seq, last uint16) bool { return last-seq >= 64 }
 
-// note tells another sender, or this one, which may be a keeper itself.
+// sendDatagram sends a datagram to a node. If that is this node, which may be a coordinator itself, it is handled at
+// once.
 func (s *Sender) sendDatagram(to int, dg datagram) {
 	if to == s.cfg.Number {
 		s.handleDatagram(to, dg)
@@ -111,14 +122,15 @@
 	}
 }
 
-// told takes a note of another sender; what can't be read, or speaks of what is not known here, is left.
+// handleDatagramReceived handles a datagram from another node. One that is invalid, or about an unknown destination,
+// is ignored.
 func (s *Sender) handleDatagramReceived(e DatagramReceived) {
 	if dg, ok := decodeDatagram(e.Payload); ok && s.sharesLimits() && e.From >= 0 && e.From < s.cfg.FleetSize {
 		s.handleDatagram(e.From, dg)
 	}
 }
 
-// noted hands a note to what it is for.
+// handleDatagram handles a datagram by its kind.
 func (s *Sender) handleDatagram(from int, dg datagram) {
 	d := s.destinations[dg.dest]
 	if d == nil {
@@ -148,7 +160,8 @@
 	}
 }
 
-// handOver tells the next keeper of each limit that is kept here how much of it the destination takes of late.
+// handOverLimits tells the next coordinator of each destination that this node coordinates what share of the limit is
+// in use.
 func (s *Sender) handOverLimits(e ShuttingDown) {
 	if !e.HandOver || !s.sharesLimits() {
 		return
@@ -169,17 +182,18 @@
 	}
 }
 
-// ask sends an ask for so many calls.
+// sendRequest sends a request for a number of calls to a coordinator. With 0 calls it only asks for an answer.
 func (s *Sender) sendRequest(d *destination, coordinator, calls int, urgency float64, route uint16) {
 	c := &d.requester
 	if calls > 0 {
 		if c.answeredAt >= c.requestedAt {
-			// Who has a part of a call in a second makes none or a whole one: where each begins is left to chance,
-			// so that all together make what they may from the first moment on, and not all at once.
+			// This may be the start of a silence of the coordinator. The allowance of a node in a large fleet is a
+			// fraction of a call per second, so its bucket starts at a random level. Then all nodes together make the
+			// calls that they may make from the first moment on, and do not make them all at once.
 			c.unansweredSince, c.allowanceRefilledAt = s.now, s.now+coordinatorSilenceTimeout
 			c.grantedShare = min(1, (c.grantRate(s.now)*seconds(demandDecayTime)+0.5)/(d.arrivalRate(s.now)*seconds(demandDecayTime)+1.0))
 			if s.uncoordinatedSince(c) > 0 {
-				c.grantedShare = 0 // nothing was ever granted, and it may be cold
+				c.grantedShare = 0 // nothing was ever granted, and the destination may be cold
 			}
 			c.allowanceTokens = s.rng.Float64() + c.grantedShare*float64(len(d.waiting))
 		}
@@ -192,7 +206,7 @@
 	})
 }
 
-// giveBackGrants returns grants that have run out unused.
+// returnExpiredGrants returns grants that were not used in time, as calls that were not made.
 func (s *Sender) returnExpiredGrants(d *destination) {
 	d.requester.grants = slices.DeleteFunc(d.requester.grants, func(g grant) bool {
 		if s.now >= g.expiresAt {
@@ -202,8 +216,8 @@
 	})
 }
 
-// fresh tells that a grant has not come before. Grants overtake each other; of the last 64 it is known which have
-// come, and one from further behind is of a keeper that was started anew.
+// isNewGrant reports whether a grant has not arrived before. Grants may overtake each other, so the last 64 numbers
+// are remembered. A number from further behind comes from a coordinator that was restarted.
 func (c *grantRequester) isNewGrant(seq uint16) bool {
 	switch ahead, behind := seq-c.lastGrantSeq, c.lastGrantSeq-seq; {
 	case behind < 64:
--- a/choice/fleet.go
+++ b/choice/fleet.go
@@ -7,46 +7,56 @@
 	"time"
 )
 
-// The senders of a fleet share each destination's limit by way of a keeper: one of them, the same for all,
-// that every call is asked of beforehand, that grants calls at the pace which the destination takes from all
-// senders together, and that hears how they ended. So what no sender can see from its own few calls (a limit
-// lowered, an outage, a return) one of them sees from all, and what all would do in step (trials, the ends of
-// waits, the way back from an outage) one does for all. Notes may be lost, late or repeated: grants run out,
-// asks are said again, and a sender that hears from no keeper goes on alone, by its own pace.
+// The nodes of a fleet share the rate limit of each destination by way of a coordinator. It is one of the nodes,
+// chosen per destination by rendezvous hashing, so that all nodes that see the same members choose the same one. A
+// node requests grants from it for the calls that it wants to make, the coordinator issues grants at the rate that the
+// destination takes from all nodes together, and the nodes report to it how their calls ended.
+//
+// So the coordinator sees what no node can see from its own few calls: a lowered limit, an outage, a recovery. It also
+// does once what all nodes would otherwise do at the same time: trials, the end of a pause, the ramp-up after an
+// outage.
+//
+// These datagrams may be lost, delayed or duplicated. So grants expire, requests are repeated, and a node that hears
+// from no coordinator goes on by itself, at an allowance.
 
 const (
-	coordinatorRanks          = 4                      // senders that are tried as a keeper, one after another
-	fleetRecoveryBurstSeconds = 0.05                   // seconds of the fleet's pace that may go at once after an outage
-	requestRetryInterval      = 150 * time.Millisecond // an ask is said again after this,
-	requestRefreshInterval    = 400 * time.Millisecond // and after this if it was answered
-	maxGrantTransitTime       = 100 * time.Millisecond // a grant has come by then, or is lost
-	maxMissedRequests         = 3                      // and a keeper that has not answered so many is taken for gone
-	requestTTL                = time.Second            // an ask not said again for so long is forgotten
-	coordinatorSeekInterval   = time.Second            // who is alone or with a later keeper tries another so often
-	grantTTL                  = 200 * time.Millisecond // a grant that is not used is given back
-	fleetTrialTimeout         = 2 * time.Second        // a trial of which nothing is heard for so long is taken for lost
-	fleetShareCutFactor       = 0.7                    // factor on the pace of all at refusals over the limit,
-	connectFailureDeferral    = 2 * time.Second        // who got no connection comes after the others for so long
-	recentSuccessTime         = 500 * time.Millisecond // an outage lets nobody else's call pass for so long
-	fleetRefusalSmoothing     = 0.1                    // weight of a call in the share of refusals over the limit,
-	fleetRefusalThreshold     = 0.2                    // which tells that the pace is too high: a few come at any pace
-	fleetCutInterval          = 250 * time.Millisecond // once for those of calls that were out together
-	minFleetShare             = 0.05                   // least share of the limit that all together try
-	maxFleetRefusalBackoff    = time.Second            // longest rest of all after refusals in a row
-	partitionTimeout          = 30 * time.Second       // who is gone without a word may call on elsewhere so long
-	takeoverShare             = 0.5                    // part of the limit that a keeper begins with
-	takeoverGrowthPerSecond   = 1.0                    // growth a second of it, while next to nothing is refused
-	memoryDecayTime           = 30 * time.Second       // what an earlier process had learnt fades in this
-	coordinatorSilenceTimeout = 600 * time.Millisecond // a keeper without an answer for so long is silent
-	allowanceDecayTime        = 10 * time.Second       // in which an allowance goes from what was granted to an even part
-	allowanceCutFactor        = 0.5                    // factor on it at a refusal over the limit,
-	allowanceGrowthPerSecond  = 0.05                   // and what comes back a second
-	estimateGrowthPerSecond   = 0.1                    // share by which a limit that was found is tried higher, a second
-	slowStartRate             = 5.0                    // calls a second that a fleet begins with where no limit is told,
-	slowStartFactor           = 2.0                    // and times its best second from there, until some are refused
+	// Nodes that may coordinate a destination, by rank: the second one if the first does not answer, and so on.
+	coordinatorRanks          = 4
+	fleetRecoveryBurstSeconds = 0.05                   // seconds of its rate in the fleet's bucket, in a recovery
+	requestRetryInterval      = 150 * time.Millisecond // a request without an answer is repeated after this time,
+	requestRefreshInterval    = 400 * time.Millisecond // and an answered one, for calls still wanted, after this time
+	maxGrantTransitTime       = 100 * time.Millisecond // a grant that has not arrived by then is lost
+	maxMissedRequests         = 3                      // a coordinator that misses this many requests in a row is gone
+	requestTTL                = time.Second            // a request that is not repeated for this long is dropped
+	// A node without a coordinator, or with one of a lower rank, looks for another one at this interval.
+	coordinatorSeekInterval   = time.Second
+	grantTTL                  = 200 * time.Millisecond // a grant that is not used by then is returned
+	fleetTrialTimeout         = 2 * time.Second        // a trial whose outcome is not reported by then is lost
+	fleetShareCutFactor       = 0.7                    // factor on the fleet's rate when too many calls are refused
+	connectFailureDeferral    = 2 * time.Second        // a node that gets no connection comes last for this long
+	recentSuccessTime         = 500 * time.Millisecond // a connect failure this soon after a success is no outage
+	fleetRefusalSmoothing     = 0.1                    // weight of a call in the share of calls that are refused
+	fleetRefusalThreshold     = 0.2                    // share above which the rate is too high; a few come at any rate
+	fleetCutInterval          = 250 * time.Millisecond // one cut for all refused calls that were in flight together
+	minFleetShare             = 0.05                   // least share of a limit that the whole fleet uses
+	maxFleetRefusalBackoff    = time.Second            // longest pause of the whole fleet after consecutive refusals
+	partitionTimeout          = 30 * time.Second       // a node that vanished may still make calls for this long
+	takeoverShare             = 0.5                    // share of a limit that a new coordinator begins with
+	takeoverGrowthPerSecond   = 1.0                    // growth of that share per second while few calls are refused
+	memoryDecayTime           = 30 * time.Second       // decay time of what an earlier process had learnt
+	coordinatorSilenceTimeout = 600 * time.Millisecond // a coordinator that does not answer for this long is silent
+	allowanceDecayTime        = 10 * time.Second       // decay time of past grants as the measure of an allowance
+	allowanceCutFactor        = 0.5                    // factor on the allowance when a call is refused over the limit,
+	allowanceGrowthPerSecond  = 0.05                   // and its growth per second afterwards
+	estimateGrowthPerSecond   = 0.1                    // growth of an estimated limit per second
+	// A starting fleet begins with this many calls per second if the limit is unknown, and goes on with a multiple of
+	// its best second so far until calls are refused.
+	slowStartRate   = 5.0
+	slowStartFactor = 2.0
 )
 
-// met takes what membership tells of another sender. Who asked one that is gone asks the next at once.
+// handleMemberChanged handles a change of the fleet's membership. If that changes the coordinator of a destination,
+// the next request goes to the new one at once.
 func (s *Sender) handleMemberChanged(e MemberChanged) {
 	s.updateMembers(e)
 	for _, d := range s.destinationOrder {
@@ -56,7 +66,8 @@
 	}
 }
 
-// here is the part of a limit for those who are seen. The others may be cut off, and take theirs there.
+// reachableShare is the part of a limit that is for the members that are reachable. The others may be on the far side
+// of a partition, and use their part there.
 func (s *Sender) reachableShare() float64 {
 	unreachable := 0
 	for _, at := range s.lostMembers {
@@ -67,9 +78,10 @@
 	return 1 - float64(unreachable)/float64(s.cfg.FleetSize)
 }
 
-// beginAt is the part of a limit with which this sender begins to keep it. Those before it in rank may keep
-// it still, and not be heard by all: so each rank begins with half of the one before, and all that believe
-// themselves keeper begin with less than twice the limit together. Passes make it grow.
+// initialFleetShare is the share of a limit with which this node begins to coordinate a destination. Nodes of a
+// higher rank may still coordinate it without being heard by all. So each rank begins with half of the share of the
+// one before, and all nodes that believe they are the coordinator begin with less than twice the limit together.
+// The share grows with successful calls.
 func (s *Sender) initialFleetShare(d *destination) float64 {
 	share := 1.0
 	if s.lostMembers != nil {
@@ -81,7 +93,7 @@
 	return share
 }
 
-// claims asks for what the waiting messages could use now.
+// requestGrants requests grants for the waiting messages that could be sent now.
 func (s *Sender) requestGrants() {
 	for _, d := range s.activeDestinations {
 		c := &d.requester
@@ -113,8 +125,8 @@
 	}
 }
 
-// wanted counts the messages that could go out if they were granted, the worth of the best of them as a share
-// of the best there is, and the route that is drawn for it.
+// grantDemand counts the messages that could be sent if they had grants. The urgency is the highest worth among them,
+// relative to the class with the highest worth, and the route is the one that was drawn for that message.
 func (s *Sender) grantDemand(d *destination) (n int, urgency float64, route uint16) {
 	if s.atImpairedSlotCap(d) {
 		return
@@ -133,8 +145,8 @@
 	return n, urgency, route
 }
 
-// missed counts an ask without an answer: a silent keeper is given up for the next, and after the last of
-// them the sender goes on alone, on its allowance.
+// countMissedRequest counts a request without an answer. A coordinator that misses too many is replaced by the next in
+// rank. After the last one, the node goes on without a coordinator, within its allowance.
 func (s *Sender) countMissedRequest(d *destination) {
 	c := &d.requester
 	if c.missedRequests++; c.missedRequests < maxMissedRequests {
@@ -146,12 +158,14 @@
 	}
 }
 
-// allowance is what an arrival adds to the calls that this sender may make on its own while its keeper is
-// silent, and what a second adds. An arrival adds the part of a call that arrivals of late were granted: over
-// all senders that adds up to what the keeper gave, however few messages each holds. With time it goes over
-// to an even part of the limit. So those who hear nobody stay about within the limit together, whatever each
-// of them believes; a keeper that some do hear grants these no more than the limit, and both together are
-// under twice that, until the refusals cut both.
+// allowance is what each arriving message, and each second, add to the calls that this node may make by itself while
+// its coordinator is silent.
+//
+// An arrival adds the share of recent arrivals that got grants. Over all nodes that adds up to what the coordinator
+// granted, however few messages each one has. Over time this changes to an even part of the limit for each node. So
+// the nodes that hear no coordinator stay close to the limit together, even if they disagree about which node it is. A
+// coordinator that some nodes do hear grants these at most the limit. Both groups together stay below twice the limit,
+// until refusals make both cut their rate.
 func (s *Sender) allowance(d *destination) (perArrival, perSecond float64) {
 	c := &d.requester
 	for i, e := range d.endpoints {
@@ -162,18 +176,19 @@
 	grantWeight := math.Exp(-seconds(s.now-c.answeredAt) / seconds(allowanceDecayTime))
 	if perSecond > 0 {
 		perArrival, perSecond = c.allowanceFactor*grantWeight*c.grantedShare, perSecond*c.allowanceFactor*(1-grantWeight)
-	} else { // nobody has told a limit: refusals alone bind
+	} else { // no limit is known: only refusals limit the rate
 		perArrival, perSecond = c.allowanceFactor, c.allowanceFactor*d.arrivalRate(s.now)
 	}
-	if coldSince := max(c.lastFailureAt, s.uncoordinatedSince(c)); coldSince > 0 && s.now-coldSince < s.cfg.WarmUpTime { // it may be back cold
+	if coldSince := max(c.lastFailureAt, s.uncoordinatedSince(c)); coldSince > 0 && s.now-coldSince < s.cfg.WarmUpTime {
+		// The destination may have come back from an outage, and be cold.
 		perArrival, perSecond = perArrival*s.cfg.ColdCapacity, perSecond*s.cfg.ColdCapacity
 	}
 	return perArrival, perSecond
 }
 
-// onAllowance tells that the destination's keeper has been silent for so long that a call may go out without
-// it, or that there is none. While one may still come, nothing goes out on the way back from an outage: the
-// cold budget is its.
+// withinAllowance reports whether a call may be made without a grant, because there is no coordinator or it has been
+// silent for long enough. As long as a coordinator may still answer, nothing is sent without a grant during a
+// recovery: the coordinator hands out the cold budget.
 func (s *Sender) withinAllowance(e *endpoint) bool {
 	c, r := &e.dest.requester, e.route
 	coordinatorAnswers := c.answeredAt >= c.requestedAt || s.now-c.unansweredSince < coordinatorSilenceTimeout
@@ -188,7 +203,8 @@
 	return c.allowanceTokens >= 1
 }
 
-// seek asks an earlier keeper, or when alone each in turn, whether it is there.
+// seekCoordinator checks whether a coordinator of a higher rank is there again. A node without a coordinator tries all
+// ranks in turn.
 func (s *Sender) seekCoordinator(d *destination) {
 	c := &d.requester
 	if s.now-c.lastSeekAt < coordinatorSeekInterval {
@@ -196,26 +212,28 @@
 	}
 	c.lastSeekAt = s.now
 	rank := 0
-	if c.seekTurn++; c.uncoordinated && c.seekTurn%2 == 0 { // the first in between: all should come back to the same
+	if c.seekTurn++; c.uncoordinated && c.seekTurn%2 == 0 {
+		// Every other time it tries rank 0, so that all nodes return to the same coordinator.
 		rank = c.seekTurn / 2 % max(len(d.coordinators), 1)
 	}
 	s.reportOutages(d, s.coordinator(d, rank))
 	s.sendRequest(d, s.coordinator(d, rank), 0, 0, 0)
 }
 
-// tellKeeper reports a call's end to whoever keeps the destination's limit.
+// reportCallEnd reports the end of a call to the coordinator of the destination.
 func (s *Sender) reportCallEnd(ep *endpoint, o Outcome, wait time.Duration) {
 	if o == ConnectFailed && s.othersAvailable(ep) {
-		o = NotSent // of that endpoint alone
+		o = NotSent // that endpoint is gone; the route is not affected
 	}
-	if s.needsGrant(ep.dest) && !s.sendsPaused { // what it knows may be long past
+	if s.needsGrant(ep.dest) && !s.sendsPaused { // during a pause the outcome may be old
 		s.sendDatagram(s.coordinator(ep.dest, ep.dest.requester.coordinatorRank), datagram{
 			kind: datagramCallEnd, dest: ep.dest.id, route: s.routeID(ep), outcome: o, wait: wait,
 		})
 	}
 }
 
-// grantedBy takes a keeper's answer, which may grant nothing yet. What is not needed then is given back.
+// handleGrant handles a coordinator's answer to a request, with a grant or without. A grant that is not needed by then
+// is returned when it expires.
 func (s *Sender) handleGrant(d *destination, from int, dg datagram) {
 	c := &d.requester
 	for rank := range coordinatorRanks {
@@ -234,13 +252,14 @@
 	}
 }
 
-// asked takes an ask, as the keeper.
+// handleRequest handles a request for grants, as the coordinator.
 func (s *Sender) handleRequest(d *destination, from int, dg datagram) {
 	if !slices.ContainsFunc(d.endpoints, (*endpoint).usable) {
-		return // of a destination that is not known here others can tell more
+		return // no usable endpoint is known here: another coordinator may know more
 	}
 	if from != s.cfg.Number {
-		if s.now-d.lastPeerRequestAt > requestTTL { // they may come from another keeper, or from none
+		if s.now-d.lastPeerRequestAt > requestTTL {
+			// The other nodes may have used another coordinator until now, or none.
 			for _, e := range d.endpoints {
 				f := s.fleetRoute(e)
 				f.limitShare = min(f.limitShare, s.initialFleetShare(d))
@@ -256,7 +275,8 @@
 		req.waitingSince = s.now
 	}
 	req.requestSeq, req.calls, req.urgency, req.preferredRoute = dg.seq, dg.count, dg.urgency, dg.route
-	if s.now-req.lastGrantAt < maxGrantTransitTime { // the ask does not know of what has crossed it
+	if s.now-req.lastGrantAt < maxGrantTransitTime {
+		// The request was sent before the latest grants arrived.
 		req.calls -= min(req.calls, int(req.lastGrantSeq-dg.lastGrantSeq))
 	}
 	d.requests.refresh(req, s.now)
@@ -266,8 +286,8 @@
 	}
 }
 
-// grant grants what the destinations kept here have room for, and answers all that asked. It tells whether
-// something was granted to this sender itself.
+// issueGrants issues grants for the destinations that this node coordinates, as far as they have room, and answers all
+// other requests. It reports whether this node granted a call to itself.
 func (s *Sender) issueGrants() (toSelf bool) {
 	s.expireRequests()
 	for _, d := range s.coordinated {
@@ -295,15 +315,14 @@
 	return toSelf
 }
 
-// before tells who is granted a call first: whose message is worth most, and of these the one that has waited
-// longest. Who got no connection of late comes last: its list may be old, and then its calls and trials tell
-// nothing.
+// before orders the requests for grants: first the one whose message has the highest worth, and among equals the one
+// that has waited longest.
 func (r *grantRequest) before(other *grantRequest) bool {
 	return cmp.Or(cmp.Compare(other.urgency, r.urgency), cmp.Compare(r.waitingSince, other.waitingSince), r.firstSeenOrder-other.firstSeenOrder) < 0
 }
 
-// fleetRoom is an endpoint whose route takes another call of the fleet now: one of the route that was drawn
-// by who asks, or else of that with most room.
+// endpointWithRoom finds an endpoint whose route has room for another call of the fleet: on the preferred route if
+// possible, and otherwise on the route with most room.
 func (s *Sender) endpointWithRoom(d *destination, preferred uint16) (best *endpoint) {
 	for _, e := range d.endpoints {
 		f := s.fleetRoute(e)
@@ -324,8 +343,8 @@
 	return best
 }
 
-// found is what is taken as the limit of a route that tells none and has refused: what it passed in its best
-// second, and more with time. Senders that can't tell one another anything find each its own.
+// estimatedLimit is the estimated limit of a route that reports none and has refused calls: the rate of its best
+// second, growing with time. Nodes that cannot exchange datagrams estimate it each for themselves.
 func (s *Sender) estimatedLimit(r *route) float64 {
 	if r.lastCutAt == 0 || r.limitReported || (!r.fleetWide && s.sharesLimits()) {
 		return 0
@@ -333,17 +352,18 @@
 	return r.bestRate(s.now) * (1 + estimateGrowthPerSecond*seconds(s.now-r.lastCutAt))
 }
 
-// begin takes a route whose limit is told for cold where nothing is remembered of it: partners may start too.
+// startCold treats a route with a known limit as cold if this node remembers nothing of it: destinations may be
+// starting at the same time as the fleet.
 func (s *Sender) startCold(e *endpoint, f *route) {
 	if s.cfg.ColdStart && s.limit(f) > 0 && s.now-e.dest.requester.firstSeenAt < s.cfg.WarmUpTime {
 		s.startRecovery(f)
-		f.limitShare *= takeoverShare // those of other ranks may not be heard, and begin as well
+		f.limitShare *= takeoverShare // coordinators of other ranks that are not heard may begin as well
 	}
 }
 
-// fleetStruck takes an outage that another sender has met while it heard no keeper, as the keeper: those who
-// come back all at once must not be granted what a cold destination can't do. Others who get through know
-// better.
+// handleOutage handles the report of an outage that another node met while it heard no coordinator. Nodes that come
+// back all at once must not be granted more than a cold destination can take. The report is ignored if calls of other
+// nodes succeeded recently.
 func (s *Sender) handleOutage(e *endpoint, open bool, age time.Duration) {
 	f := s.fleetRoute(e)
 	if f.recovering() || age > s.cfg.WarmUpTime || (f.lastSuccessAt > 0 && s.now-f.lastSuccessAt < recentSuccessTime) {
@@ -355,8 +375,8 @@
 	}
 }
 
-// recallRoute takes over what an earlier process knew of a route: the part of its limit that it kept, and an
-// outage, for the destination may be back cold by now, or has been cold for longer.
+// restoreRoute takes over what an earlier process knew of a route: the share of its limit, if it was the coordinator,
+// and an outage. By now the destination may be back and cold, or has been cold for some time.
 func (s *Sender) restoreRoute(e *endpoint, remembered RememberedRoute, age time.Duration, trust float64) {
 	r := e.route
 	if remembered.LimitShare > 0 && s.sharesLimits() && s.coordinator(e.dest, 0) == s.cfg.Number {
@@ -372,7 +392,7 @@
 	}
 }
 
-// fleetHeard takes the end of any sender's call, as the keeper.
+// handleCallEnd handles the end of a call that any node made, as the coordinator.
 func (s *Sender) handleCallEnd(e *endpoint, from int, o Outcome, wait time.Duration) {
 	f := s.fleetRoute(e)
 	f.trialInFlight = false
@@ -383,10 +403,10 @@
 		e.dest.requests.reposition(req, s.now)
 	}
 	if o == ConnectFailed && s.now-f.lastSuccessAt < recentSuccessTime && f.lastSuccessAt > 0 {
-		return // others get through: who does not has an old list
+		return // other nodes get connections, so the list of this one is stale
 	}
 	switch outage := wait > minOutageRetryAfter; {
-	case o == NotSent: // it was not made, or not taken: the destination has room for another
+	case o == NotSent: // the call was not made, so its token is free again
 		f.tokens++
 	case o == Cancelled:
 	case o == Success:
--- a/choice/memory.go
+++ b/choice/memory.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// maxRemembered bounds what a sender remembers of destinations; those that were mentioned first come first.
+// maxRememberedDests bounds the number of destinations in a Memory. Those that were mentioned first are kept.
 const maxRememberedDests = 1024
 
-// Memory is what a sender has learnt and a new process of its node begins with. Times are ages when it was written.
+// Memory is what a Sender has learnt and what the next process of its node begins with. Times in it are ages at the
+// time of writing.
 type Memory struct {
 	Dests []RememberedDest
 }
@@ -16,21 +17,21 @@
 // RememberedDest is a destination in a Memory.
 type RememberedDest struct {
 	ID                int
-	Average, Baseline float64 // of the gate, in seconds; 0 for none
+	Average, Baseline float64 // of the admission gate, in seconds; 0 for none
 	Routes            []RememberedRoute
 }
 
-// RememberedRoute is a route in a Memory: an endpoint, or all of a destination that share one.
+// RememberedRoute is a route in a Memory. A route that several endpoints share is in it once for each.
 type RememberedRoute struct {
-	Endpoint         string        // one of it
-	PenalizedLatency float64       `json:"Response"`
-	SmoothedLatency  float64       `json:"Usual"`
-	LimitShare       float64       `json:"Part"` // of the limit, as a keeper knows it; 0 if it keeps none
-	CircuitOpen      bool          `json:"Sick"` // struck
-	ColdFor          time.Duration `json:"Cold"` // or back for so long; 0 for neither
+	Endpoint         string        // ID of the endpoint
+	PenalizedLatency float64       `json:"Response"` // smoothed, in seconds; failures count as slow
+	SmoothedLatency  float64       `json:"Usual"`    // smoothed, in seconds; successful calls only
+	LimitShare       float64       `json:"Part"`     // of the limit, if the node is the coordinator; 0 otherwise
+	CircuitOpen      bool          `json:"Sick"`     // the route is in an outage
+	ColdFor          time.Duration `json:"Cold"`     // age of its recovery; 0 if it is not in one
 }
 
-// Remember is what a new process of this node should begin with.
+// Remember returns what the next process of this node should begin with.
 func (s *Sender) Remember() Memory {
 	var m Memory
 	for _, d := range s.destinationOrder {
@@ -57,7 +58,8 @@
 	return m
 }
 
-// rounded keeps what a new process can use of a figure: a tenth of a millisecond, or of a thousandth. What is there stays.
+// rounded rounds a figure to the precision that is useful to a new process: 0.1 ms for a latency, 0.0001 for a share.
+// A positive figure stays positive.
 func rounded(x float64) float64 {
 	const unit = 1e-4
 	if x <= 0 {
@@ -66,8 +68,8 @@
 	return max(math.Round(x/unit), 1) / (1 / unit)
 }
 
-// recalled takes what an earlier process of the node has learnt, the older the less of it. What this one has learnt
-// itself stays.
+// handleMemoryRestored takes over what an earlier process of the node had learnt. The older it is, the less weight it
+// has. It does not replace what this process has learnt itself.
 func (s *Sender) handleMemoryRestored(e MemoryRestored) {
 	trust := math.Exp(-seconds(e.Age) / seconds(memoryDecayTime))
 	for _, dest := range e.Dests {
--- a/choice/requestqueue.go
+++ b/choice/requestqueue.go
@@ -6,26 +6,29 @@
 	"time"
 )
 
-// line holds those who ask a keeper, so that an ask, a grant and the end of a call cost the logarithm of how many ask and not
-// their number. Who comes first is decided by want.before.
+// requestQueue holds the requests of the nodes at the coordinator of a destination. It is ordered by
+// grantRequest.before, in heaps, so that a request, a grant and the end of a call cost O(log n) for n requesting
+// nodes.
 //
-// Invariants: one want for each sender; those that could use a call stand in one of the heaps, under lost as long as they
-// got no connection of late; said has every want, in the order in which it was last said, some of them twice.
+// Invariants: each node has one request. A request for at least one call is in one of the heaps: in deferred as long
+// as deferredUntil has not passed, and in ready otherwise. Each request is in refreshes, in the order in which the
+// requests were last received; an entry that is out of date may precede it.
 type requestQueue struct {
-	byNode     map[int]*grantRequest
-	ready      requestHeap
-	deferred   requestHeap
+	byNode     map[int]*grantRequest // by number of the requesting node
+	ready      requestHeap           // requests that can be granted now
+	deferred   requestHeap           // requests of nodes that recently got no connection
 	refreshes  []requestRefresh
-	unanswered []*grantRequest // an answer
-	created    int             // of all that ever asked
+	unanswered []*grantRequest // requests that may have had no answer yet
+	created    int             // number of requests created so far
 }
 
+// requestRefresh records when a request was received.
 type requestRefresh struct {
 	request *grantRequest
 	at      time.Duration
 }
 
-// wantHeap is a heap by want.before.
+// requestHeap is a heap for container/heap, ordered by grantRequest.before.
 type requestHeap []*grantRequest
 
 func (h requestHeap) Len() int           { return len(h) }
@@ -47,7 +50,8 @@
 	return req
 }
 
-// want is what a sender asks for; new, after an ask of that number, if it has not asked before.
+// requestOf returns the request of a node. If the node has none, it creates one whose last sequence number is seq.
+// Grant numbers start at random, so that a node can tell them from those of an earlier process of the coordinator.
 func (q *requestQueue) requestOf(from int, seq uint16, rng *rand.Rand) *grantRequest {
 	req := q.byNode[from]
 	if req == nil {
@@ -61,7 +65,7 @@
 	return req
 }
 
-// asked notes that a want was said again, and is owed an answer.
+// refresh records that a request was received again, and that an answer is due.
 func (q *requestQueue) refresh(req *grantRequest, now time.Duration) {
 	req.refreshedAt = now
 	q.refreshes = append(q.refreshes, requestRefresh{req, now})
@@ -72,7 +76,7 @@
 	q.reposition(req, now)
 }
 
-// moved puts a want where it belongs, after something of it has changed.
+// reposition moves a request to the heap and position where it belongs, after it has changed.
 func (q *requestQueue) reposition(req *grantRequest, now time.Duration) {
 	q.removeFromHeap(req)
 	switch {
@@ -86,6 +90,7 @@
 	}
 }
 
+// removeFromHeap removes a request from the heap that it is in, if any.
 func (q *requestQueue) removeFromHeap(req *grantRequest) {
 	if req.heap != nil {
 		heap.Remove(req.heap, req.heapIndex)
@@ -93,7 +98,8 @@
 	}
 }
 
-// first is who comes first, nil for nobody. Who got no connection of late comes after the others.
+// head is the request to grant next, nil for none. A node that recently got no connection comes after all others: its
+// list may be stale, and then its calls and trials say nothing about the destination.
 func (q *requestQueue) head(now time.Duration) *grantRequest {
 	var due []*grantRequest
 	for _, req := range q.deferred {
@@ -101,7 +107,7 @@
 			due = append(due, req)
 		}
 	}
-	for _, req := range due { // not while the heap is walked
+	for _, req := range due { // separately, because it changes the heap
 		q.reposition(req, now)
 	}
 	switch {
@@ -113,7 +119,7 @@
 	return nil
 }
 
-// answer hands over those that are still owed an answer, in the order in which they asked.
+// answerPending passes the requests that still need an answer to send, in the order in which they were received.
 func (q *requestQueue) answerPending(send func(*grantRequest)) {
 	for _, req := range q.unanswered {
 		if req.answerOwed && q.byNode[req.from] == req {
@@ -125,7 +131,7 @@
 	q.unanswered = q.unanswered[:0]
 }
 
-// drop forgets who has not asked again since a moment, and tells whether nobody is left.
+// expire drops the requests that were not received after the cutoff, and reports whether none is left.
 func (q *requestQueue) expire(cutoff time.Duration) (empty bool) {
 	expired := 0
 	for ; expired < len(q.refreshes) && q.refreshes[expired].at <= cutoff; expired++ {
--- a/choice/snapshot.go
+++ b/choice/snapshot.go
@@ -9,13 +9,14 @@
 	"time"
 )
 
-// A Sender's state can be carried to another process of the same node, which then decides as this one would have.
-// Each bare struct names its fields once, in fields, for both ways. What a newer version adds is left zero when an
-// older one has written the state, and the other way round it is ignored.
+// The state of a Sender can be handed over to another process of the same node, which then makes the same decisions.
+// Each struct names its fields once, in its fields method, for both directions. A field that an older version did not
+// write stays zero, and a field that only a newer version knows is ignored.
 
-var errInvalidSnapshot = errors.New("choice: a carried state that does not hold together")
+var errInvalidSnapshot = errors.New("choice: inconsistent snapshot")
 
-// fielder names its fields, with pointers to them.
+// fieldLister is a struct that lists the fields that are part of a snapshot: their stored names, which must not
+// change, and pointers to them.
 type fieldLister interface{ fields() map[string]any }
 
 func (g *gate) fields() map[string]any {
@@ -63,7 +64,7 @@
 	return map[string]any{"tokens": &t.tokens, "at": &t.refilledAt}
 }
 
-// fields of the sender are those that are no structure of their own.
+// fields lists the fields of the Sender itself. Structs that it points to have their own place in the snapshot.
 func (s *Sender) fields() map[string]any {
 	return map[string]any{
 		"now": &s.now, "rests": &s.keyBlockedUntil, "crowded": &s.connTableFullUntil, "tables": &s.connTables, "busy": &s.callsInFlight, "wakeAt": &s.nextWakeAt, "asking": &s.listRetryBackoff,
@@ -71,34 +72,34 @@
 	}
 }
 
-// plain is the carried form of a struct's fields.
+// rawFields holds the stored fields of a struct by name.
 type rawFields map[string]json.RawMessage
 
-// pack reads the fields of a struct; the first error stays.
+// marshalFields encodes the fields of a struct. It sets firstErr unless that has an error already.
 func marshalFields(f fieldLister, firstErr *error) rawFields {
 	p := rawFields{}
 	for name, field := range f.fields() {
 		raw, err := json.Marshal(field)
 		if err != nil && *firstErr == nil {
-			*firstErr = fmt.Errorf("choice: %s: %w", name, err)
+			*firstErr = fmt.Errorf("choice: encode snapshot field %s: %w", name, err)
 		}
 		p[name] = raw
 	}
 	return p
 }
 
-// unpack sets them.
+// unmarshal sets the fields of a struct. It sets firstErr unless that has an error already.
 func (p rawFields) unmarshal(f fieldLister, firstErr *error) {
 	for name, field := range f.fields() {
 		if raw, ok := p[name]; ok {
 			if err := json.Unmarshal(raw, field); err != nil && *firstErr == nil {
-				*firstErr = fmt.Errorf("choice: %s: %w", name, err)
+				*firstErr = fmt.Errorf("choice: decode snapshot field %s: %w", name, err)
 			}
 		}
 	}
 }
 
-// The carried form. Messages and destinations are named by their places in the lists.
+// These types are the stored form of a snapshot. Messages and destinations are identified by their index in its lists.
 type (
 	snapshot struct {
 		Sender   rawFields
@@ -121,35 +122,35 @@
 	}
 	snapshotEndpoint struct {
 		Fields  rawFields
-		Route   rawFields // of its own; without one it shares the destination's
-		Current bool      // it is what its id stands for now
+		Route   rawFields // nil if the endpoint shares the route of its destination
+		Current bool      // the endpoint that its ID refers to at present
 	}
 	snapshotMessage struct {
 		Fields rawFields
-		Class  int // -1 for none that the settings have
+		Class  int // index in Settings.Classes; -1 for a class that is not configured
 		Dest   int
-		Held   bool // it has no end yet
+		Held   bool // it has no final answer yet
 	}
 	snapshotCall struct {
 		Fields   rawFields
-		Endpoint int // place among the destination's
+		Endpoint int // index among the endpoints of the destination
 		Sends    []snapshotSend
 	}
 	snapshotSend struct {
 		ID      string
 		N       int
-		Pending bool // it has no outcome yet
+		Pending bool // it has no outcome yet, and Message is valid
 		Message int
 	}
 )
 
-// Carry writes down all that the sender knows between two steps.
+// Snapshot encodes the state of the Sender between two steps.
 func (s *Sender) Snapshot() ([]byte, error) {
 	var firstErr error
 	c := snapshot{Sender: marshalFields(s, &firstErr), Lines: map[string][]int{}}
 	var err error
 	if c.Random, err = s.rngSource.MarshalBinary(); err != nil {
-		return nil, fmt.Errorf("choice: %w", err)
+		return nil, fmt.Errorf("choice: encode random source: %w", err)
 	}
 	for i := range s.tenants {
 		c.Tenants = append(c.Tenants, marshalFields(&s.tenants[i], &firstErr))
@@ -221,18 +222,18 @@
 	return json.Marshal(c)
 }
 
-// Carried returns a sender that goes on from what another process of the node carried over. The clock must go on
-// as well, and every attempt that was out there must have its outcome told here.
+// Restore returns a Sender that continues from the Snapshot of another process of the node. The clock must go on from
+// there as well, and the outcomes of all attempts that were in flight must be passed to the new Sender.
 func Restore(cfg Settings, seed uint64, raw []byte) (*Sender, error) {
 	var c snapshot
 	if err := json.Unmarshal(raw, &c); err != nil {
-		return nil, fmt.Errorf("choice: %w", err)
+		return nil, fmt.Errorf("choice: decode snapshot: %w", err)
 	}
 	s := New(cfg, seed)
 	var firstErr error
 	c.Sender.unmarshal(s, &firstErr)
 	if err := s.rngSource.UnmarshalBinary(c.Random); err != nil {
-		return nil, fmt.Errorf("choice: %w", err)
+		return nil, fmt.Errorf("choice: decode random source: %w", err)
 	}
 	for i := range min(len(c.Tenants), len(s.tenants)) {
 		c.Tenants[i].unmarshal(&s.tenants[i], &firstErr)
@@ -321,8 +322,8 @@
 	return s, firstErr
 }
 
-// WakeAt is the clock time of the wake that is still to come, 0 for none.
+// NextWakeAt is the clock time of the wake that was requested last and has not come yet; 0 for none.
 func (s *Sender) NextWakeAt() time.Duration { return s.nextWakeAt }
 
-// Held lists the messages that have no final answer yet.
+// OpenMessageIDs lists the messages that have no final answer yet, sorted.
 func (s *Sender) OpenMessageIDs() []string { return slices.Sorted(maps.Keys(s.messages)) }
