--- a/choice/bench_test.go
+++ b/choice/bench_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// BenchmarkStep shows that a step follows what waits or is out, not the number of destinations known.
+// BenchmarkStep shows that the cost of a step depends on the messages that wait or are in flight, and not on the
+// number of known destinations.
 func BenchmarkStep(b *testing.B) {
 	for _, dests := range []int{10, 300, 3000} {
 		b.Run(fmt.Sprint(dests), func(b *testing.B) {
@@ -32,7 +33,8 @@
 	}
 }
 
-// With nothing held a sender asks for no wake, and what it keeps to walk is empty, however many it knows.
+// With no open message a Sender must request no wake, and its lists of active work must be empty, however many
+// destinations it knows.
 func TestIdleSenderRequestsNoWake(t *testing.T) {
 	w := newScenario(t, testSettings(), 1)
 	var entries []Entry
@@ -48,6 +50,6 @@
 	asked := len(w.wakeTimes)
 	w.step(time.Minute, WakeDue{})
 	if len(w.wakeTimes) != asked || len(w.sender.activeDestinations) != 0 || len(w.sender.openMessages) != 0 {
-		t.Errorf("%d wakes asked for while idle, %d destinations walked", len(w.wakeTimes)-asked, len(w.sender.activeDestinations))
+		t.Errorf("%d wakes requested while idle, %d active destinations", len(w.wakeTimes)-asked, len(w.sender.activeDestinations))
 	}
 }
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -31,7 +31,7 @@
 		}
 	}
 	if fresh := (gate{}); !fresh.accepts(0, 10) {
-		t.Error("a fresh gate must accept")
+		t.Error("a new gate must be open")
 	}
 }
 
@@ -55,7 +55,7 @@
 		g.sample(now, 5)
 	}
 	if g.baseline <= before*2 || g.baseline > g.average {
-		t.Errorf("after ten minutes at a new base speed the baseline is %v, was %v", g.baseline, before)
+		t.Errorf("after ten minutes of slower responses the baseline is %v, was %v", g.baseline, before)
 	}
 }
 
@@ -66,11 +66,11 @@
 	*g = gate{sampled: true, baseline: 0.1, average: 9, sampledAt: w.now}
 	w.step(5*ms, w.newArrival("trial", 0, 0))
 	if len(w.sends) != 1 || len(w.refusals) != 0 {
-		t.Fatalf("an idle shut gate must admit one trial: %v", w.log)
+		t.Fatalf("a shut gate must admit one trial if nothing is waiting: %v", w.log)
 	}
 	w.step(5*ms, w.newArrival("next", 0, 0))
 	if len(w.refusals) != 1 || w.refusals[0].ID != "next" || w.refusals[0].RetryAfter <= 0 {
-		t.Fatalf("a shut gate refuses with a retry-after: %v", w.log)
+		t.Fatalf("a shut gate must refuse with a RetryAfter: %v", w.log)
 	}
 	for i := range 30 {
 		w.idle(600 * ms)
@@ -103,7 +103,8 @@
 	w.drainAll()
 }
 
-// A process that has yet to look sends nothing, ends what is due, and goes on from where it was.
+// During a pause nothing may be sent, messages must still get their final answers in time, and after the pause the
+// waiting messages must be sent.
 func TestNothingIsSentWhilePaused(t *testing.T) {
 	w := newScenario(t, testSettings(), 1)
 	w.step(0, oneEndpoint())
@@ -111,30 +112,30 @@
 	w.step(5*ms, SendsPaused{On: true}, w.newArrival("in it", 0, 0))
 	w.idle(time.Second)
 	if len(w.sends) != 1 {
-		t.Fatalf("%d calls are made: %v", len(w.sends), w.log)
+		t.Fatalf("%d calls after a pause began, want 1: %v", len(w.sends), w.log)
 	}
 	w.step(5*ms, SendsPaused{})
 	if len(w.sends) != 2 {
-		t.Errorf("%d calls are made after it: %v", len(w.sends), w.log)
+		t.Errorf("%d calls after the pause, want 2: %v", len(w.sends), w.log)
 	}
 	w.step(5*ms, SendsPaused{On: true}, w.newArrival("late", 0, 0))
-	w.drainAll() // each message has its end in time, or the story fails
+	w.drainAll() // fails if a message has no final answer in time
 }
 
 func TestEveryMessageEnds(t *testing.T) {
 	w := newScenario(t, testSettings(), 1)
-	w.step(0, w.newArrival("nowhere", 0, 9)) // no such destination, no list at all
+	w.step(0, w.newArrival("nowhere", 0, 9)) // unknown destination, and no list yet
 	w.step(5*ms, oneEndpoint(), w.newArrival("gone", 1, 0))
-	w.step(5*ms, fullList(), w.outcome("gone", ConnectFailed, 0)) // its endpoint left
+	w.step(5*ms, fullList(), w.outcome("gone", ConnectFailed, 0)) // its endpoint is removed
 	w.step(5*ms, oneEndpoint(), w.newArrival("slow", 2, 0))
 	w.drainAll()
 	if !slices.ContainsFunc(w.refusals, func(b Refuse) bool { return b.ID == "nowhere" }) {
-		t.Error("what never ran is refused, not failed")
+		t.Error("a message that never ran must be refused, not failed")
 	}
 }
 
 func TestEffectLimitsRepeats(t *testing.T) {
-	t.Run("unsafe fails after an unsure end", func(t *testing.T) {
+	t.Run("at-most-once fails after an unclear outcome", func(t *testing.T) {
 		w := newScenario(t, testSettings(), 1)
 		w.step(0, oneEndpoint(), w.newArrival("u", 2, 0))
 		w.step(5*ms, w.outcome("u", ConnReset, 0))
@@ -142,7 +143,7 @@
 			t.Fatal(w.log)
 		}
 	})
-	t.Run("unsafe goes again when nothing ran", func(t *testing.T) {
+	t.Run("at-most-once is retried if nothing ran", func(t *testing.T) {
 		w := newScenario(t, testSettings(), 1)
 		w.step(0, oneEndpoint(), w.newArrival("u", 2, 0))
 		w.step(5*ms, w.outcome("u", Rejected, 0))
@@ -152,7 +153,7 @@
 		}
 		w.drainAll()
 	})
-	t.Run("keyed is refused before its window ends", func(t *testing.T) {
+	t.Run("deduplicated is refused before its window ends", func(t *testing.T) {
 		w := newScenario(t, testSettings(), 1)
 		w.step(0, oneEndpoint(), w.newArrival("k", 1, 0))
 		w.step(5*ms, w.outcome("k", TimedOut, 0), fullList())
@@ -161,7 +162,7 @@
 			t.Fatal(w.log)
 		}
 	})
-	t.Run("keyed of one zone stays there", func(t *testing.T) {
+	t.Run("deduplicated in one zone stays in it", func(t *testing.T) {
 		cfg := testSettings()
 		cfg.Classes[1].AllEndpointsDeduplicate = false
 		w := newScenario(t, cfg, 1)
@@ -181,18 +182,19 @@
 	drain := ListUpdate{Entries: []Entry{{Endpoint: "a", Phase: Draining}}}
 	w.step(5*ms, w.newArrival("1", 0, 0), w.newArrival("2", 0, 0), w.newArrival("3", 0, 0), drain)
 	if len(w.sends) == 0 {
-		t.Fatal("the other endpoint is free")
+		t.Fatal("nothing was sent to the other endpoint")
 	}
 	w.step(5*ms, ListUpdate{Entries: []Entry{{Endpoint: "a", Weight: 10}, {Endpoint: "b", Phase: Removed}}})
 	w.idle(time.Second)
 	w.step(5*ms, w.newArrival("4", 0, 0))
 	if last := w.sends[len(w.sends)-1]; last.Endpoint != "a" {
-		t.Errorf("an endpoint may come back: %v", last)
+		t.Errorf("an endpoint that is listed again must be used: %v", last)
 	}
 	w.drainAll()
 }
 
-// Messages held through an outage kept the gate shut for new ones that could be in time.
+// The response times of messages that were held through an outage used to keep the gate shut for new messages that
+// could have been delivered in time.
 func TestBacklogFromOutageDoesNotShutGate(t *testing.T) {
 	w := newScenario(t, testSettings(), 1)
 	w.step(0, oneEndpoint(), w.newArrival("old", 0, 0))
@@ -203,9 +205,9 @@
 	w.idle(2 * time.Second)
 	w.step(50*ms, w.outcome("old", Success, 0))
 	if d.gate.average > 3 {
-		t.Errorf("the average is %v s after a hold through an outage", d.gate.average)
+		t.Errorf("the average is %v s after a message was held through an outage", d.gate.average)
 	}
-	// The call that ends an outage starts the recovery at its own outcome; it still lasted as long as it did.
+	// The call that ends an outage starts the recovery with its own outcome. Its duration must count all the same.
 	w.step(5*ms, w.newArrival("next", 0, 0))
 	w.idle(300 * ms)
 	d.gate, d.endpoints[0].route.circuitOpen = gate{}, true
@@ -215,21 +217,23 @@
 	}
 }
 
-// A destination that is back cold must not be pushed over by the backlog that a fleet held through its outage,
-// be the fleet two busy senders or many that seldom call there; nor must the backlog starve.
+// The backlog that a fleet held through an outage must not overload a destination that is back and cold, whether the
+// fleet is two busy nodes or many that rarely call it. The backlog must not starve either.
 func TestBacklogStaysWithinColdBudget(t *testing.T) {
 	for _, fleet := range []int{2, 40} {
 		t.Run(fmt.Sprint(fleet), func(t *testing.T) { checkColdBudget(t, fleet) })
 	}
 }
 
+// checkColdBudget runs a fleet without datagrams through an outage of 8 s, and checks the number of calls afterwards
+// in each window of OverloadDuration.
 func checkColdBudget(t *testing.T, fleet int) {
 	cfg := testSettings()
 	cfg.Slots, cfg.MaxOpenMessages, cfg.FleetSize = 50, 400, fleet
 	var senders []*scenario
 	for i := range fleet {
 		w := newScenario(t, cfg, uint64(i))
-		w.step(0, oneEndpoint()) // 10 calls a second
+		w.step(0, oneEndpoint()) // 10 calls per second
 		senders = append(senders, w)
 	}
 	start := senders[0].now
@@ -237,7 +241,7 @@
 	var when []time.Duration
 	served := 0
 	for n := range 2400 {
-		to := rng.IntN(fleet) // 6.7 messages a second in all
+		to := rng.IntN(fleet) // 6.7 messages per second in total
 		for i, w := range senders {
 			var events []Event
 			for _, a := range w.sortedInFlight() {
@@ -273,21 +277,22 @@
 		}
 		share := min(1, cfg.ColdCapacity+(1-cfg.ColdCapacity)*(from-back+cfg.OverloadDuration/2).Seconds()/cfg.WarmUpTime.Seconds())
 		if most := cfg.OverloadMultiple * share * 12 * cfg.OverloadDuration.Seconds(); float64(count) > most {
-			t.Fatalf("%d calls in the window from %v after the return, at most %.1f", count, from-back, most)
+			t.Fatalf("%d calls in the window from %v after the outage, want at most %.1f", count, from-back, most)
 		}
 	}
 	if served < 70 {
-		t.Errorf("only %d of 160 messages served: the backlog starves", served)
+		t.Errorf("only %d of 160 messages delivered: the backlog starves", served)
 	}
 }
 
-// A wake that rings a little early is asked for again; else what waits would wait for other news.
+// A wake that comes slightly early must be requested again. Otherwise a waiting message would wait until some other
+// event.
 func TestEarlyWakeIsRequestedAgain(t *testing.T) {
 	w := newScenario(t, testSettings(), 1)
 	w.step(0, w.newArrival("m", 0, 0))
 	w.step(w.wakeTimes[0]-w.now-time.Microsecond, WakeDue{})
 	if len(w.wakeTimes) < 2 {
-		t.Fatal("no wake is asked for")
+		t.Fatal("no wake was requested")
 	}
 	w.drainAll()
 }
@@ -301,16 +306,17 @@
 	if len(w.sends) != 1 {
 		t.Fatal(w.log)
 	}
-	// The first ends while its attempt is out: the turn passes only with the outcome and after the rest.
+	// The first message ends while its attempt is in flight. The second one may go only after the outcome and the
+	// pause.
 	w.step(5*ms, MessageDropped{ID: "1"})
 	w.idle(100 * ms)
 	if len(w.sends) != 1 {
-		t.Fatal("overtaken while an attempt was out")
+		t.Fatal("the second message was sent while an attempt of the first was in flight")
 	}
 	w.step(5*ms, w.outcome("1", TimedOut, 0))
 	w.idle(cfg.OrderedPause + 500*ms)
 	if len(w.sends) != 2 {
-		t.Fatalf("the turn was never passed on: %v", w.log)
+		t.Fatalf("the second message was never sent: %v", w.log)
 	}
 	w.drainAll()
 }
@@ -325,17 +331,17 @@
 		w.step(5*ms, w.outcome("1", Rejected, time.Second), ListUpdate{Entries: []Entry{{Endpoint: "b", Weight: 10}}})
 		w.step(5*ms, w.newArrival("2", 1, 0), w.newArrival("3", 2, 0))
 		if others := len(w.sends) > 1; others != apart {
-			t.Errorf("apart %v: sends %v", apart, w.sends)
+			t.Errorf("separate routes %v: sends %v", apart, w.sends)
 		}
 		w.idle(2500 * ms)
 		if len(w.sends) < 3 {
-			t.Errorf("apart %v: nothing more after the wait: %v", apart, w.sends)
+			t.Errorf("separate routes %v: nothing was sent after the wait: %v", apart, w.sends)
 		}
 		w.drainAll()
 	}
 }
 
-// Hung destinations held every slot until long time-outs, and healthy ones starved.
+// Destinations that did not answer used to hold every slot until their long time-outs, and healthy ones starved.
 func TestHungDestinationsDoNotHoldAllSlots(t *testing.T) {
 	w := newScenario(t, testSettings(), 1)
 	var entries []Entry
@@ -364,18 +370,18 @@
 			events = append(events, w.newArrival(fmt.Sprint("m", n), n/5%3, n/5%5))
 		}
 		w.step(10*ms, append(events, WakeDue{})...)
-		for _, a := range w.sender.actions { // what is called off ends in the next step
+		for _, a := range w.sender.actions { // a cancelled attempt ends in the next step
 			if c, ok := a.(Cancel); ok {
 				w.step(ms, w.outcome(c.ID, Cancelled, 0))
 			}
 		}
 	}
 	if served < 24 {
-		t.Errorf("the one healthy destination of five had %d of 32 messages served", served)
+		t.Errorf("the one healthy destination of five got %d of 32 messages", served)
 	}
 }
 
-// A destination whose calls last long took as many slots as a fast one, and held each far longer.
+// A destination with long calls used to get as many slots as one with short calls, and held each of them far longer.
 func TestSlotsAreSharedByTimeHeld(t *testing.T) {
 	w := newScenario(t, testSettings(), 1)
 	w.step(0, fullList(Entry{Endpoint: "fast", Dest: 0, Weight: 1000}, Entry{Endpoint: "long", Dest: 1, Weight: 1000}))
@@ -397,34 +403,35 @@
 	}
 }
 
-// An endpoint that takes few connections refuses ours while others pass: no outage, and idle ones are given back.
+// An endpoint with a full connection table refuses new connections while calls of other nodes succeed. That is no
+// outage, and idle connections must be closed.
 func TestFullConnTableIsNoOutage(t *testing.T) {
 	w := newScenario(t, testSettings(), 1)
 	w.step(0, oneEndpoint(), w.newArrival("1", 0, 0))
 	w.step(time.Second, w.outcome("1", ConnectFailed, 0))
 	if w.sender.destinations[0].endpoints[0].route.circuitOpen {
-		t.Fatal("one failed connect made an outage")
+		t.Fatal("a single failed connection opened the circuit")
 	}
 	w.idle(time.Second)
 	w.step(5*ms, w.outcome("1", Success, 0))
 	if !slices.ContainsFunc(w.sender.actions, func(a Action) bool { return a == CloseIdle{Endpoint: "a"} }) {
-		t.Error("the idle connection was kept")
+		t.Error("the idle connection was not closed")
 	}
 }
 
-// One destination's backlog must not take the whole room for held messages.
+// The backlog of one destination must not use up the whole room for open messages.
 func TestBacklogLeavesRoomForOthers(t *testing.T) {
 	w := newScenario(t, testSettings(), 1)
 	w.step(0, fullList(Entry{Endpoint: "b", Dest: 1, Weight: 10}))
 	for i := range 100 {
-		w.step(5*ms, w.newArrival(fmt.Sprint("m", i), 0, 0)) // no endpoint there
+		w.step(5*ms, w.newArrival(fmt.Sprint("m", i), 0, 0)) // this destination has no endpoint
 	}
 	if held := len(w.sender.destinations[0].waiting); held > w.cfg.MaxOpenMessages/2+1 {
-		t.Errorf("%d of %d places held by one destination", held, w.cfg.MaxOpenMessages)
+		t.Errorf("one destination has %d of at most %d open messages", held, w.cfg.MaxOpenMessages)
 	}
 	w.step(5*ms, w.newArrival("other", 0, 1))
 	if n := len(w.sends); n != 1 || w.sends[0].ID != "other" {
-		t.Errorf("the healthy destination was not served: %v", w.sends)
+		t.Errorf("the message for the healthy destination was not sent: %v", w.sends)
 	}
 	w.drainAll()
 }
@@ -432,20 +439,20 @@
 func TestTrialsNeverUseAtMostOnceMessages(t *testing.T) {
 	w := newScenario(t, testSettings(), 1)
 	w.step(0, oneEndpoint())
-	w.sender.destinations[0].recentArrivals, w.sender.destinations[0].recentArrivalsUpdatedAt = 30, w.now // a busy sender
+	w.sender.destinations[0].recentArrivals, w.sender.destinations[0].recentArrivalsUpdatedAt = 30, w.now // a busy node
 	for i := range failuresToOpen {
 		id := fmt.Sprint("s", i)
 		w.step(500*ms, w.newArrival(id, 0, 0))
 		w.step(5*ms, w.outcome(id, ServerError, 0))
 	}
 	if !w.sender.destinations[0].endpoints[0].route.circuitOpen {
-		t.Fatal("a run of failures makes an outage")
+		t.Fatal("a run of failures did not open the circuit")
 	}
 	w.step(5*ms, w.newArrival("u", 2, 0))
 	w.idle(2 * time.Second)
 	for _, s := range w.sends {
 		if s.ID == "u" {
-			t.Fatal("an unsafe message went out as a trial")
+			t.Fatal("an at-most-once message was sent as a trial")
 		}
 	}
 	w.drainAll()
@@ -465,7 +472,7 @@
 	w.step(5*ms, w.newArrival("last", 0, 0))
 	w.idle(time.Second)
 	if last := w.sends[len(w.sends)-1]; last.ID != "last" {
-		t.Errorf("sending stopped after odd reports: %v", last)
+		t.Errorf("nothing was sent after invalid reports: %v", last)
 	}
 	w.drainAll()
 }
@@ -480,7 +487,7 @@
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			if w := runRandomEvents(t, seed, 2500); len(w.sends) < 50 && w.cfg.MaxOpenMessages > 10 {
-				t.Errorf("only %d sends: the story tests little", len(w.sends))
+				t.Errorf("only %d sends: the scenario tests little", len(w.sends))
 			}
 		})
 	}
@@ -489,11 +496,12 @@
 func TestDecisionsAreDeterministic(t *testing.T) {
 	a, b := runRandomEvents(t, 7, 2000), runRandomEvents(t, 7, 2000)
 	if !slices.Equal(a.log, b.log) {
-		t.Error("two runs over the same events differ")
+		t.Error("two runs with the same events differ")
 	}
 }
 
-// A lossy path: lost calls held the few slots until their time-outs, though their messages may be repeated.
+// On a lossy network path, lost calls used to hold the few slots until their time-outs, although their messages may be
+// repeated.
 func TestOverdueRepeatableCallsFreeTheirSlots(t *testing.T) {
 	cfg := testSettings()
 	cfg.Slots = 2
@@ -512,11 +520,12 @@
 		}
 	}
 	if len(called) == 0 || called["unsafe"] {
-		t.Errorf("called off: %v; want repeatable calls only", called)
+		t.Errorf("cancelled: %v; want repeatable calls only", called)
 	}
 }
 
-// A large fleet's idle connections filled small tables: one that will be closed before its next use goes back.
+// The idle connections of a large fleet used to fill small connection tables. A connection that the endpoint would
+// close before its next use must be closed at once.
 func TestRarelyUsedConnIsClosed(t *testing.T) {
 	for _, c := range []struct {
 		gap  time.Duration
@@ -535,12 +544,13 @@
 			back = slices.Contains(w.sender.actions, Action(CloseIdle{Endpoint: "a"}))
 		}
 		if back != c.back {
-			t.Errorf("calls %v apart: connection given back is %v", c.gap, back)
+			t.Errorf("calls %v apart: connection closed is %v", c.gap, back)
 		}
 	}
 }
 
-// A rare sender has no third call in time: two failures in a row are an outage for it, not for a busy one.
+// A node that calls rarely has no third call within a useful time. Two consecutive failures are an outage for it, but
+// not for a busy node.
 func TestTwoFailuresOpenCircuitForRareSender(t *testing.T) {
 	for _, c := range []struct {
 		gap  time.Duration
@@ -556,21 +566,21 @@
 			w.step(5*ms, w.outcome(id, ServerError, 0), MessageDropped{ID: id})
 		}
 		if got := w.sender.endpoints["a"].route.circuitOpen; got != c.sick {
-			t.Errorf("failures %v apart: outage is %v", c.gap, got)
+			t.Errorf("failures %v apart: circuit open is %v", c.gap, got)
 		}
 	}
 }
 
-// Calls that cross an endpoint's close of idle connections are lost at once, and several of them make no
-// outage: the endpoint goes on answering, so they go out again without a rest. A reset that takes as long as an
-// answer, or on a new connection, is a failure like any other.
+// A call that crosses an endpoint's close of an idle connection is reset at once. Several of these are no outage,
+// since the endpoint still answers, and the messages must be sent again without a pause. A reset that takes as long as
+// an answer, or over a new connection, is a failure like any other.
 func TestStaleConnResetIsNoOutage(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		after time.Duration
 		fresh bool
 		sick  bool
-	}{{"stray", ms, false, false}, {"while it was served", 300 * ms, false, true}, {"on a new connection", ms, true, true}} {
+	}{{"stray", ms, false, false}, {"during the call", 300 * ms, false, true}, {"on a new connection", ms, true, true}} {
 		w := newScenario(t, testSettings(), 1)
 		w.step(0, oneEndpoint(), w.newArrival("first", 0, 0))
 		w.step(400*ms, w.outcome("first", Success, 0))
@@ -583,7 +593,7 @@
 			lost.Took, lost.ReusedConn = c.after, !c.fresh
 			w.step(5*ms, lost)
 			if !c.sick && len(w.sortedInFlight()) != 1 {
-				t.Fatalf("%s: it did not go out again at once", c.name)
+				t.Fatalf("%s: the message was not sent again at once", c.name)
 			}
 			w.idle(time.Second)
 			if r.circuitOpen {
@@ -591,13 +601,13 @@
 			}
 		}
 		if r.circuitOpen != c.sick || (w.sender.endpoints["a"].penalizedLatency > response) != c.sick {
-			t.Errorf("%s: outage is %v, response %v after %v", c.name, r.circuitOpen, w.sender.endpoints["a"].penalizedLatency, response)
+			t.Errorf("%s: circuit open is %v, latency %v after %v", c.name, r.circuitOpen, w.sender.endpoints["a"].penalizedLatency, response)
 		}
 	}
 }
 
-// Where refused calls use up the limit, a fleet that goes on asking gets nothing: at the first refusal a
-// sender's part falls to its own demand.
+// Where refused calls count against the limit, a fleet that keeps asking gets nothing. So a node's share must fall to
+// its own demand at the first refusal.
 func TestRefusalCutsShareToOwnDemand(t *testing.T) {
 	cfg := testSettings()
 	cfg.FleetSize = 100
@@ -613,12 +623,13 @@
 	}
 	w.step(50*ms, w.outcome("m3", Rejected, 0))
 	if rate, _ := w.sender.callRate(w.sender.endpoints["a"].route); rate > 1 || rate < 0.2 {
-		t.Errorf("%v calls a second after a refusal; four messages came in four seconds", rate)
+		t.Errorf("%v calls per second after a refusal; four messages arrived in four seconds", rate)
 	}
 	w.drainAll()
 }
 
-// A hung destination's queue fills, and it refuses: where no limit is told, a run of refusals is an outage.
+// A destination that hangs fills its queue and then refuses calls. If it reports that it has no limit, a run of
+// refusals is an outage.
 func TestRefusalsWithoutLimitOpenCircuit(t *testing.T) {
 	w := newScenario(t, testSettings(), 1)
 	w.step(0, fullList(Entry{Endpoint: "a", Dest: 0}))
@@ -631,6 +642,6 @@
 		w.step(50*ms, e, MessageDropped{ID: id})
 	}
 	if !w.sender.endpoints["a"].route.circuitOpen {
-		t.Error("three refusals where there is no limit are no outage")
+		t.Error("three refusals without a limit did not open the circuit")
 	}
 }
--- a/choice/conntable_test.go
+++ b/choice/conntable_test.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// tableWorld is endpoints that take only so many connections each, idle ones counted, and turn away calls over those
-// beyond. Each has room for every call that is made there at a time.
+// connTableSim simulates endpoints that each accept a limited number of connections, idle ones included, and refuse
+// calls over any further connection. They have room for all calls that are made at a time.
 type connTableSim struct {
 	capacity  int
-	idleUntil []map[int]time.Duration // by endpoint and sender: its kept connection, closed then
+	idleUntil []map[int]time.Duration // by endpoint and node: when its idle connection is closed
 	inUse     []int
 }
 
-// call begins a call of a sender and tells what comes of it.
+// call starts a call of a node and returns its outcome.
 func (t *connTableSim) call(endpoint, sender int, now time.Duration) AttemptEnded {
 	idle := t.idleUntil[endpoint]
 	until, kept := idle[sender]
@@ -36,8 +36,8 @@
 	return AttemptEnded{Outcome: Success, ReusedConn: kept, MessageDone: true}
 }
 
-// A fleet whose idle connections fill the few places that an endpoint has finds out and gives them back: what the places
-// are enough for is delivered.
+// The idle connections of a fleet fill the small connection tables of its endpoints. The fleet must notice that and
+// close them, so that the messages that the connections suffice for are delivered.
 func TestFleetClosesIdleConnsAtFullTable(t *testing.T) {
 	const took, endpoints = 200 * ms, 6
 	for _, c := range []struct{ senders, places int }{{20, 6}, {60, 12}, {300, 30}} {
@@ -117,7 +117,8 @@
 	}
 }
 
-// A limit refuses calls over new and kept connections alike: connections are kept then, however many are refused.
+// A rate limit refuses calls over new and over reused connections alike. Then connections must be kept, however many
+// calls are refused.
 func TestLimitRefusalsKeepConns(t *testing.T) {
 	cfg := testSettings()
 	cfg.IdleConnTimeout = 5 * time.Second
@@ -135,8 +136,9 @@
 			e.Outcome, e.MessageDone = Rejected, false
 		}
 		w.step(50*ms, e, MessageDropped{ID: id})
-		if i >= 4 && slices.Contains(w.sender.actions, Action(CloseIdle{Endpoint: "a"})) { // it can't tell before how far apart calls are
-			t.Fatalf("after %d calls the connection was given back", i+1)
+		if i >= 4 && slices.Contains(w.sender.actions, Action(CloseIdle{Endpoint: "a"})) {
+			// In the first calls it cannot know yet how far apart they are.
+			t.Fatalf("after %d calls the connection was closed", i+1)
 		}
 	}
 }
--- a/choice/example_test.go
+++ b/choice/example_test.go
@@ -7,7 +7,7 @@
 	"harrierramp/choice"
 )
 
-// A delivery node gives the module its settings once, then feeds it events and carries out the actions.
+// A delivery node creates a Sender with its settings, passes events to it and carries out the actions.
 func Example() {
 	sender := choice.New(choice.Settings{
 		Classes: []choice.Class{{Aim: 2 * time.Second, Deadline: 20 * time.Second, Worth: 1, Effect: choice.Deduplicated,
@@ -15,7 +15,7 @@
 		FleetSize: 3, Slots: 10, MaxOpenMessages: 100, MaxAttempts: 6, MaxRetryAfter: 3 * time.Second,
 	}, 42)
 
-	now := time.Duration(0) // the node's own clock; Step must never see it go back
+	now := time.Duration(0) // the node's own clock, which must never go back
 	sender.Step(now, []choice.Event{choice.ListUpdate{Whole: true, Entries: []choice.Entry{{Endpoint: "bank-1", Dest: 7}}}})
 
 	now += 10 * time.Millisecond
@@ -27,10 +27,10 @@
 		case choice.Refuse:
 			fmt.Println("refuse", a.ID, "for", a.RetryAfter)
 		case choice.Wake:
-			fmt.Println("step again in", a.At-now, "if no news comes before")
+			fmt.Println("step again in", a.At-now, "unless an event comes before")
 		}
 	}
 	// Output:
 	// call bank-1 with order-1
-	// step again in 19.985s if no news comes before
+	// step again in 19.985s unless an event comes before
 }
--- a/choice/fleet_test.go
+++ b/choice/fleet_test.go
@@ -8,34 +8,35 @@
 	"time"
 )
 
-// fleetWorld steps the senders of a fleet in module time, with one partner whose limit all share and whose refused
-// calls use up the limit, and with notes that come late, twice or not at all.
+// fleetSim simulates the Senders of a fleet with one destination whose rate limit they share. Refused calls count
+// against the limit as well. Datagrams may be delayed, duplicated or lost. It runs in simulated time.
 type fleetSim struct {
 	t       *testing.T
 	cfg     Settings
-	senders []*Sender // nil for one that is down
+	senders []*Sender // nil for a node that is down
 	now     time.Duration
 	rng     *rand.Rand
 	queue   eventQueue
 	seq     int
 	wakes   []time.Duration
 
-	limit, tokens, weight   float64 // calls a second, how many of them are free now, and what the list says
+	limit, tokens, weight   float64 // limit in calls per second, calls that are free now, and the limit in the list
 	refilledAt              time.Duration
-	windowedLimit           bool // the limit is a count in each second
+	windowedLimit           bool // the limit is a number of calls in each second, and no token bucket
 	down                    bool
-	randomRefusals          float64      // share of the calls that are refused whatever the limit
-	staleList               map[int]bool // senders whose list names an endpoint that is gone
+	randomRefusals          float64      // share of the calls that are refused regardless of the limit
+	staleList               map[int]bool // nodes whose list has an endpoint that is gone
 	passed, refused, failed int
 	calls                   []callRecord
-	sawOutage               map[int]bool // senders that called while it was down
+	sawOutage               map[int]bool // nodes that made a call while the destination was down
 	answered                map[string]bool
 	attempts                map[string]int
 	lossRate, duplicateRate float64
-	maxExtraDelay           time.Duration // how much later some of the notes come
+	maxExtraDelay           time.Duration // longest extra delay of a datagram; one in ten has some
 	blocked                 func(from, to int) bool
 }
 
+// callRecord is a call that the destination got.
 type callRecord struct {
 	at     time.Duration
 	sender int
@@ -98,7 +99,7 @@
 	heap.Push(&w.queue, scheduledEvent{w.now + d, w.seq, do})
 }
 
-// step lets a sender decide; what it has to say of an earlier life reaches nobody.
+// step passes events to a Sender and carries out its actions. Outcomes and wakes of an earlier process are dropped.
 func (w *fleetSim) step(i int, events ...Event) {
 	s := w.senders[i]
 	if s == nil {
@@ -139,6 +140,7 @@
 	}
 }
 
+// deliver delivers a datagram once, three times or not at all.
 func (w *fleetSim) deliver(from int, a SendDatagram) {
 	copies := 1
 	if w.blocked != nil && w.blocked(from, a.To) {
@@ -158,7 +160,7 @@
 	}
 }
 
-// call is what the partner makes of a call now.
+// call is the outcome of a call that starts now, and how long it takes.
 func (w *fleetSim) call(by int, endpoint string) (Outcome, time.Duration) {
 	w.calls = append(w.calls, callRecord{w.now, by})
 	if w.down {
@@ -190,7 +192,7 @@
 	w.answered[id] = true
 }
 
-// run goes on for a while with so many messages a second, spread unevenly over the senders.
+// run simulates some time with the given rate of messages, spread unevenly over the nodes.
 func (w *fleetSim) run(length time.Duration, perSecond float64) {
 	w.t.Helper()
 	end := w.now + length
@@ -225,7 +227,7 @@
 		t.Errorf("%d calls passed and %d were refused; at least %d could pass", w.passed, w.refused, least)
 	}
 	if uncoordinated.passed > w.passed*3/4 {
-		t.Errorf("without notes %d passed, with them %d: the test does not tell", uncoordinated.passed, w.passed)
+		t.Errorf("%d passed without datagrams and %d with them: the test cannot tell the difference", uncoordinated.passed, w.passed)
 	}
 }
 
@@ -248,8 +250,8 @@
 	}
 }
 
-// Neither the list nor an answer tells the limit: the keeper finds it from what passes, follows it down, and comes back
-// up to it.
+// Neither the list nor the destination reports the limit. The coordinator must estimate it from the calls that
+// succeed, follow it down, and return to it when it rises.
 func TestFleetEstimatesUnreportedLimit(t *testing.T) {
 	w := newFleetSim(t, 40, true)
 	w.cfg.WeightIsRate = false
@@ -278,8 +280,8 @@
 	}
 }
 
-// All begin at the same moment, remember nothing, and hold far more than their cold partner bears: what they send together
-// stays under that, whether or not they hear each other.
+// All nodes start at the same moment without memory, and hold far more messages than the cold destination can take.
+// Together they must stay below what it tolerates, whether or not they hear each other.
 func TestStartingFleetDoesNotOverloadColdDestination(t *testing.T) {
 	for name, lossRate := range map[string]float64{"heard": 0, "half heard": 0.5, "deaf": 1} {
 		for _, size := range []int{10, 40, 300} {
@@ -292,28 +294,28 @@
 			w.run(span, 10*fleetLimit)
 			warm := w.cfg.ColdCapacity + (1-w.cfg.ColdCapacity)*seconds(span)/2/seconds(w.cfg.WarmUpTime)
 			tolerated := w.cfg.OverloadMultiple * warm * fleetLimit * seconds(span)
-			t.Logf("%s, %d senders: %d calls in %v, %.0f are borne", name, size, w.passed+w.refused, span, tolerated)
+			t.Logf("%s, %d nodes: %d calls in %v, %.0f are tolerated", name, size, w.passed+w.refused, span, tolerated)
 			if calls := float64(w.passed + w.refused); calls > tolerated+1 { // one more by chance
-				t.Errorf("%s, %d senders: %v calls, and %.0f are borne", name, size, calls, tolerated)
+				t.Errorf("%s, %d nodes: %v calls, and %.0f are tolerated", name, size, calls, tolerated)
 			}
 			if lossRate == 0 && w.passed == 0 {
-				t.Errorf("%s, %d senders: nothing passes", name, size)
+				t.Errorf("%s, %d nodes: no call succeeds", name, size)
 			}
 		}
 	}
 }
 
-// Nobody tells a limit and nobody hears anybody, from the first moment on: what a partner without a limit could take is
-// sent all the same, and one with a limit is not asked for many times what it takes.
+// No limit is reported and no datagram arrives, from the start on. A destination without a limit must still get all
+// messages, and one with a limit must not get many times what it takes.
 func TestFleetWithoutDatagramsOrReportedLimitsKeepsSending(t *testing.T) {
 	for name, c := range map[string]struct {
 		senders            int
 		limit, least, most float64
 	}{
 		"40, no limit":   {40, 1000 * fleetLimit, 0.9, 1.1},
-		"40, a low one":  {40, fleetLimit / 2, 0.15, 1}, // a refused call uses it up as well
+		"40, a low one":  {40, fleetLimit / 2, 0.15, 1}, // refused calls count against the limit as well
 		"300, no limit":  {300, 1000 * fleetLimit, 0.9, 1.1},
-		"300, a low one": {300, fleetLimit / 2, 0.01, 1}, // first calls alone are more than it takes
+		"300, a low one": {300, fleetLimit / 2, 0.01, 1}, // the first call of each node alone exceeds the limit
 	} {
 		w := newFleetSim(t, c.senders, true)
 		w.cfg.WeightIsRate, w.lossRate, w.limit = false, 1, c.limit
@@ -338,15 +340,15 @@
 	w.failed = 0
 	w.run(5*time.Second, fleetLimit)
 	if w.failed < 3 || w.failed > 25 {
-		t.Errorf("%d trials in 5 s, of a fleet of %d", w.failed, len(w.senders))
+		t.Errorf("%d trials in 5 s by a fleet of %d nodes", w.failed, len(w.senders))
 	}
 	w.down, w.passed = false, 0
 	w.run(time.Second, fleetLimit)
 	if w.passed == 0 {
-		t.Error("the return is not noticed within a second")
+		t.Error("the end of the outage is not noticed within a second")
 	}
 	if most := int(2*w.cfg.OverloadMultiple*w.cfg.ColdCapacity*fleetLimit) + 2; w.passed+w.refused > most {
-		t.Errorf("%d calls in the first second of the return, over %d", w.passed+w.refused, most)
+		t.Errorf("%d calls in the first second after the outage, more than %d", w.passed+w.refused, most)
 	}
 }
 
@@ -374,16 +376,16 @@
 		w.run(11*time.Second, 0.001)
 		for id := range w.attempts {
 			if !w.answered[id] {
-				t.Errorf("%s: %s has no end", c.name, id)
+				t.Errorf("%s: %s has no final answer", c.name, id)
 			}
 		}
 		if arrivals == 0 {
-			t.Errorf("%s: nothing ended", c.name)
+			t.Errorf("%s: no message ended", c.name)
 		}
 	}
 }
 
-// Most of a fleet is killed at once and comes back: whoever kept the limit is gone, then there again.
+// Two thirds of a fleet crash at once, the coordinator among them, and come back later.
 func TestCoordinatorCrash(t *testing.T) {
 	w := newFleetSim(t, 40, true)
 	w.run(2*time.Second, fleetLimit)
@@ -396,7 +398,7 @@
 	w.passed, w.refused = 0, 0
 	w.run(3*time.Second, 2*fleetLimit)
 	if least := int(0.5 * 3 * fleetLimit); w.passed < least {
-		t.Errorf("%d calls passed while keepers were down; at least %d should", w.passed, least)
+		t.Errorf("%d calls passed while coordinators were down; at least %d should", w.passed, least)
 	}
 	for i := range 40 {
 		if w.senders[i] == nil {
@@ -407,11 +409,11 @@
 	w.passed, w.refused = 0, 0
 	w.run(6*time.Second, 1.5*fleetLimit)
 	if least := int(0.75 * 6 * fleetLimit); w.passed < least || w.refused > w.passed/5 {
-		t.Errorf("%d calls passed and %d were refused after the return; at least %d could pass", w.passed, w.refused, least)
+		t.Errorf("%d calls passed and %d were refused after the restart; at least %d could pass", w.passed, w.refused, least)
 	}
 	for i, s := range w.senders {
 		if c := s.destinations[0].requester; c.coordinatorRank != 0 && c.answeredAt > w.now-time.Second {
-			t.Errorf("sender %d still asks keeper %d", i, c.coordinatorRank)
+			t.Errorf("node %d still sends requests to the coordinator of rank %d", i, c.coordinatorRank)
 		}
 	}
 }
@@ -424,11 +426,11 @@
 	} {
 		b := n.encode()
 		if got, ok := decodeDatagram(b); !ok || got != n {
-			t.Errorf("%+v came as %+v, %v", n, got, ok)
+			t.Errorf("%+v was decoded as %+v, %v", n, got, ok)
 		}
 		for cut := range b {
 			if _, ok := decodeDatagram(b[:cut]); ok && cut != len(b) {
-				t.Errorf("%d of %d bytes were read as a note", cut, len(b))
+				t.Errorf("%d of %d bytes were decoded as a datagram", cut, len(b))
 			}
 		}
 	}
@@ -439,12 +441,12 @@
 		w.step(ms, DatagramReceived{From: 1, Payload: text}, DatagramReceived{From: 77, Payload: text}, DatagramReceived{From: -1, Payload: text})
 	}
 	if n := len(w.sender.destinations[0].requester.grants); n != 0 {
-		t.Errorf("%d grants that were not asked for", n)
+		t.Errorf("%d grants were accepted that were not requested", n)
 	}
 }
 
-// A few refusals come at any pace, as of a queue that is full for a moment; giving up pace for each would cost more
-// than the refusals do.
+// A few calls are refused at any rate, for example when a queue is full for a moment. Cutting the rate for each of
+// them would cost more than the refusals do.
 func TestOccasionalRefusalsDoNotCutFleetRate(t *testing.T) {
 	w := newFleetSim(t, 40, true)
 	w.randomRefusals = 0.1
@@ -456,8 +458,8 @@
 	}
 }
 
-// After a herd of restarts most senders have a list whose endpoints are gone, the keeper among them. That is no
-// outage for the others.
+// After many restarts at once, half of the nodes have a list whose endpoints are gone, the coordinator among them. For
+// the other nodes that is no outage.
 func TestStaleListsDoNotOpenCircuitForFleet(t *testing.T) {
 	w := newFleetSim(t, 40, true)
 	first := w.senders[0].coordinator(w.senders[0].destinations[0], 0)
@@ -485,17 +487,17 @@
 		}
 	}
 	if refuse("gone"); w.sender.endpoints["a"].route.recovering() {
-		t.Error("one endpoint that is gone has its whole partner struck")
+		t.Error("one endpoint that is gone opens the circuit of the whole destination")
 	}
 	m := &message{class: &w.cfg.Classes[0], dest: w.sender.endpoints["a"].dest, arrivedAt: w.sender.now, deadline: w.sender.now + time.Minute}
 	w.sender.refill(w.sender.endpoints["a"].route)
 	for range 50 {
 		if e := w.sender.pickEndpoint(m, w.sender.maySend); e == nil || e.id != "a" {
-			t.Fatalf("drawn: %v, where another endpoint takes connections", e)
+			t.Fatalf("picked %v, although another endpoint takes connections", e)
 		}
 	}
 	if refuse("a"); !w.sender.endpoints["a"].route.recovering() {
-		t.Error("a partner none of whose endpoints takes connections is not struck")
+		t.Error("the circuit stays closed although no endpoint takes connections")
 	}
 }
 
@@ -509,12 +511,12 @@
 		{1, false}, {900, true}, {899, true}, {899, false}, {30000, true}, {29999, true},
 	} {
 		if got := c.isNewGrant(g.seq); got != g.fresh {
-			t.Errorf("grant %d is fresh: %v", g.seq, got)
+			t.Errorf("grant %d is new: %v", g.seq, got)
 		}
 	}
 }
 
-// A grant for a message that has ended meanwhile is no loss to the others.
+// A grant for a message that has ended in the meantime must be available to the other nodes again.
 func TestUnusedGrantsAreReturned(t *testing.T) {
 	w := newScenario(t, testSettings(), 1)
 	w.sender.cfg.PeerDatagrams, w.sender.cfg.FleetSize = true, 2
@@ -531,6 +533,6 @@
 	w.sender.activeDestinations = append(w.sender.activeDestinations, d)
 	w.sender.now = w.now + grantTTL
 	if w.sender.requestGrants(); len(d.requester.grants) != 0 || f.tokens < 1 {
-		t.Errorf("%d grants are kept and %v calls may go", len(d.requester.grants), f.tokens)
+		t.Errorf("%d grants are kept, and %v calls may be made", len(d.requester.grants), f.tokens)
 	}
 }
--- a/choice/harness_test.go
+++ b/choice/harness_test.go
@@ -10,14 +10,14 @@
 
 const ms = time.Millisecond
 
-// story drives a Sender and asserts the rules on every action it takes.
+// scenario drives a Sender and checks every action that it takes against the rules for a delivery node.
 type scenario struct {
 	t               testing.TB
 	cfg             Settings
 	sender          *Sender
 	now             time.Duration
 	messages        map[string]*trackedMessage
-	messageOrder    []string // in order of arrival
+	messageOrder    []string // IDs in order of arrival
 	endpoints       map[string]*trackedEndpoint
 	waitUntil       map[string]time.Duration // by route
 	keyBlockedUntil map[string]time.Duration // by key
@@ -30,11 +30,12 @@
 	wakeTimes       []time.Duration
 	log             []string
 	sendsInBatch    map[string]int
-	disabled        map[string]bool // endpoints that operators have taken out
-	snapshotEvery   int             // the sender is carried over before each so many steps; 0 for never
+	disabled        map[string]bool // endpoints that operators have disabled
+	snapshotEvery   int             // the Sender is replaced by its restored snapshot every so many steps; 0 for never
 	steps           int
 }
 
+// trackedMessage is what the scenario knows of a message, independently of the Sender.
 type trackedMessage struct {
 	MessageArrived
 	class          Class
@@ -46,11 +47,13 @@
 	ended          bool
 }
 
+// trackedEndpoint is what the scenario knows of an endpoint.
 type trackedEndpoint struct {
 	Entry
 	closedToSends bool
 }
 
+// trackedAttempt is an attempt that is in flight.
 type trackedAttempt struct {
 	Send
 	sentAt    time.Duration
@@ -77,7 +80,7 @@
 	return fmt.Sprint("dest ", p.Dest)
 }
 
-// step notes the news, lets the sender answer, and checks each action.
+// step updates what the scenario knows from the events, steps the Sender, and checks each action.
 func (w *scenario) step(after time.Duration, events ...Event) {
 	w.t.Helper()
 	w.now += after
@@ -136,7 +139,7 @@
 		}
 	}
 	for _, f := range waits {
-		f() // stricter than the rule: the reply to the batch that told a wait heeds it too
+		f() // stricter than the rule: even the actions of this step must respect the wait
 	}
 	w.sendsInBatch = map[string]int{}
 	if w.steps++; w.snapshotEvery > 0 && w.steps%w.snapshotEvery == 0 {
@@ -164,7 +167,7 @@
 		free := m.class.Effect == Idempotent || (!m.mayHaveRun && m.inFlight == 0)
 		inside := m.class.Effect == Deduplicated && m.mayHaveRun && m.class.AllEndpointsDeduplicate && w.now <= m.firstRunSentAt+m.class.DedupWindow
 		if !free && !inside {
-			w.t.Fatalf("%v: refused %+v, which may have run", w.now, m)
+			w.t.Fatalf("%v: refused %+v, which may have run and must not be repeated", w.now, m)
 		}
 		w.refusals = append(w.refusals, a)
 	case Fail:
@@ -174,7 +177,7 @@
 		w.wakeTimes = append(w.wakeTimes, a.At)
 	case Probe:
 		if !w.cfg.MayProbe {
-			w.t.Fatal("a probe where none is allowed")
+			w.t.Fatal("probe although probes are not allowed")
 		}
 		w.probes = append(w.probes, a)
 	case Cancel:
@@ -191,7 +194,7 @@
 		w.t.Fatalf("%v: %s answered twice or unknown", w.now, id)
 	}
 	if w.now > m.Deadline+w.cfg.AnswerGrace {
-		w.t.Fatalf("%v: %s answered after its time", w.now, id)
+		w.t.Fatalf("%v: %s answered after its deadline", w.now, id)
 	}
 	m.ended = true
 	return m
@@ -202,31 +205,31 @@
 	m, p := w.messages[a.ID], w.endpoints[a.Endpoint]
 	switch {
 	case m == nil || m.ended:
-		w.t.Fatalf("%v: sent %s, which is over or unknown", w.now, a.ID)
+		w.t.Fatalf("%v: sent %s, which has ended or is unknown", w.now, a.ID)
 	case p == nil || p.Dest != m.Dest:
-		w.t.Fatalf("%v: sent %s to %s, not of its destination", w.now, a.ID, a.Endpoint)
+		w.t.Fatalf("%v: sent %s to %s, which is not an endpoint of its destination", w.now, a.ID, a.Endpoint)
 	case w.disabled[a.Endpoint]:
-		w.t.Fatalf("%v: sent to %s, which operators have taken out", w.now, a.Endpoint)
+		w.t.Fatalf("%v: sent to %s, which operators have disabled", w.now, a.Endpoint)
 	case p.closedToSends:
-		w.t.Fatalf("%v: sent to drained endpoint %s", w.now, a.Endpoint)
+		w.t.Fatalf("%v: sent to endpoint %s, which is draining or not in the list", w.now, a.Endpoint)
 	case w.now < w.waitUntil[w.route(a.Endpoint)]:
-		w.t.Fatalf("%v: sent to %s in a wait", w.now, a.Endpoint)
+		w.t.Fatalf("%v: sent to %s before its RetryAfter was over", w.now, a.Endpoint)
 	case m.class.Effect == AtMostOnce && (m.mayHaveRun || m.inFlight > 0):
-		w.t.Fatalf("%v: unsafe %s sent again", w.now, a.ID)
+		w.t.Fatalf("%v: at-most-once message %s sent again", w.now, a.ID)
 	case m.class.Effect == Deduplicated && m.mayHaveRun && w.now > m.firstRunSentAt+m.class.DedupWindow:
-		w.t.Fatalf("%v: keyed %s sent after its window", w.now, a.ID)
+		w.t.Fatalf("%v: deduplicated message %s sent after its window", w.now, a.ID)
 	case m.class.Effect == Deduplicated && m.mayHaveRun && (a.LatestStart <= 0 || a.LatestStart > m.firstRunSentAt+m.class.DedupWindow):
-		w.t.Fatalf("%v: keyed %s may begin until %v, and its window ends at %v", w.now, a.ID, a.LatestStart, m.firstRunSentAt+m.class.DedupWindow)
+		w.t.Fatalf("%v: deduplicated message %s may start until %v, and its window ends at %v", w.now, a.ID, a.LatestStart, m.firstRunSentAt+m.class.DedupWindow)
 	case m.class.Effect == Deduplicated && m.mayHaveRun && !m.class.AllEndpointsDeduplicate && p.Zone != m.runZone:
-		w.t.Fatalf("%v: keyed %s sent outside its group", w.now, a.ID)
+		w.t.Fatalf("%v: deduplicated message %s sent to another zone", w.now, a.ID)
 	case m.inFlight > 0 && !w.cfg.MayDuplicate:
-		w.t.Fatalf("%v: two copies of %s", w.now, a.ID)
+		w.t.Fatalf("%v: two attempts of %s in flight", w.now, a.ID)
 	case w.cfg.MaxAttempts > 0 && m.attempts >= w.cfg.MaxAttempts:
 		w.t.Fatalf("%v: too many attempts of %s", w.now, a.ID)
 	}
 	if m.class.Ordered && m.Key != "" {
 		if w.now < w.keyBlockedUntil[m.Key] && m.attempts == 0 {
-			w.t.Fatalf("%v: sent %s while its key rests", w.now, a.ID)
+			w.t.Fatalf("%v: sent %s during the pause of its key", w.now, a.ID)
 		}
 		for _, id := range w.messageOrder {
 			o := w.messages[id]
@@ -248,7 +251,7 @@
 		w.calls++
 	}
 	if w.cfg.Slots > 0 && w.calls > w.cfg.Slots {
-		w.t.Fatalf("%v: more calls out than slots", w.now)
+		w.t.Fatalf("%v: more calls in flight than slots", w.now)
 	}
 	w.inFlight[attempt{a.ID, m.attempts}] = &trackedAttempt{a, w.now, slot}
 	m.attempts++
@@ -256,7 +259,7 @@
 	w.sends = append(w.sends, a)
 }
 
-// flights lists the attempts that are out, in a fixed order.
+// sortedInFlight lists the attempts that are in flight, in a fixed order.
 func (w *scenario) sortedInFlight() []attempt {
 	var list []attempt
 	for a := range w.inFlight {
@@ -268,7 +271,7 @@
 	return list
 }
 
-// outcome ends the only attempt that is out for a message.
+// outcome is the end of the only attempt of a message that is in flight.
 func (w *scenario) outcome(id string, o Outcome, wait time.Duration) AttemptEnded {
 	w.t.Helper()
 	for a, f := range w.inFlight {
@@ -278,18 +281,18 @@
 			}
 		}
 	}
-	w.t.Fatalf("%v: no attempt of %s is out", w.now, id)
+	w.t.Fatalf("%v: no attempt of %s is in flight", w.now, id)
 	return AttemptEnded{}
 }
 
-// quiet lets time pass.
+// idle lets time pass, with wakes only.
 func (w *scenario) idle(span time.Duration) {
 	for end := w.now + span; w.now < end; {
 		w.step(10*ms, WakeDue{Tag: "sweep"})
 	}
 }
 
-// finish lets everything end and asserts that nothing is lost.
+// drainAll runs until everything has ended, and checks that each message got a final answer.
 func (w *scenario) drainAll() {
 	w.t.Helper()
 	for i := 0; i < 20000 && (len(w.inFlight) > 0 || w.firstOpen() != ""); i++ {
@@ -307,6 +310,7 @@
 	}
 }
 
+// firstOpen is the first message without a final answer.
 func (w *scenario) firstOpen() string {
 	for _, id := range w.messageOrder {
 		if !w.messages[id].ended {
@@ -332,6 +336,7 @@
 
 func fullList(entries ...Entry) ListUpdate { return ListUpdate{Whole: true, Entries: entries} }
 
+// newArrival is a message that arrives now. An unknown class gets a deadline of 10 s.
 func (w *scenario) newArrival(id string, class, dest int) MessageArrived {
 	d := 10 * time.Second
 	if class >= 0 && class < len(w.cfg.Classes) {
@@ -340,17 +345,17 @@
 	return MessageArrived{ID: id, Class: class, Dest: dest, Deadline: w.now + d}
 }
 
-// randomStory plays thousands of steps of anything at all; the checker watches.
+// runRandomEvents runs a scenario with random events of all kinds.
 func runRandomEvents(t testing.TB, seed uint64, steps int) *scenario {
 	return runRandomEventsRestoring(t, seed, steps, 0)
 }
 
-// carriedStory does, and carries the sender over now and then.
+// runRandomEventsRestoring does the same and replaces the Sender by its restored snapshot every so many steps.
 func runRandomEventsRestoring(t testing.TB, seed uint64, steps, snapshotEvery int) *scenario {
 	return runRandomEventsWith(t, seed, steps, snapshotEvery, func(*Settings) {})
 }
 
-// changedStory does so with settings that change has changed.
+// runRandomEventsWith does the same with settings that change has modified.
 func runRandomEventsWith(t testing.TB, seed uint64, steps, snapshotEvery int, change func(*Settings)) *scenario {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	cfg := testSettings()
@@ -398,7 +403,7 @@
 			if chance(0.3) {
 				e.Report = LimitReport{Left: rng.Float64()*3 - 1, Limit: rng.Float64()*20 - 2, HasLeft: true, HasLimit: true}
 			}
-			// The fellows of a batch share its fate; this story lets their outcomes come apart, which is harder.
+			// In reality all messages of a batch have the same outcome. Here they may differ, which is harder.
 			events = append(events, e)
 		}
 		for range rng.IntN(3) {
--- a/choice/membership_test.go
+++ b/choice/membership_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// A keeper that membership says is gone is passed over at once; without it, some asks go unanswered first.
+// A coordinator that membership reports as gone must be replaced at once. Without membership, some requests go
+// unanswered first.
 func TestGoneCoordinatorIsSkipped(t *testing.T) {
 	successesWithin := func(withMembership bool, span time.Duration) (passed int) {
 		w := newFleetSim(t, 40, true)
@@ -23,13 +24,14 @@
 	}
 	const span = 400 * time.Millisecond
 	withMembership, withoutMembership := successesWithin(true, span), successesWithin(false, span)
-	t.Logf("in %v after a keeper's end %d calls pass with membership, %d without", span, withMembership, withoutMembership)
+	t.Logf("in %v after the end of a coordinator %d calls pass with membership, %d without", span, withMembership, withoutMembership)
 	if withMembership <= withoutMembership {
 		t.Errorf("%d calls pass with membership, %d without", withMembership, withoutMembership)
 	}
 }
 
-// While a fleet is split, both sides together keep to the limit if they know who is on the other side.
+// During a network partition both sides together must keep to the limit if they know which nodes are on the other
+// side.
 func TestBothSidesOfPartitionKeepToLimit(t *testing.T) {
 	split := func(withMembership bool) *fleetSim {
 		w := newFleetSim(t, 40, true)
@@ -43,7 +45,7 @@
 				}
 			}
 		}
-		w.run(2*time.Second, 1.5*fleetLimit) // what was granted before
+		w.run(2*time.Second, 1.5*fleetLimit) // uses up the grants from before
 		w.passed, w.refused = 0, 0
 		w.run(6*time.Second, 1.5*fleetLimit)
 		return w
@@ -56,11 +58,12 @@
 		t.Errorf("%d calls pass and %d are refused, of %d", with.passed, with.refused, limit)
 	}
 	if without.refused < 3*with.refused {
-		t.Errorf("without membership %d are refused: the test does not tell", without.refused)
+		t.Errorf("without membership %d are refused: the test cannot tell the difference", without.refused)
 	}
 }
 
-// Who has left takes nothing along, and who was cut off is given up for dead after a time: the rest get all there is.
+// A node that left cleanly uses no part of the limit any more. One that vanished may be partitioned, and is taken for
+// dead after partitionTimeout. Then the other nodes get the whole limit.
 func TestRemainingMembersGetWholeLimit(t *testing.T) {
 	for name, c := range map[string]struct {
 		left bool
@@ -74,18 +77,18 @@
 		}
 		s.now += c.wait
 		if got := s.reachableShare(); got != c.want {
-			t.Errorf("%s: the rest may use %v of the limit, want %v", name, got, c.want)
+			t.Errorf("%s: the remaining nodes may use %v of the limit, want %v", name, got, c.want)
 		}
 		for k := 5; k < 10; k++ {
 			w.step(0, MemberChanged{Number: k})
 		}
 		if got := s.reachableShare(); got != 1 {
-			t.Errorf("%s: all are back and use %v", name, got)
+			t.Errorf("%s: all nodes are back and may use %v of the limit", name, got)
 		}
 	}
 }
 
-// The last of a fleet keeps every limit itself, whatever ranks are asked for.
+// The last node of a fleet must coordinate every limit itself, whatever rank is asked for.
 func TestLastMemberCoordinatesItself(t *testing.T) {
 	w := newFleetSim(t, 6, true)
 	w.run(2*time.Second, fleetLimit)
@@ -95,24 +98,24 @@
 		}
 	}
 	for k := range 6 {
-		w.step(2, MemberChanged{Number: k, Gone: true, LeftCleanly: true}) // this one too, which is nonsense
+		w.step(2, MemberChanged{Number: k, Gone: true, LeftCleanly: true}) // itself too, which must be ignored
 	}
 	w.passed = 0
 	for range 40 {
 		w.run(100*time.Millisecond, 3*fleetLimit)
 	}
 	if w.passed == 0 {
-		t.Error("nothing passes")
+		t.Error("no call succeeds")
 	}
 	for rank := range coordinatorRanks {
 		if got := w.senders[2].coordinator(w.senders[2].destinations[0], rank); got != 2 {
-			t.Errorf("rank %d is %d", rank, got)
+			t.Errorf("the coordinator of rank %d is node %d", rank, got)
 		}
 	}
 }
 
-// Half of a fleet takes the first keeper for gone, which runs and knows nothing of it. Two keepers grant, but not both
-// the whole.
+// Half of a fleet believes that the first coordinator is gone, while it runs and does not know that. So two
+// coordinators issue grants. They must not both grant the whole limit.
 func TestTwoCoordinatorsDoNotBothGrantWholeLimit(t *testing.T) {
 	w := newFleetSim(t, 40, true)
 	w.run(5*time.Second, 1.5*fleetLimit)
@@ -129,14 +132,15 @@
 	sent, limit := w.passed+w.refused, int(fleetLimit*seconds(span))
 	t.Logf("%d calls in %v, of %d that the limit allows", sent, span, limit)
 	if most := limit * 16 / 10; sent > most {
-		t.Errorf("%d calls are made, more than %d", sent, most)
+		t.Errorf("%d calls were made, more than %d", sent, most)
 	}
 	if sent < limit/2 {
-		t.Errorf("only %d calls are made", sent)
+		t.Errorf("only %d calls were made", sent)
 	}
 }
 
-// A keeper that leaves tells the next what the destination takes; without that the next one begins with more.
+// A coordinator that leaves must tell the next one what share of the limit is in use. Without that, the next one
+// begins with a larger share.
 func TestLeavingCoordinatorHandsOverLimit(t *testing.T) {
 	after := func(handOver bool) (part float64) {
 		w := newFleetSim(t, 12, true)
@@ -155,6 +159,6 @@
 	}
 	with, without := after(true), after(false)
 	if with < 0.15 || with > 0.3 || without <= with {
-		t.Errorf("the next keeper begins with %v of the limit, without a word with %v", with, without)
+		t.Errorf("the next coordinator begins with %v of the limit, and with %v without a hand-over", with, without)
 	}
 }
--- a/choice/memory_test.go
+++ b/choice/memory_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// A new process begins with what the one before had learnt, the older the less; an outage that it knew of is met as cold.
+// A new process must begin with what the one before had learnt, with less weight the older it is, and must treat a
+// destination with a known outage as cold.
 func TestRestoredMemoryLosesWeightWithAge(t *testing.T) {
 	w := newFleetSim(t, 40, true)
 	w.run(10*time.Second, fleetLimit)
@@ -30,13 +31,13 @@
 	}
 	aged, far := begin(m, 5*time.Minute)
 	if a, b := young.fleetRoute(ep).limitShare, aged.fleetRoute(far).limitShare; a > 0.55 || b < 0.95 {
-		t.Errorf("after a second %v of the limit, after five minutes %v", a, b)
+		t.Errorf("share of the limit after a second %v, after five minutes %v", a, b)
 	}
 	m.Dests[0].Routes[0].CircuitOpen = true
 	if _, ep := begin(m, time.Second); !ep.route.fleetRoute.recovering() {
-		t.Error("an outage is forgotten")
+		t.Error("the outage is not restored")
 	}
 	if _, ep := begin(m, -time.Second); ep.smoothedLatency != 0 {
-		t.Error("what comes from the future is believed")
+		t.Error("a memory with a negative age is used")
 	}
 }
--- a/choice/partition_test.go
+++ b/choice/partition_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// piecesOf plays a fleet that comes apart for six seconds, and returns the calls that passed and were refused before,
-// in the cut and in the three seconds after it.
+// callsAroundPartition simulates a fleet that is partitioned for six seconds. It returns the calls that succeeded and
+// that were refused in the three seconds before, in the partition, and in the three seconds after it.
 func callsAroundPartition(t *testing.T, senders int, seed uint64, datagrams bool, blocked func(from, to int) bool) (calls [3][2]int) {
 	w := newFleetSim(t, senders, datagrams)
 	w.rng = rand.New(rand.NewPCG(seed, 7))
@@ -18,7 +18,7 @@
 		w.run(span, 1.3*fleetLimit)
 		calls[i] = [2]int{w.passed, w.refused}
 	}
-	w.run(6*time.Second, 1.3*fleetLimit) // it learns
+	w.run(6*time.Second, 1.3*fleetLimit) // time to learn the rates
 	phase(0, 3*time.Second)
 	w.blocked = blocked
 	phase(1, 6*time.Second)
@@ -27,8 +27,8 @@
 	return calls
 }
 
-// While nobody hears anybody, what the senders make on their allowances adds up to the limit, whatever the fleet's size:
-// it is used, and it is not passed by more than a part.
+// While no node hears another, the calls that the nodes make on their allowances must add up to about the limit,
+// whatever the size of the fleet. The limit must be used, and must not be exceeded by more than its own amount.
 func TestAllowancesAddUpToLimit(t *testing.T) {
 	all := func(from, to int) bool { return true }
 	halves := func(from, to int) bool { return from%2 != to%2 }
@@ -43,22 +43,22 @@
 				}
 			}
 			limit := func(sec float64) int { return int(seeds * sec * fleetLimit) }
-			t.Logf("%3d senders, %-8s: before %d of %d pass, %d refused; in the cut %d of %d, %d; after %d of %d, %d", size, name,
+			t.Logf("%3d nodes, %-8s: before %d of %d pass, %d refused; in the partition %d of %d, %d; after %d of %d, %d", size, name,
 				sum[0][0], limit(3), sum[0][1], sum[1][0], limit(6), sum[1][1], sum[2][0], limit(3), sum[2][1])
 			if most := 2 * limit(6); sum[1][0]+sum[1][1] > most {
-				t.Errorf("%d senders, %s: %d calls in the cut, over %d", size, name, sum[1][0]+sum[1][1], most)
+				t.Errorf("%d nodes, %s: %d calls in the partition, more than %d", size, name, sum[1][0]+sum[1][1], most)
 			}
 			if least := limit(6) * 6 / 10; sum[1][0] < least {
-				t.Errorf("%d senders, %s: %d calls pass in the cut, under %d", size, name, sum[1][0], least)
+				t.Errorf("%d nodes, %s: %d calls pass in the partition, fewer than %d", size, name, sum[1][0], least)
 			}
 			if least := limit(3) * 7 / 10; sum[2][0] < least {
-				t.Errorf("%d senders, %s: %d calls pass after the cut, under %d", size, name, sum[2][0], least)
+				t.Errorf("%d nodes, %s: %d calls pass after the partition, fewer than %d", size, name, sum[2][0], least)
 			}
 		}
 	}
 }
 
-// Ranks of keepers that all believe themselves the one begin with less than twice the limit together.
+// If the nodes of all ranks believe they are the coordinator, they must begin with less than twice the limit together.
 func TestInitialFleetSharesStayBelowTwiceLimit(t *testing.T) {
 	for _, fleet := range []int{2, 5, 80} {
 		sum := 0.0
@@ -72,13 +72,13 @@
 			}
 		}
 		if sum >= 2 {
-			t.Errorf("%d senders: keepers begin with %v of the limit", fleet, sum)
+			t.Errorf("%d nodes: coordinators begin with %v of the limit", fleet, sum)
 		}
 	}
 }
 
-// What a sender met while it heard nobody its keeper hears first: a destination that is back cold is not met with the
-// whole fleet's pace.
+// The coordinator must first hear of an outage that other nodes met while they heard no coordinator. Otherwise a
+// destination that is back and cold would get the full rate of the fleet.
 func TestCoordinatorLearnsOfMissedOutages(t *testing.T) {
 	for _, size := range []int{20, 80} {
 		w := newFleetSim(t, size, true)
@@ -88,9 +88,9 @@
 		w.run(6*time.Second, fleetLimit)
 		w.blocked, w.down, w.passed, w.refused = nil, false, 0, 0
 		w.run(time.Second, fleetLimit)
-		// A second of the cold budget, and what was on its way.
+		// One second of the cold budget, and the calls that were in flight.
 		if most := int(3*w.cfg.OverloadMultiple*w.cfg.ColdCapacity*fleetLimit) + 2; w.passed+w.refused > most {
-			t.Errorf("%d senders: %d calls in the first second of the return, over %d", size, w.passed+w.refused, most)
+			t.Errorf("%d nodes: %d calls in the first second after the outage, more than %d", size, w.passed+w.refused, most)
 		}
 	}
 }
@@ -101,7 +101,7 @@
 		{kind: datagramOutage, dest: 7, route: 9, count: 1, wait: 4321 * time.Millisecond},
 	} {
 		if got, ok := decodeDatagram(n.encode()); !ok || fmt.Sprint(got) != fmt.Sprint(n) {
-			t.Errorf("%+v comes as %+v, %v", n, got, ok)
+			t.Errorf("%+v was decoded as %+v, %v", n, got, ok)
 		}
 	}
 }
--- a/choice/recovery_test.go
+++ b/choice/recovery_test.go
@@ -8,17 +8,18 @@
 	"time"
 )
 
-// fall is a span in which a partner that is back cold got more calls than it bears: N in a span of Fall, N being what the
-// settings allow it then, and 2 x root of N + 2 by chance.
+// overload is a window of OverloadDuration in which a recovering destination got more calls than it tolerates. It
+// tolerates N calls, as the settings say for its capacity at that time, and 2*sqrt(N) + 2 more for chance.
 type overload struct {
-	calls, byAware int // knowing are those of senders that had met the outage
+	calls, byAware int // byAware are the calls of nodes that had met the outage
 	tolerated      float64
 }
 
-// broken tells that the fall breaks the rule: over two thirds of it came from who knew.
+// violatesRule reports whether the overload breaks the rule: more than two thirds of the calls came from nodes that
+// knew of the outage.
 func (f overload) violatesRule() bool { return 3*f.byAware > 2*f.calls }
 
-// coldSum plays an outage, and returns the falls of the partner after its return.
+// overloadsAfterOutage simulates an outage and returns the overloads of the destination afterwards.
 func overloadsAfterOutage(w *fleetSim, limit float64, restartsPerStep int) (overloads []overload) {
 	load := 1.2 * limit
 	w.run(8*time.Second, load)
@@ -27,7 +28,7 @@
 	w.run(6*time.Second, load)
 	back := w.now
 	w.down, w.calls = false, nil
-	for at, next := 0, 0; at < 20; at++ { // some begin anew while it is cold, with what they remember
+	for at, next := 0, 0; at < 20; at++ { // some nodes restart while it is cold, with their memory
 		for range restartsPerStep {
 			i := next % len(w.senders)
 			next++
@@ -57,7 +58,7 @@
 	return overloads
 }
 
-// sparesACold plays coldSum and holds it to the rule.
+// checkRecoveryLoad runs overloadsAfterOutage and checks the rule.
 func checkRecoveryLoad(t *testing.T, size int, limit float64, datagrams bool, lossRate float64, restartsPerStep int) {
 	w := newFleetSim(t, size, datagrams)
 	w.rng, w.lossRate, w.limit, w.weight = rand.New(rand.NewPCG(uint64(size), 7)), lossRate, limit, limit
@@ -66,19 +67,19 @@
 	}
 	overloads := overloadsAfterOutage(w, limit, restartsPerStep)
 	if len(overloads) > 0 {
-		t.Logf("%d spans over what is borne, the first with %d calls, %d of them by who knew, of %.0f", len(overloads), overloads[0].calls, overloads[0].byAware, overloads[0].tolerated)
-		if overloads[0].violatesRule() { // what has fallen stays down: only the first counts
-			t.Error("over two thirds of a fall came from senders that knew of the outage")
+		t.Logf("%d overloads, the first with %d calls, %d of them by nodes that knew of the outage, of %.0f tolerated", len(overloads), overloads[0].calls, overloads[0].byAware, overloads[0].tolerated)
+		if overloads[0].violatesRule() { // a destination that has failed stays down, so only the first overload counts
+			t.Error("over two thirds of the calls in an overload came from nodes that knew of the outage")
 		}
 	}
 	if len(w.calls) == 0 || w.passed == 0 {
-		t.Error("nothing passes")
+		t.Error("no call succeeds")
 	}
 }
 
-// What all senders together send a partner that is back cold stays under what it bears, whatever the fleet's size, with or
-// without notes, with half of them lost, and while senders begin anew; or else a third of it and more comes from senders
-// that can't know of the outage.
+// The calls of all nodes together must stay below what a recovering destination tolerates, whatever the size of the
+// fleet: with or without datagrams, with half of them lost, and while nodes restart. The only exception is an overload
+// of which at least a third comes from nodes that cannot know of the outage.
 func TestFleetDoesNotOverloadRecoveringDestination(t *testing.T) {
 	for _, size := range []int{1, 2, 9, 30, 300, 1024} {
 		for _, limit := range []float64{5, 20, 100} {
@@ -87,16 +88,16 @@
 				lose    float64
 				restart int
 			}{
-				"no notes":           {},
-				"no notes, restarts": {restart: max(size/20, 1)},
-				"notes":              {tell: true},
-				"notes, restarts":    {tell: true, restart: max(size/20, 1)},
-				"half of them lost":  {tell: true, lose: 0.5},
+				"no datagrams":           {},
+				"no datagrams, restarts": {restart: max(size/20, 1)},
+				"notes":                  {tell: true},
+				"datagrams, restarts":    {tell: true, restart: max(size/20, 1)},
+				"half of them lost":      {tell: true, lose: 0.5},
 			} {
 				if size > 300 && c.tell {
-					continue // minutes, and the same keepers
+					continue // would take minutes, and the coordinators are as in smaller fleets
 				}
-				t.Run(fmt.Sprintf("%d senders, limit %v, %s", size, limit, name), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%d nodes, limit %v, %s", size, limit, name), func(t *testing.T) {
 					t.Parallel()
 					checkRecoveryLoad(t, size, limit, c.tell, c.lose, c.restart)
 				})
--- a/choice/requestqueue_test.go
+++ b/choice/requestqueue_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// plainLine is who comes first by looking through all, as it was before there was a heap.
+// headByScan finds the request to grant next by a linear scan.
 func headByScan(wants []*grantRequest, now time.Duration) (best *grantRequest) {
 	for _, w := range wants {
 		if best != nil && w.calls > 0 && (now < w.deferredUntil) != (now < best.deferredUntil) {
@@ -26,8 +26,8 @@
 	return best
 }
 
-// Whatever is asked, granted, lost and dropped in whatever order: the line has the same first, the same members and the same
-// debts as looking through all, and its heaps stay whole.
+// After any order of requests, grants, connect failures and expiries, the queue must have the same head, the same
+// requests and the same pending answers as a linear scan, and its heaps must be consistent.
 func TestRequestQueueMatchesLinearScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q requestQueue
@@ -62,19 +62,19 @@
 			case 4:
 				scanned = slices.DeleteFunc(scanned, func(w *grantRequest) bool { return now-w.refreshedAt >= requestTTL })
 				if q.expire(now-requestTTL) != (len(scanned) == 0) {
-					t.Fatalf("%d are left", len(scanned))
+					t.Fatalf("%d requests are left", len(scanned))
 				}
 			}
 			if got, want := q.head(now), headByScan(scanned, now); got != want {
-				t.Fatalf("first is %+v, and should be %+v", got, want)
+				t.Fatalf("the head is %+v, want %+v", got, want)
 			}
 			if len(q.byNode) != len(scanned) {
-				t.Fatalf("%d in the line, %d should be", len(q.byNode), len(scanned))
+				t.Fatalf("%d requests in the queue, want %d", len(q.byNode), len(scanned))
 			}
 			for _, h := range []requestHeap{q.ready, q.deferred} {
 				for i, w := range h {
 					if w.heapIndex != i || w.calls <= 0 || q.byNode[w.from] != w {
-						t.Fatalf("%+v at %d", w, i)
+						t.Fatalf("inconsistent heap: %+v at %d", w, i)
 					}
 				}
 			}
@@ -87,12 +87,12 @@
 		}
 		q.answerPending(func(*grantRequest) { answered++ })
 		if owed != answered {
-			t.Fatalf("%d are owed an answer, %d get one", owed, answered)
+			t.Fatalf("%d answers are due, %d were given", owed, answered)
 		}
 	})
 }
 
-// BenchmarkKeeper is what an ask and its grant cost a keeper of whom so many ask.
+// BenchmarkRequestQueue measures a request and its grant at a coordinator with the given number of requesting nodes.
 func BenchmarkRequestQueue(b *testing.B) {
 	for _, senders := range []int{30, 300, 3000, 30000} {
 		b.Run(fmt.Sprint(senders), func(b *testing.B) {
--- a/choice/resume_test.go
+++ b/choice/resume_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// What a restart hands back is decided by what may have run, as it would have been without the restart.
+// After a restart a message must be treated by what may have run, as it would have been without the restart.
 func TestResumedMessagesRespectEffect(t *testing.T) {
 	const now = time.Hour
 	cfg := testSettings()
@@ -29,17 +29,17 @@
 		e     MessageResumed
 		want  string
 	}{
-		{"safe, held", safe, 5 * time.Second, MessageResumed{}, "send"},
-		{"safe, may have run", safe, 5 * time.Second, MessageResumed{Attempts: 1, MayHaveRun: true, FirstRunSentAt: now - time.Second}, "send"},
-		{"keyed, inside its window", keyed, 5 * time.Second, MessageResumed{Attempts: 1, MayHaveRun: true, FirstRunSentAt: now - window/2}, "send"},
-		{"keyed, past its window", keyed, 5 * time.Second, MessageResumed{Attempts: 1, MayHaveRun: true, FirstRunSentAt: now - window}, "fail"},
-		{"unsafe, held", unsafe, 5 * time.Second, MessageResumed{}, "send"},
-		{"unsafe, never ran", unsafe, 5 * time.Second, MessageResumed{Attempts: 1}, "send"},
-		{"unsafe, may have run", unsafe, 5 * time.Second, MessageResumed{Attempts: 1, MayHaveRun: true, FirstRunSentAt: now - time.Second}, "fail"},
-		{"of a class that is not known, held", 99, 5 * time.Second, MessageResumed{}, "send"},
-		{"of a class that is not known, may have run", 99, 5 * time.Second, MessageResumed{Attempts: 1, MayHaveRun: true, FirstRunSentAt: now - time.Second}, "fail"},
+		{"idempotent, not sent", safe, 5 * time.Second, MessageResumed{}, "send"},
+		{"idempotent, may have run", safe, 5 * time.Second, MessageResumed{Attempts: 1, MayHaveRun: true, FirstRunSentAt: now - time.Second}, "send"},
+		{"deduplicated, inside its window", keyed, 5 * time.Second, MessageResumed{Attempts: 1, MayHaveRun: true, FirstRunSentAt: now - window/2}, "send"},
+		{"deduplicated, past its window", keyed, 5 * time.Second, MessageResumed{Attempts: 1, MayHaveRun: true, FirstRunSentAt: now - window}, "fail"},
+		{"at-most-once, not sent", unsafe, 5 * time.Second, MessageResumed{}, "send"},
+		{"at-most-once, never ran", unsafe, 5 * time.Second, MessageResumed{Attempts: 1}, "send"},
+		{"at-most-once, may have run", unsafe, 5 * time.Second, MessageResumed{Attempts: 1, MayHaveRun: true, FirstRunSentAt: now - time.Second}, "fail"},
+		{"unknown class, not sent", 99, 5 * time.Second, MessageResumed{}, "send"},
+		{"unknown class, may have run", 99, 5 * time.Second, MessageResumed{Attempts: 1, MayHaveRun: true, FirstRunSentAt: now - time.Second}, "fail"},
 		{"out of time", safe, -time.Second, MessageResumed{}, "push back"},
-		{"unsafe, out of time, may have run", unsafe, -time.Second, MessageResumed{Attempts: 1, MayHaveRun: true, FirstRunSentAt: now - time.Second}, "fail"},
+		{"at-most-once, out of time, may have run", unsafe, -time.Second, MessageResumed{Attempts: 1, MayHaveRun: true, FirstRunSentAt: now - time.Second}, "fail"},
 		{"out of attempts", safe, 5 * time.Second, MessageResumed{Attempts: cfg.MaxAttempts}, "push back"},
 	} {
 		s := New(cfg, 1)
@@ -54,7 +54,7 @@
 			case Refuse:
 				got += "push back"
 				if a.RetryAfter <= 0 {
-					t.Errorf("%s: no time to come back", c.name)
+					t.Errorf("%s: no RetryAfter", c.name)
 				}
 			}
 		}
@@ -64,7 +64,7 @@
 	}
 }
 
-// A backlog that has failed before the restart comes back at the pace of a cold destination, not at once.
+// A backlog that failed before the restart must be sent at the rate of a cold destination, and not all at once.
 func TestResumedBacklogStartsAtColdRate(t *testing.T) {
 	for _, failed := range []bool{false, true} {
 		cfg := testSettings()
@@ -87,13 +87,13 @@
 	}
 }
 
-// Leaving stops new sends and nothing else: the gate and the ends go on.
+// A shutdown must stop new sends and nothing else: messages still get their final answers.
 func TestShuttingDownSendsNothingNew(t *testing.T) {
 	s := New(testSettings(), 1)
 	s.Step(time.Hour, []Event{oneEndpoint(), ShuttingDown{}})
 	for _, a := range s.Step(time.Hour+ms, []Event{MessageArrived{ID: "m", Deadline: time.Hour + time.Second}}) {
 		if _, ok := a.(Send); ok {
-			t.Error("sent while leaving")
+			t.Error("sent during the shutdown")
 		}
 	}
 	ended := false
@@ -103,16 +103,16 @@
 		}
 	}
 	if !ended {
-		t.Error("a held message's time was up and it was given no end")
+		t.Error("a held message got no final answer at its deadline")
 	}
 }
 
-// What a restart finds untried is tried, though newer messages that are worth more keep coming to a destination which takes
-// fewer than come: it was taken on, and would wait to its end behind them.
+// Messages that a restart finds without an attempt must be tried, even if newer messages with a higher worth keep
+// arriving for a destination that takes fewer than arrive. Behind those they would wait until their deadlines.
 func TestResumedUntriedMessagesAreNotStarved(t *testing.T) {
 	cfg := testSettings()
 	s, now := New(cfg, 1), time.Hour
-	s.Step(now, []Event{fullList(Entry{Endpoint: "a", Dest: 0, Weight: 8})}) // of which a half is this sender's at most
+	s.Step(now, []Event{fullList(Entry{Endpoint: "a", Dest: 0, Weight: 8})}) // half of this is the node's share at most
 	const found, limit = 20, 4
 	var events []Event
 	for i := range found {
@@ -123,7 +123,7 @@
 		if now-window >= time.Second {
 			window, taken = now, 0
 		}
-		if n%5 == 0 { // ten a second
+		if n%5 == 0 { // ten per second
 			events = append(events, MessageArrived{ID: fmt.Sprint("new", n), Class: 2, Deadline: now + 10*time.Second})
 		}
 		actions := s.Step(now, append(events, WakeDue{Tag: "sweep"}))
@@ -149,6 +149,6 @@
 		now += 20 * ms
 	}
 	if tried < found*3/4 {
-		t.Errorf("of %d found, %d are tried and %d given up", found, tried, gaveUp)
+		t.Errorf("of %d messages found, %d were tried and %d were given up", found, tried, gaveUp)
 	}
 }
--- a/choice/settings_test.go
+++ b/choice/settings_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Whatever a figure of the settings is within its bounds, be it missing, shorter than a call or endless, every rule holds
-// and each message has its end.
+// Whatever the value of a setting is within its bounds (missing, shorter than a call, or very long), every rule must
+// hold and each message must get its final answer.
 func TestExtremeSettingsKeepRules(t *testing.T) {
 	odd := func(name string, set func(*Settings) reflect.Value) {
 		values := []any{time.Duration(0), time.Millisecond, 60 * time.Millisecond, 15 * time.Second, 0, 1, 1 << 20, 0.0, 1.0, 100.0}
@@ -19,9 +19,9 @@
 			}
 			t.Run(fmt.Sprint(name, "=", v), func(t *testing.T) {
 				t.Parallel()
-				runRandomEventsWith(t, 1, 120, 5, func(s *Settings) { // it is carried over now and then
+				runRandomEventsWith(t, 1, 120, 5, func(s *Settings) { // with a restore every 5 steps
 					for i := range s.Classes {
-						s.Classes[i].Aim, s.Classes[i].Deadline = 500*ms, 1500*ms // so that a story is short
+						s.Classes[i].Aim, s.Classes[i].Deadline = 500*ms, 1500*ms // keeps the test short
 					}
 					set(s).Set(reflect.ValueOf(v))
 				})
@@ -30,12 +30,12 @@
 	}
 	for i := range reflect.TypeFor[Settings]().NumField() {
 		f := reflect.TypeFor[Settings]().Field(i)
-		if f.Name == "AnswerGrace" || f.Name == "Tick" || f.Name == "Number" { // what the story itself goes by
+		if f.Name == "AnswerGrace" || f.Name == "Tick" || f.Name == "Number" { // used by the scenario itself
 			continue
 		}
 		odd(f.Name, func(s *Settings) reflect.Value { return reflect.ValueOf(s).Elem().Field(i) })
 	}
-	const keyed = 1 // of the story's classes, whose window is what is most easily missed
+	const keyed = 1 // the deduplicated class of testSettings: its window is the easiest rule to violate
 	for i := range reflect.TypeFor[Class]().NumField() {
 		f := reflect.TypeFor[Class]().Field(i)
 		odd("a class's "+f.Name, func(s *Settings) reflect.Value { return reflect.ValueOf(&s.Classes[keyed]).Elem().Field(i) })
--- a/choice/snapshot_test.go
+++ b/choice/snapshot_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// A sender that has been carried over decides what the one it comes from would have decided, at any moment: slots,
-// waits, budgets, gates, turns and what operators have taken out all come along.
+// A Sender that is restored from a snapshot must decide as the original would have, at any moment: the snapshot must
+// contain slots, waits, budgets, gates, the order of keys, and disabled endpoints.
 func TestRestoredSenderDecidesTheSame(t *testing.T) {
 	for seed := range uint64(4) {
 		one, other := runRandomEvents(t, seed, 800), runRandomEventsRestoring(t, seed, 800, 7)
@@ -16,12 +16,12 @@
 			for i < min(len(one.log), len(other.log)) && one.log[i] == other.log[i] {
 				i++
 			}
-			t.Errorf("seed %d: they part at action %d of %d", seed, i, len(one.log))
+			t.Errorf("seed %d: the Senders differ from action %d of %d on", seed, i, len(one.log))
 		}
 	}
 }
 
-// What can't have been written by Carry is an error, not a crash.
+// Data that Snapshot cannot have written must be an error and not cause a panic.
 func TestRestoreRejectsInvalidSnapshots(t *testing.T) {
 	w := runRandomEvents(t, 3, 300)
 	raw, err := w.sender.Snapshot()
@@ -34,7 +34,7 @@
 		strings.Replace(whole, `"Open":`, `"Open":[100000],"x":`, 1), strings.Replace(whole, `"Random":"`, `"Random":"AA`, 1),
 	} {
 		if _, err := Restore(w.cfg, 1, []byte(text)); err == nil {
-			t.Errorf("%.40q was taken", text)
+			t.Errorf("%.40q was accepted", text)
 		}
 	}
 }
--- a/choice/uncoordinated_test.go
+++ b/choice/uncoordinated_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// Senders that can't tell one another anything, at a destination whose limit nobody tells and whose refused calls use
-// it up, come to what it takes: most of the limit is delivered, and few calls are wasted on refusals.
+// Nodes that cannot exchange datagrams call a destination that does not report its limit and counts refused calls
+// against it. They must find the limit: most of it must be used, and few calls may be refused.
 func TestUncoordinatedSendersEstimateLimit(t *testing.T) {
 	for _, c := range []struct {
 		fleet int
-		limit int // calls in a window of a second, of all senders
+		limit int // calls in each second, from all nodes
 		load  float64
 	}{{1, 3, 0.8}, {1, 3, 1.5}, {6, 6, 0.8}, {6, 6, 1.2}, {6, 6, 2}, {30, 20, 1.3}} {
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
@@ -25,7 +25,7 @@
 				fleet = append(fleet, w)
 			}
 			calls, passed, window, taken, came := 0, 0, time.Duration(0), 0, 0.0
-			due := make([]map[string]Outcome, c.fleet) // what the next step hears
+			due := make([]map[string]Outcome, c.fleet) // outcomes for the next step
 			const span = 60 * time.Second
 			for now := time.Duration(0); now < span; now += 20 * ms {
 				if now-window >= time.Second {
@@ -54,7 +54,7 @@
 						} else {
 							due[i][s.ID] = Rejected
 						}
-						taken++ // refused ones use it up as well
+						taken++ // refused calls count against the limit as well
 					}
 				}
 			}
