--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,5 +1,5 @@
-// Command wirehost hosts instances of the decision module on the simulator's wire: batches of events come on
-// standard input, one reply a batch goes to standard output. Instances share nothing.
+// Command wirehost runs instances of the decision module for the simulator. It reads batches of events from standard
+// input, one JSON object per line, and writes one reply per batch to standard output. Instances share no state.
 package main
 
 import (
@@ -22,7 +22,7 @@
 	}
 }
 
-// host keeps what one process knows: its instances, and the lists by number.
+// host is the state of the process: the instances by name, and the lists by number.
 type host struct {
 	nodes map[string]*choice.Sender
 	lists map[int][]choice.Entry
@@ -35,13 +35,14 @@
 	}
 }
 
-// turn gathers the events of one batch, each instance's together, instances in order of appearance.
+// batch collects the events of one batch by instance. Instances are stepped in the order in which they first appear.
 type batch struct {
 	now       time.Duration
 	nodeOrder []string
 	events    map[string][]choice.Event
 }
 
+// run handles the batches on in until its end.
 func run(in io.Reader, out io.Writer) error {
 	h := newHost(out)
 	r := bufio.NewReaderSize(in, 1<<20)
@@ -66,7 +67,8 @@
 	}
 }
 
-// line takes one line of input and returns the batch that is open after it.
+// handleLine handles one line of input. It takes and returns the batch that is open before and after the line, nil for
+// none.
 func (h *host) handleLine(b *batch, text []byte) (*batch, error) {
 	l, err := wire.Parse(text)
 	if err != nil {
@@ -97,20 +99,20 @@
 	case "Manifest":
 		entries, err := wire.Entries(l.Records)
 		if err != nil {
-			return b, fmt.Errorf("Manifest %d: %w", l.ListNumber, err)
+			return b, fmt.Errorf("Manifest of list %d: %w", l.ListNumber, err)
 		}
 		h.lists[l.ListNumber] = entries
 		return b, nil
 	case "Born":
 		settings, err := wire.Settings(l.Settings)
 		if err != nil {
-			return b, fmt.Errorf("Born %s: %w", l.Node, err)
+			return b, fmt.Errorf("Born for node %q: %w", l.Node, err)
 		}
 		seed, err := strconv.ParseUint(l.Seed.String(), 10, 64)
 		if err != nil {
 			signed, serr := strconv.ParseInt(l.Seed.String(), 10, 64)
 			if serr != nil {
-				return b, fmt.Errorf("Born %s: nonce64: %w", l.Node, err)
+				return b, fmt.Errorf("Born for node %q: nonce64: %w", l.Node, err)
 			}
 			seed = uint64(signed)
 		}
@@ -119,18 +121,18 @@
 		return b, nil
 	case "Down":
 		if h.nodes[l.Node] == nil {
-			return b, fmt.Errorf("Down for %q, which was never born", l.Node)
+			return b, fmt.Errorf("Down for node %q, which had no Born line", l.Node)
 		}
 		delete(h.nodes, l.Node)
 		b.resetNode(l.Node)
 		return b, nil
 	}
 	if h.nodes[l.Node] == nil {
-		return b, fmt.Errorf("%s for %q, which was never born", l.Type, l.Node)
+		return b, fmt.Errorf("%s for node %q, which had no Born line", l.Type, l.Node)
 	}
 	ev, err := wire.Event(l, h.lists)
 	if err != nil {
-		return b, fmt.Errorf("%s for %q: %w", l.Type, l.Node, err)
+		return b, fmt.Errorf("%s for node %q: %w", l.Type, l.Node, err)
 	}
 	if ev != nil {
 		b.addEvent(l.Node, ev)
@@ -145,7 +147,8 @@
 	b.events[node] = append(b.events[node], ev)
 }
 
-// reset forgets what an earlier life of the instance was told in this batch; it has its turn all the same.
+// resetNode drops the events that this batch has for an instance that is now created or ended. The instance is stepped
+// all the same.
 func (b *batch) resetNode(node string) {
 	if _, ok := b.events[node]; !ok {
 		b.nodeOrder = append(b.nodeOrder, node)
@@ -153,7 +156,7 @@
 	b.events[node] = nil
 }
 
-// step runs one instance and writes its actions; a panic becomes a Broken line.
+// stepNode steps one instance and writes its actions. A panic of the instance becomes a Broken line.
 func (h *host) stepNode(now time.Duration, node string, events []choice.Event) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/cmd/wirehost/main_test.go
+++ b/cmd/wirehost/main_test.go
@@ -38,10 +38,10 @@
 	turn := "{\"event_type\":\"Turn\",\"simTime\":1}\n"
 	for _, c := range []struct{ in, says string }{
 		{turn + "{oops\n", "line 2: malformed"},
-		{turn + `{"event_type":"Knock","node":"node-0"}` + "\n", "never born"},
+		{turn + `{"event_type":"Knock","node":"node-0"}` + "\n", "which had no Born line"},
 		{startBatch + turn + `{"event_type":"Knock","node":"node-0"}` + "\n", `unknown event "Knock"`},
-		{turn + `{"event_type":"Ring","node":"node-9"}` + "\n", `Ring for "node-9", which was never born`},
-		{turn + `{"event_type":"Down","node":"node-9"}` + "\n", "never born"},
+		{turn + `{"event_type":"Ring","node":"node-9"}` + "\n", `Ring for node "node-9", which had no Born line`},
+		{turn + `{"event_type":"Down","node":"node-9"}` + "\n", "which had no Born line"},
 		{startBatch + turn + `{"event_type":"Announce","node":"node-0","form":"whole","slot":5}` + "\n", "list 5, which was never sent"},
 		{turn + turn, "Turn inside a batch"},
 		{`{"event_type":"YourTurn"}` + "\n", "outside a batch"},
@@ -56,7 +56,7 @@
 	}
 }
 
-// A panic of the decision code becomes a Broken line with its text, never silence.
+// A panic of the decision code must be reported as a Broken line with its text, and must not go unnoticed.
 func TestPanicIsReportedAsBroken(t *testing.T) {
 	var out strings.Builder
 	h := newHost(&out)
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -8,8 +8,9 @@
 	"harrierramp/internal/units"
 )
 
-// Conf are the facts of a deployment: the settings of a Born line, which a node finds in its configuration as well.
-// The platform writes them as JSON, people as TOML in full words; both are read into this. Zero means not given.
+// Config has the settings of a deployment, as in the Born line of the simulator's protocol and in the configuration
+// file of a node. The platform writes them as JSON, people write them as TOML with longer keys; both are decoded into
+// this type. A value that is zero was not given.
 type Config struct {
 	FleetSize      int          `json:"fleetSize" toml:"fleet_size" default:"1" min:"1" max:"100000" doc:"nodes altogether"`
 	Number         int          `json:"myNumber" toml:"number" min:"0" max:"99999" doc:"this node's place among the peers, from 0"`
@@ -79,7 +80,7 @@
 	return c.Settings()
 }
 
-// Settings converts the facts for the module.
+// Settings converts the configuration to the settings of package choice.
 func (c *Config) Settings() (choice.Settings, error) {
 	s := choice.Settings{
 		FleetSize: c.FleetSize, Number: c.Number, PeerDatagrams: c.Limits.Datagrams, Slots: c.Calls.Slots, MaxOpenMessages: c.Limits.MaxOpenMessages,
@@ -124,12 +125,13 @@
 	return s, nil
 }
 
-// Names are the words that the settings give to classes, kinds, zones and tenants; a word's place is its number.
+// Names are the names that the configuration gives to classes, kinds, zones and tenants. The index of a name is the
+// number that package choice uses for it.
 type Names struct {
 	Classes, Kinds, Zones, Tenants []string
 }
 
-// Names are the words of the settings.
+// Names returns the names in the configuration.
 func (c *Config) Names() Names {
 	n := Names{Kinds: c.Kinds, Zones: c.Zones}
 	for _, k := range c.Classes {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,6 @@
-// Package wire turns the simulator's JSON lines into the events of package choice and its actions into
-// lines. It decides nothing and supplies no defaults: what a line leaves out stays zero.
+// Package wire converts the JSON lines of the simulator's protocol into events of package choice, and actions into
+// lines. It also converts the settings of a deployment. It makes no decisions and fills in no defaults: a value that a
+// line does not have is zero.
 package wire
 
 import (
@@ -12,7 +13,7 @@
 	"harrierramp/internal/units"
 )
 
-// Line is any line of a batch; Type says which fields count.
+// InputLine is any line of a batch. Type says which fields are used. Times and durations are in milliseconds.
 type InputLine struct {
 	Type        string             `json:"event_type"`
 	Time        float64            `json:"simTime"`
@@ -42,7 +43,7 @@
 	Payload     string             `json:"content"`
 }
 
-// Record is one entry of a list.
+// ListRecord is one endpoint in a list.
 type ListRecord struct {
 	Endpoint string  `json:"endpoint"`
 	Zone     int     `json:"rackZone"`
@@ -52,23 +53,23 @@
 	Weight   float64 `json:"heft"`
 }
 
-const optHint = 1 // bit of opts: the hint is valid
+const optHint = 1 // bit in InputLine.Options: Hint is valid
 
-// Time converts milliseconds of the wire; the simulator counts whole microseconds.
+// FromMillis converts milliseconds of the protocol. The simulator counts whole microseconds.
 func FromMillis(ms float64) time.Duration {
 	return units.Millis(ms).Duration()
 }
 
 func toMillis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// Parse reads one line of a batch.
+// Parse decodes one line of a batch.
 func Parse(text []byte) (InputLine, error) {
 	var l InputLine
 	if err := json.Unmarshal(text, &l); err != nil {
 		return l, fmt.Errorf("malformed line: %w", err)
 	}
 	if l.Type == "" {
-		return l, fmt.Errorf("a line without event_type")
+		return l, fmt.Errorf("line has no event_type")
 	}
 	return l, nil
 }
@@ -97,8 +98,8 @@
 	return list, nil
 }
 
-// Event converts a line addressed to one instance. It returns nil for lines that carry nothing to decide on.
-// An Announce needs the entries of its list, which the caller keeps.
+// Event converts a line that is addressed to one instance. It returns nil for a line that needs no decision. An
+// Announce line refers to a list by its number; lists has the lists that were sent so far.
 func Event(l InputLine, lists map[int][]choice.Entry) (choice.Event, error) {
 	switch l.Type {
 	case "Announce":
@@ -106,11 +107,11 @@
 			return choice.ListUpdate{Failed: true}, nil
 		}
 		if l.Form != "patch" && l.Form != "whole" && l.Form != "stale_copy" {
-			return nil, fmt.Errorf("Announce of unknown form %q", l.Form)
+			return nil, fmt.Errorf("Announce has unknown form %q", l.Form)
 		}
 		entries, ok := lists[l.ListNumber]
 		if !ok {
-			return nil, fmt.Errorf("Announce names list %d, which was never sent", l.ListNumber)
+			return nil, fmt.Errorf("Announce refers to list %d, which was never sent", l.ListNumber)
 		}
 		return choice.ListUpdate{Whole: l.Form != "patch", Entries: entries}, nil
 	case "Query":
@@ -124,7 +125,7 @@
 	case "AttemptEnd":
 		o, ok := outcomes[l.Outcome]
 		if !ok {
-			return nil, fmt.Errorf("AttemptEnd with unknown rc %q", l.Outcome)
+			return nil, fmt.Errorf("AttemptEnd has unknown rc %q", l.Outcome)
 		}
 		ev := choice.AttemptEnded{
 			ID: l.MessageID, Attempt: l.Attempt, Endpoint: l.Endpoint, Outcome: o, Took: FromMillis(l.Duration),
@@ -138,7 +139,7 @@
 	case "Echo":
 		o, ok := outcomes[l.Outcome]
 		if !ok {
-			return nil, fmt.Errorf("Echo with unknown rc %q", l.Outcome)
+			return nil, fmt.Errorf("Echo has unknown rc %q", l.Outcome)
 		}
 		return choice.ProbeEnded{
 			Endpoint: l.Endpoint, Outcome: o, Took: FromMillis(l.Duration), Report: report(l.Report),
@@ -166,7 +167,7 @@
 	return r
 }
 
-// Action converts an action of the instance named node into its line.
+// Action converts an action of the instance with the name node into its line.
 func Action(node string, a choice.Action) ([]byte, error) {
 	o := map[string]any{"node": node}
 	switch a := a.(type) {
@@ -192,12 +193,12 @@
 	case choice.LogLine:
 		o["event_type"], o["text"] = "JournalLine", a.Text
 	default:
-		return nil, fmt.Errorf("no line for action %T", a)
+		return nil, fmt.Errorf("action %T has no line in the protocol", a)
 	}
 	return json.Marshal(o)
 }
 
-// Broken is the line that reports a crash of the decision code.
+// CrashLine is the line that reports a panic of the decision code.
 func CrashLine(node, text string) []byte {
 	b, err := json.Marshal(map[string]string{"event_type": "Broken", "node": node, "text": text})
 	if err != nil {
@@ -206,5 +207,5 @@
 	return b
 }
 
-// Done ends a reply.
+// DoneLine is the last line of a reply.
 const DoneLine = `{"event_type":"Done"}`
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -55,14 +55,14 @@
 		}
 	}
 	if len(outcomes) != 8 || len(phases) != 3 {
-		t.Error("a word is missing")
+		t.Error("an outcome or a phase is missing")
 	}
 }
 
 func TestInvalidLinesAreRejected(t *testing.T) {
 	for _, line := range []string{`{"event_type":`, `[]`, `{}`, `{"event_type":"Ring","simTime":"soon"}`} {
 		if _, err := Parse([]byte(line)); err == nil {
-			t.Errorf("%s was taken", line)
+			t.Errorf("%s was accepted", line)
 		}
 	}
 	for _, line := range []string{
@@ -75,11 +75,11 @@
 			t.Fatal(err)
 		}
 		if _, err := Event(l, nil); err == nil {
-			t.Errorf("%s was taken", line)
+			t.Errorf("%s was accepted", line)
 		}
 	}
 	if _, err := Entries([]ListRecord{{Endpoint: "e", Phase: "tired"}}); err == nil {
-		t.Error("an unknown phase was taken")
+		t.Error("an unknown phase was accepted")
 	}
 }
 
@@ -129,10 +129,10 @@
 		t.Errorf("got %+v\nwant %+v", s, want)
 	}
 	if s, err := Settings(json.RawMessage(`{}`)); err != nil || !reflect.DeepEqual(s, choice.Settings{}) {
-		t.Errorf("missing settings are 'not given': %+v, %v", s, err)
+		t.Errorf("missing settings must stay zero: %+v, %v", s, err)
 	}
 	if _, err := Settings(json.RawMessage(`{"categories":[{"effect":"odd"}]}`)); err == nil {
-		t.Error("an unknown effect was taken")
+		t.Error("an unknown effect was accepted")
 	}
 }
 
