--- a/choice/bench_test.go
+++ b/choice/bench_test.go
@@ -47,9 +47,9 @@
 		w.step(300*ms, w.newArrival(id, 0, i))
 		w.step(100*ms, w.outcome(id, Success, 0))
 	}
-	asked := len(w.wakeTimes)
+	requested := len(w.wakeTimes)
 	w.step(time.Minute, WakeDue{})
-	if len(w.wakeTimes) != asked || len(w.sender.activeDestinations) != 0 || len(w.sender.openMessages) != 0 {
-		t.Errorf("%d wakes requested while idle, %d active destinations", len(w.wakeTimes)-asked, len(w.sender.activeDestinations))
+	if len(w.wakeTimes) != requested || len(w.sender.activeDestinations) != 0 || len(w.sender.openMessages) != 0 {
+		t.Errorf("%d wakes requested while idle, %d active destinations", len(w.wakeTimes)-requested, len(w.sender.activeDestinations))
 	}
 }
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -237,9 +237,9 @@
 		senders = append(senders, w)
 	}
 	start := senders[0].now
-	back, rng := start+8*time.Second, rand.New(rand.NewPCG(5, 5))
-	var when []time.Duration
-	served := 0
+	outageEnd, rng := start+8*time.Second, rand.New(rand.NewPCG(5, 5))
+	var sendTimes []time.Duration
+	delivered := 0
 	for n := range 2400 {
 		to := rng.IntN(fleet) // 6.7 messages per second in total
 		for i, w := range senders {
@@ -248,9 +248,9 @@
 				f := w.inFlight[a]
 				if age := w.now - f.sentAt; age >= 50*ms {
 					e := AttemptEnded{ID: a.id, Attempt: a.number, Endpoint: f.Endpoint, Took: age, Outcome: ConnectFailed}
-					if f.sentAt >= back {
+					if f.sentAt >= outageEnd {
 						e.Outcome, e.MessageDone = Success, true
-						served++
+						delivered++
 					}
 					events = append(events, e)
 				}
@@ -261,27 +261,27 @@
 			before := len(w.sends)
 			w.step(10*ms, append(events, WakeDue{})...)
 			for range len(w.sends) - before {
-				when = append(when, w.now)
+				sendTimes = append(sendTimes, w.now)
 			}
 		}
 	}
-	for i, from := range when {
-		if from < back {
+	for i, from := range sendTimes {
+		if from < outageEnd {
 			continue
 		}
 		count := 0
-		for _, at := range when[i:] {
+		for _, at := range sendTimes[i:] {
 			if at < from+cfg.OverloadDuration {
 				count++
 			}
 		}
-		share := min(1, cfg.ColdCapacity+(1-cfg.ColdCapacity)*(from-back+cfg.OverloadDuration/2).Seconds()/cfg.WarmUpTime.Seconds())
+		share := min(1, cfg.ColdCapacity+(1-cfg.ColdCapacity)*(from-outageEnd+cfg.OverloadDuration/2).Seconds()/cfg.WarmUpTime.Seconds())
 		if most := cfg.OverloadMultiple * share * 12 * cfg.OverloadDuration.Seconds(); float64(count) > most {
-			t.Fatalf("%d calls in the window from %v after the outage, want at most %.1f", count, from-back, most)
+			t.Fatalf("%d calls in the window from %v after the outage, want at most %.1f", count, from-outageEnd, most)
 		}
 	}
-	if served < 70 {
-		t.Errorf("only %d of 160 messages delivered: the backlog starves", served)
+	if delivered < 70 {
+		t.Errorf("only %d of 160 messages delivered: the backlog starves", delivered)
 	}
 }
 
@@ -349,7 +349,7 @@
 		entries = append(entries, Entry{Endpoint: fmt.Sprint("e", i), Dest: i, Weight: 20})
 	}
 	w.step(0, fullList(entries...))
-	served := 0
+	delivered := 0
 	for n := range 800 {
 		var events []Event
 		for _, a := range w.sortedInFlight() {
@@ -358,7 +358,7 @@
 			switch {
 			case f.Endpoint == "e0" && w.now-f.sentAt >= 50*ms:
 				e.Outcome, e.MessageDone = Success, true
-				served++
+				delivered++
 			case w.now >= f.AbandonAt:
 				e.Outcome = TimedOut
 			default:
@@ -376,8 +376,8 @@
 			}
 		}
 	}
-	if served < 24 {
-		t.Errorf("the one healthy destination of five got %d of 32 messages", served)
+	if delivered < 24 {
+		t.Errorf("the one healthy destination of five got %d of 32 messages", delivered)
 	}
 }
 
@@ -510,17 +510,17 @@
 	w.step(5*ms, w.newArrival("0", 0, 0))
 	w.step(100*ms, w.outcome("0", Success, 0))
 	w.step(5*ms, w.newArrival("lost", 0, 0), w.newArrival("unsafe", 2, 0), w.newArrival("next", 0, 0))
-	called := map[string]bool{}
+	cancelled := map[string]bool{}
 	for end := w.now + 950*ms; w.now < end; {
 		w.step(10*ms, WakeDue{})
 		for _, a := range w.sender.actions {
 			if c, ok := a.(Cancel); ok {
-				called[c.ID] = true
+				cancelled[c.ID] = true
 			}
 		}
 	}
-	if len(called) == 0 || called["unsafe"] {
-		t.Errorf("cancelled: %v; want repeatable calls only", called)
+	if len(cancelled) == 0 || cancelled["unsafe"] {
+		t.Errorf("cancelled: %v; want repeatable calls only", cancelled)
 	}
 }
 
@@ -535,16 +535,16 @@
 		cfg.IdleConnTimeout = 5 * time.Second
 		w := newScenario(t, cfg, 1)
 		w.step(0, oneEndpoint())
-		back := false
+		closed := false
 		for i := range 4 {
 			id := fmt.Sprint("m", i)
 			w.idle(c.gap)
 			w.step(5*ms, w.newArrival(id, 0, 0))
 			w.step(100*ms, w.outcome(id, Success, 0))
-			back = slices.Contains(w.sender.actions, Action(CloseIdle{Endpoint: "a"}))
+			closed = slices.Contains(w.sender.actions, Action(CloseIdle{Endpoint: "a"}))
 		}
-		if back != c.back {
-			t.Errorf("calls %v apart: connection closed is %v", c.gap, back)
+		if closed != c.back {
+			t.Errorf("calls %v apart: connection closed is %v", c.gap, closed)
 		}
 	}
 }
--- a/choice/conntable_test.go
+++ b/choice/conntable_test.go
@@ -67,10 +67,10 @@
 			out := make([][]due, c.senders)
 			chance := rand.New(rand.NewPCG(1, 1))
 			perSecond := 0.5 * endpoints * float64(c.places) / seconds(took)
-			came, asked, passed := 0.0, 0, 0
+			arrivalsDue, arrived, passed := 0.0, 0, 0
 			const learn, span = 10 * time.Second, 20 * time.Second
 			for now := time.Duration(0); now < learn+span; now += 20 * ms {
-				came += perSecond * seconds(20*ms)
+				arrivalsDue += perSecond * seconds(20*ms)
 				for i, w := range fleet {
 					events := []Event{WakeDue{Tag: "sweep"}}
 					out[i] = slices.DeleteFunc(out[i], func(d due) bool {
@@ -85,9 +85,9 @@
 						}
 						return true
 					})
-					for ; came >= 1 && asked%c.senders == i; came-- {
-						asked++
-						events = append(events, w.newArrival(fmt.Sprint("m", asked), 0, chance.IntN(endpoints)))
+					for ; arrivalsDue >= 1 && arrived%c.senders == i; arrivalsDue-- {
+						arrived++
+						events = append(events, w.newArrival(fmt.Sprint("m", arrived), 0, chance.IntN(endpoints)))
 					}
 					before := len(w.sends)
 					w.step(20*ms, events...)
@@ -108,10 +108,10 @@
 					}
 				}
 			}
-			could := perSecond * seconds(span)
-			t.Logf("%d of %.0f delivered", passed, could)
-			if float64(passed) < 0.8*could {
-				t.Errorf("%d of %.0f are delivered", passed, could)
+			possible := perSecond * seconds(span)
+			t.Logf("%d of %.0f delivered", passed, possible)
+			if float64(passed) < 0.8*possible {
+				t.Errorf("%d of %.0f are delivered", passed, possible)
 			}
 		})
 	}
--- a/choice/fleet_test.go
+++ b/choice/fleet_test.go
@@ -353,8 +353,8 @@
 }
 
 func TestLostDuplicatedOrDelayedDatagrams(t *testing.T) {
-	without := newFleetSim(t, 40, false)
-	without.run(20*time.Second, 1.5*fleetLimit)
+	withoutDatagrams := newFleetSim(t, 40, false)
+	withoutDatagrams.run(20*time.Second, 1.5*fleetLimit)
 	for _, c := range []struct {
 		name         string
 		lose, repeat float64
@@ -364,7 +364,7 @@
 		{"some lost", 0.1, 0, 0, 0.8},
 		{"repeated", 0, 0.5, 0, 0.85},
 		{"old", 0, 0.1, 5 * time.Second, 0.8},
-		{"all lost", 1, 0, 0, 0.5 * float64(without.passed) / (20 * fleetLimit)},
+		{"all lost", 1, 0, 0, 0.5 * float64(withoutDatagrams.passed) / (20 * fleetLimit)},
 	} {
 		w := newFleetSim(t, 40, true)
 		w.lossRate, w.duplicateRate, w.maxExtraDelay = c.lose, c.repeat, c.late
--- a/choice/harness_test.go
+++ b/choice/harness_test.go
@@ -152,11 +152,11 @@
 		}
 	}
 	for _, a := range w.sender.Step(w.now, events) {
-		w.check(a)
+		w.checkAction(a)
 	}
 }
 
-func (w *scenario) check(a Action) {
+func (w *scenario) checkAction(a Action) {
 	w.t.Helper()
 	w.log = append(w.log, fmt.Sprintf("%v %#v", w.now, a))
 	switch a := a.(type) {
--- a/choice/membership_test.go
+++ b/choice/membership_test.go
@@ -50,15 +50,15 @@
 		w.run(6*time.Second, 1.5*fleetLimit)
 		return w
 	}
-	with, without := split(true), split(false)
+	withMembers, withoutMembers := split(true), split(false)
 	limit := int(6 * fleetLimit)
 	t.Logf("of %d calls that the limit allows, with membership %d pass and %d are refused, without it %d and %d",
-		limit, with.passed, with.refused, without.passed, without.refused)
-	if with.refused > limit/10 || with.passed < limit*7/10 {
-		t.Errorf("%d calls pass and %d are refused, of %d", with.passed, with.refused, limit)
+		limit, withMembers.passed, withMembers.refused, withoutMembers.passed, withoutMembers.refused)
+	if withMembers.refused > limit/10 || withMembers.passed < limit*7/10 {
+		t.Errorf("%d calls pass and %d are refused, of %d", withMembers.passed, withMembers.refused, limit)
 	}
-	if without.refused < 3*with.refused {
-		t.Errorf("without membership %d are refused: the test cannot tell the difference", without.refused)
+	if withoutMembers.refused < 3*withMembers.refused {
+		t.Errorf("without membership %d are refused: the test cannot tell the difference", withoutMembers.refused)
 	}
 }
 
--- a/choice/recovery_test.go
+++ b/choice/recovery_test.go
@@ -26,7 +26,7 @@
 	w.down = true
 	clear(w.sawOutage)
 	w.run(6*time.Second, load)
-	back := w.now
+	outageEnd := w.now
 	w.down, w.calls = false, nil
 	for at, next := 0, 0; at < 20; at++ { // some nodes restart while it is cold, with their memory
 		for range restartsPerStep {
@@ -39,7 +39,7 @@
 		w.run(w.cfg.WarmUpTime/20, load)
 	}
 	share := func(at time.Duration) float64 {
-		return w.cfg.ColdCapacity + (1-w.cfg.ColdCapacity)*min(1, seconds(at-back)/seconds(w.cfg.WarmUpTime))
+		return w.cfg.ColdCapacity + (1-w.cfg.ColdCapacity)*min(1, seconds(at-outageEnd)/seconds(w.cfg.WarmUpTime))
 	}
 	for i, first := range w.calls {
 		expected := w.cfg.OverloadMultiple * limit * seconds(w.cfg.OverloadDuration) * (share(first.at) + share(first.at+w.cfg.OverloadDuration)) / 2
--- a/choice/requestqueue_test.go
+++ b/choice/requestqueue_test.go
@@ -11,16 +11,16 @@
 )
 
 // headByScan finds the request to grant next by a linear scan.
-func headByScan(wants []*grantRequest, now time.Duration) (best *grantRequest) {
-	for _, w := range wants {
-		if best != nil && w.calls > 0 && (now < w.deferredUntil) != (now < best.deferredUntil) {
+func headByScan(requests []*grantRequest, now time.Duration) (best *grantRequest) {
+	for _, req := range requests {
+		if best != nil && req.calls > 0 && (now < req.deferredUntil) != (now < best.deferredUntil) {
 			if now < best.deferredUntil {
-				best = w
+				best = req
 			}
 			continue
 		}
-		if w.calls > 0 && (best == nil || w.urgency > best.urgency || (w.urgency == best.urgency && w.waitingSince < best.waitingSince)) {
-			best = w
+		if req.calls > 0 && (best == nil || req.urgency > best.urgency || (req.urgency == best.urgency && req.waitingSince < best.waitingSince)) {
+			best = req
 		}
 	}
 	return best
--- a/choice/resume_test.go
+++ b/choice/resume_test.go
@@ -118,10 +118,10 @@
 	for i := range found {
 		events = append(events, MessageResumed{MessageArrived: MessageArrived{ID: fmt.Sprint("found", i), Class: 0, Deadline: now + 9*time.Second}})
 	}
-	tried, gaveUp, taken, window := 0, 0, 0, now
+	tried, gaveUp, accepted, window := 0, 0, 0, now
 	for n := 0; now < time.Hour+9*time.Second; n++ {
 		if now-window >= time.Second {
-			window, taken = now, 0
+			window, accepted = now, 0
 		}
 		if n%5 == 0 { // ten per second
 			events = append(events, MessageArrived{ID: fmt.Sprint("new", n), Class: 2, Deadline: now + 10*time.Second})
@@ -132,7 +132,7 @@
 			switch a := a.(type) {
 			case Send:
 				o := Success
-				if taken++; taken > limit {
+				if accepted++; accepted > limit {
 					o = Rejected
 				}
 				if strings.HasPrefix(a.ID, "found") && o == Success {
--- a/choice/uncoordinated_test.go
+++ b/choice/uncoordinated_test.go
@@ -24,14 +24,14 @@
 				w.step(0, fullList(Entry{Endpoint: "a", Dest: 0}))
 				fleet = append(fleet, w)
 			}
-			calls, passed, window, taken, came := 0, 0, time.Duration(0), 0, 0.0
+			calls, passed, window, taken, arrivalsDue := 0, 0, time.Duration(0), 0, 0.0
 			due := make([]map[string]Outcome, c.fleet) // outcomes for the next step
 			const span = 60 * time.Second
 			for now := time.Duration(0); now < span; now += 20 * ms {
 				if now-window >= time.Second {
 					window, taken = now, 0
 				}
-				came += c.load * float64(c.limit) * seconds(20*ms)
+				arrivalsDue += c.load * float64(c.limit) * seconds(20*ms)
 				for i, w := range fleet {
 					events := []Event{WakeDue{Tag: "sweep"}}
 					for _, a := range w.sortedInFlight() {
@@ -39,9 +39,9 @@
 							events = append(events, w.outcome(a.id, o, 0))
 						}
 					}
-					if came >= 1 && int(now/(20*ms))%c.fleet == i {
-						for ; came >= 1; came-- {
-							events = append(events, w.newArrival(fmt.Sprint(now, came), 0, 0))
+					if arrivalsDue >= 1 && int(now/(20*ms))%c.fleet == i {
+						for ; arrivalsDue >= 1; arrivalsDue-- {
+							events = append(events, w.newArrival(fmt.Sprint(now, arrivalsDue), 0, 0))
 						}
 					}
 					before := len(w.sends)
@@ -58,10 +58,10 @@
 					}
 				}
 			}
-			could := min(c.load, 1) * float64(c.limit) * seconds(span)
-			t.Logf("%d calls, %d passed of %.0f that could", calls, passed, could)
-			if float64(passed) < 0.75*could || calls-passed > calls/5 {
-				t.Errorf("%d of %.0f are delivered, by %d calls", passed, could, calls)
+			possible := min(c.load, 1) * float64(c.limit) * seconds(span)
+			t.Logf("%d calls, %d passed of %.0f that could", calls, passed, possible)
+			if float64(passed) < 0.75*possible || calls-passed > calls/5 {
+				t.Errorf("%d of %.0f are delivered, by %d calls", passed, possible, calls)
 			}
 		})
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -129,7 +129,7 @@
 		}
 		ev := choice.AttemptEnded{
 			ID: l.MessageID, Attempt: l.Attempt, Endpoint: l.Endpoint, Outcome: o, Took: FromMillis(l.Duration),
-			MessageDone: l.MessageDone, Report: report(l.Report),
+			MessageDone: l.MessageDone, Report: limitReport(l.Report),
 		}
 		if o == choice.Rejected {
 			ev.RetryAfter = FromMillis(l.Detail)
@@ -142,7 +142,7 @@
 			return nil, fmt.Errorf("Echo has unknown rc %q", l.Outcome)
 		}
 		return choice.ProbeEnded{
-			Endpoint: l.Endpoint, Outcome: o, Took: FromMillis(l.Duration), Report: report(l.Report),
+			Endpoint: l.Endpoint, Outcome: o, Took: FromMillis(l.Duration), Report: limitReport(l.Report),
 		}, nil
 	case "Dropped":
 		return choice.MessageDropped{ID: l.MessageID}, nil
@@ -160,7 +160,7 @@
 	return nil, fmt.Errorf("unknown event %q", l.Type)
 }
 
-func report(f map[string]float64) choice.LimitReport {
+func limitReport(f map[string]float64) choice.LimitReport {
 	var r choice.LimitReport
 	r.Left, r.HasLeft = f["x0"]
 	r.Limit, r.HasLimit = f["x1"]
@@ -169,33 +169,33 @@
 
 // Action converts an action of the instance with the name node into its line.
 func Action(node string, a choice.Action) ([]byte, error) {
-	o := map[string]any{"node": node}
+	line := map[string]any{"node": node}
 	switch a := a.(type) {
 	case choice.Send:
-		o["event_type"], o["handle"], o["endpoint"] = "Transmit", a.ID, a.Endpoint
-		o["notPast"] = toMillis(a.AbandonAt)
+		line["event_type"], line["handle"], line["endpoint"] = "Transmit", a.ID, a.Endpoint
+		line["notPast"] = toMillis(a.AbandonAt)
 	case choice.Refuse:
-		o["event_type"], o["handle"], o["holdOff"] = "PushBack", a.ID, toMillis(a.RetryAfter)
+		line["event_type"], line["handle"], line["holdOff"] = "PushBack", a.ID, toMillis(a.RetryAfter)
 	case choice.Fail:
-		o["event_type"], o["handle"] = "RespondError", a.ID
+		line["event_type"], line["handle"] = "RespondError", a.ID
 	case choice.Cancel:
-		o["event_type"], o["handle"], o["go"] = "Recall", a.ID, a.Attempt
+		line["event_type"], line["handle"], line["go"] = "Recall", a.ID, a.Attempt
 	case choice.Probe:
-		o["event_type"], o["endpoint"] = "Test", a.Endpoint
+		line["event_type"], line["endpoint"] = "Test", a.Endpoint
 	case choice.CloseIdle:
-		o["event_type"], o["endpoint"] = "HangUp", a.Endpoint
+		line["event_type"], line["endpoint"] = "HangUp", a.Endpoint
 	case choice.SendDatagram:
-		o["event_type"], o["addressee"], o["content"] = "MemoTo", a.To, hex.EncodeToString(a.Payload)
+		line["event_type"], line["addressee"], line["content"] = "MemoTo", a.To, hex.EncodeToString(a.Payload)
 	case choice.Wake:
-		o["event_type"], o["when"], o["tag"] = "Defer", toMillis(a.At), a.Tag
+		line["event_type"], line["when"], line["tag"] = "Defer", toMillis(a.At), a.Tag
 	case choice.RequestList:
-		o["event_type"], o["enable"] = "Track", true
+		line["event_type"], line["enable"] = "Track", true
 	case choice.LogLine:
-		o["event_type"], o["text"] = "JournalLine", a.Text
+		line["event_type"], line["text"] = "JournalLine", a.Text
 	default:
 		return nil, fmt.Errorf("action %T has no line in the protocol", a)
 	}
-	return json.Marshal(o)
+	return json.Marshal(line)
 }
 
 // CrashLine is the line that reports a panic of the decision code.
