--- a/choice/state.go
+++ b/choice/state.go
@@ -183,7 +183,7 @@
 	smoothedLatency            float64       // smoothed, in seconds; successful calls only
 	lastSentAt                 time.Duration // time of the last call
 	sendInterval               float64       // smoothed time between calls, in seconds
-	ejectionTime, ejectedUntil time.Duration // avoided until then, because it takes no connections
+	ejectionTime, ejectedUntil time.Duration // length and end of the last ejection, after a failed connection
 }
 
 // message is the state of one message.
@@ -204,7 +204,7 @@
 	runZone        int           // zone of that attempt's endpoint
 	retryAt        time.Duration // no attempt before this time
 	queued         bool          // is in destination.waiting
-	ended          bool          // has a final answer
+	ended          bool          // delivered, answered or dropped
 	resumed        bool          // found at a restart
 }
 
