--- a/internal/listwatch/backoff_test.go
+++ b/internal/listwatch/backoff_test.go
@@ -7,7 +7,8 @@
 	"harrierramp/internal/backoff"
 )
 
-// busiestSecond is the most asks within a second that a fleet makes whose every ask fails, all from the same moment on.
+// busiestSecondOfFleet returns the most requests per second of a fleet whose requests all fail from the same moment
+// on.
 func busiestSecondOfFleet(fleet int, throughDiscovery bool) int {
 	return busiestSecond(fleet, func() backoff.Backoff {
 		if throughDiscovery {
@@ -22,7 +23,7 @@
 	counts := make([]int, length*10)
 	for range fleet {
 		retry := newBackoff()
-		if retry.Max == 0 { // all ask at once, and hear
+		if retry.Max == 0 { // the first request succeeds
 			counts[0]++
 			continue
 		}
@@ -40,21 +41,22 @@
 	return most
 }
 
-// Up to the size from which the pauses would be longer than a change may go unheard, the asks of all together hang little on
-// the fleet's size. Beyond it they are spread over the time that there is, and never come more often than a pause allows.
+// After a common failure, the requests of a fleet must not synchronize and overload discovery. Up to the fleet size
+// at which the backoff reaches its maximum, the request rate hardly depends on the size; beyond it, requests are
+// spread over the longest delay, and never come more often than that delay allows.
 func TestAFleetThatFailsInCommonDoesNotAskInStep(t *testing.T) {
 	most := int(maxDiscoveryBackoff / retrySpacing)
 	small, large := busiestSecondOfFleet(most/2, true), busiestSecondOfFleet(most, true)
 	if large > 2*small {
-		t.Errorf("%d nodes ask up to %d times a second, %d nodes %d times", most, large, most/2, small)
+		t.Errorf("%d nodes send up to %d requests per second, %d nodes %d", most, large, most/2, small)
 	}
 	for _, fleet := range []int{80, 400, 1024} {
 		if busy, bound := busiestSecondOfFleet(fleet, true), int(1.15*float64(fleet)*float64(time.Second)/float64(maxDiscoveryBackoff/2)); busy > bound {
-			t.Errorf("%d nodes ask up to %d times a second, and %d if they share the time", fleet, busy, bound)
+			t.Errorf("%d nodes send up to %d requests per second, want at most %d", fleet, busy, bound)
 		}
 	}
 	if all := busiestSecondOfFleet(400, false); all < 2*busiestSecondOfFleet(400, true) {
-		t.Errorf("asks that are no work for discovery are held back as well: %d a second", all)
+		t.Errorf("requests to agents are slowed down as well: %d per second", all)
 	}
 }
 
@@ -65,10 +67,10 @@
 		retry.Next()
 	}
 	if late := retry.Next(); late < 4*first/2 {
-		t.Errorf("a pause of %v after %v: it does not grow", late, first)
+		t.Errorf("delay %v after a first one of %v: it does not grow", late, first)
 	}
 	retry.Reset()
 	if again := retry.Next(); again > 10*retrySpacing {
-		t.Errorf("the first pause after a success is %v, more than %v", again, 10*retrySpacing)
+		t.Errorf("the first delay after a success is %v, more than %v", again, 10*retrySpacing)
 	}
 }
--- a/internal/listwatch/cache_test.go
+++ b/internal/listwatch/cache_test.go
@@ -12,11 +12,11 @@
 	dir := t.TempDir()
 	k := NewCache(dir, 1<<17)
 	if l, _, err := k.Read(); err != nil || l.Revision != 0 {
-		t.Fatalf("nothing was kept: %+v, %v", l, err)
+		t.Fatalf("without a file: %+v, %v", l, err)
 	}
 	now := time.Now()
 	if k.UntilDue(now) < time.Minute {
-		t.Error("nothing is known, and due")
+		t.Error("a write is due without a list")
 	}
 	k.MarkDirty(7)
 	if k.UntilDue(now) != 0 {
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	if wait := k.UntilDue(now); wait <= 0 || wait > 2*cacheWriteInterval {
-		t.Errorf("the next is due in %v", wait)
+		t.Errorf("the next write is due in %v", wait)
 	}
 	if got, _, err := NewCache(dir, 1<<17).Read(); err != nil || fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Errorf("got %+v, %v", got, err)
@@ -37,20 +37,20 @@
 		ids = append(ids, fmt.Sprintf("endpoint-%d", n))
 	}
 	if err := k.Write(List{Revision: 8, Members: membersOf(ids...)}); err == nil {
-		t.Error("a list beyond its room is kept")
+		t.Error("a list larger than maxBytes is written")
 	}
 	if got, _, err := k.Read(); err != nil || got.Revision != 7 {
-		t.Errorf("after that: %+v, %v", got, err)
+		t.Errorf("after the list that is too large: %+v, %v", got, err)
 	}
 	if err := os.WriteFile(k.path, []byte(`{"revision":5,"complete":true,"members":[]}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if got, at, err := k.Read(); err != nil || got.Revision != 5 || !at.IsZero() {
-		t.Errorf("a file of an earlier build: %+v of %v, %v", got, at, err)
+		t.Errorf("file of an earlier build: %+v of %v, %v", got, at, err)
 	}
 }
 
-// A kept list that was cut or flipped anywhere is told, or is the list that was kept; it is never another one.
+// A truncated or corrupted cache file must be rejected, or yield the list that was written, but never another list.
 func TestCacheRejectsDamagedFile(t *testing.T) {
 	k := NewCache(t.TempDir(), 1<<17)
 	want := List{Revision: 1<<32 + 7, Complete: true, Members: membersOf("a", "b")}
@@ -62,7 +62,7 @@
 		t.Fatal(err)
 	}
 	if _, at, err := k.Read(); err != nil || time.Since(at) > time.Minute {
-		t.Fatalf("kept at %v, %v", at, err)
+		t.Fatalf("written at %v, %v", at, err)
 	}
 	rejected := 0
 	for i := range whole {
@@ -78,11 +78,11 @@
 			if err != nil {
 				rejected++
 			} else if fmt.Sprint(got) != fmt.Sprint(want) {
-				t.Fatalf("byte %d, bit %d: %+v is taken", i, bit, got)
+				t.Fatalf("byte %d, bit %d: %+v is accepted", i, bit, got)
 			}
 		}
 	}
 	if rejected < 4*len(whole) {
-		t.Errorf("%d of %d damages are told", rejected, 8*len(whole))
+		t.Errorf("%d of %d damaged files are rejected", rejected, 8*len(whole))
 	}
 }
--- a/internal/listwatch/dial.go
+++ b/internal/listwatch/dial.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	dialRaceInterval = 75 * time.Millisecond // a connection to an agent on the same machine is up at once
-	maxRacingDials   = 4                     // dials beside each other
+	dialRaceInterval = 75 * time.Millisecond // an agent on the same machine accepts at once
+	maxRacingDials   = 4                     // concurrent dials for one connection
 )
 
-// NewAgentClient is NewClient for an agent on the node's own machine. A connection to it that does not come up is not waited
-// for: final answers are due within 300 ms.
+// NewAgentClient is like NewClient, for an agent on the node's own machine. A dial that hangs is not waited for but
+// raced by further ones: final notices are due within 300 ms.
 func NewAgentClient(source net.Addr) *http.Client {
 	dialer := &net.Dialer{LocalAddr: source, Timeout: dialTimeout}
 	return &http.Client{Transport: &http.Transport{
@@ -24,8 +24,8 @@
 	}}
 }
 
-// race dials, and again every raceAfter beside the dials that have not come up, raceMost at most. It returns the first
-// connection, or an error once every dial that was begun has failed. Other connections are closed.
+// raceDials dials, and starts another dial every dialRaceInterval while none has succeeded, up to maxRacingDials. It
+// returns the first connection, or an error once all started dials have failed. Surplus connections are closed.
 func raceDials(ctx context.Context, dial func(context.Context) (net.Conn, error)) (net.Conn, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -39,7 +39,7 @@
 			conn, err := dial(ctx)
 			select {
 			case results <- result{conn, err}:
-			case <-ctx.Done(): // another one has won, or nobody waits any more
+			case <-ctx.Done(): // another dial has won, or the caller has given up
 				if err == nil {
 					conn.Close()
 				}
--- a/internal/listwatch/dial_test.go
+++ b/internal/listwatch/dial_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// closeCounter is a connection that tells its end.
+// closeCounter is a connection that counts calls of Close.
 type closeCounter struct {
 	net.Conn
 	closed *atomic.Int32
@@ -28,16 +28,16 @@
 	}
 	refused := errors.New("refused")
 	for name, c := range map[string]struct {
-		dials []func(context.Context) (net.Conn, error) // nil is up at once
+		dials []func(context.Context) (net.Conn, error) // nil succeeds at once
 		took  time.Duration
 		err   error
 		begun int32
 	}{
-		"at once":             {dials: []func(context.Context) (net.Conn, error){nil}, begun: 1},
-		"the first hangs":     {dials: []func(context.Context) (net.Conn, error){hang, nil}, took: dialRaceInterval, begun: 2},
-		"two hang":            {dials: []func(context.Context) (net.Conn, error){hang, hang, nil}, took: 2 * dialRaceInterval, begun: 3},
-		"refused":             {dials: []func(context.Context) (net.Conn, error){func(context.Context) (net.Conn, error) { return nil, refused }}, err: refused, begun: 1},
-		"all hang to the end": {dials: []func(context.Context) (net.Conn, error){hang, hang, hang, hang}, took: time.Second, err: context.DeadlineExceeded, begun: maxRacingDials},
+		"at once":                     {dials: []func(context.Context) (net.Conn, error){nil}, begun: 1},
+		"the first hangs":             {dials: []func(context.Context) (net.Conn, error){hang, nil}, took: dialRaceInterval, begun: 2},
+		"two hang":                    {dials: []func(context.Context) (net.Conn, error){hang, hang, nil}, took: 2 * dialRaceInterval, begun: 3},
+		"refused":                     {dials: []func(context.Context) (net.Conn, error){func(context.Context) (net.Conn, error) { return nil, refused }}, err: refused, begun: 1},
+		"all hang until the deadline": {dials: []func(context.Context) (net.Conn, error){hang, hang, hang, hang}, took: time.Second, err: context.DeadlineExceeded, begun: maxRacingDials},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -68,7 +68,7 @@
 		var started, closed atomic.Int32
 		conn, err := raceDials(t.Context(), func(context.Context) (net.Conn, error) {
 			if started.Add(1) == 1 {
-				time.Sleep(2 * dialRaceInterval) // it comes up after the other
+				time.Sleep(2 * dialRaceInterval) // succeeds after the second dial
 			}
 			return closeCounter{closed: &closed}, nil
 		})
--- a/internal/listwatch/failover.go
+++ b/internal/listwatch/failover.go
@@ -2,43 +2,44 @@
 
 import "time"
 
-// Links decides what to do about a server that has fallen silent while its connection stays open. A beat that does not
-// come proves nothing: the server may be slow, or the node may. So another server is asked beside it, and the first is
-// left only if that one knows more, or if the silence lasts. It is stepped with explicit time and does no input or output.
+// Failover decides what to do about a list server that has fallen silent while its connection stays open. A missing
+// heartbeat proves nothing: the server may be slow, or the node itself may be. So another server, the candidate, is
+// asked alongside the current one, and the current one is left only if the candidate has a later list or if the
+// silence lasts. Failover takes the time as an argument and does no I/O.
 //
-// Invariants: the first server is never left while it is heard and no other knows more; there is never a second one without a first; no more than
-// one act comes of one Step.
+// Invariants: the current server is never left while it is heard, unless the candidate has a later list; there is a
+// candidate only while there is a current server; each Step returns at most one action.
 type Failover struct {
-	silentAfter    time.Duration // of silence: another is asked beside it
-	switchAfter    time.Duration // of silence, while the other is heard: it is left
-	recoveredAfter time.Duration // of beats: the other is let go
+	silentAfter    time.Duration // after this silence of the current server a candidate is opened
+	switchAfter    time.Duration // after this silence a candidate that is heard replaces the current server
+	recoveredAfter time.Duration // after heartbeats for this long the candidate is dropped
 
-	currentHeardAt   time.Duration // the first server, last
-	steadySince      time.Duration // it has been heard without a doubtful gap since then
-	hasCandidate     bool          // another is asked
-	candidateHeardAt time.Duration // it was last heard, or opened
-	candidateActive  bool          // it has said something
-	candidateAhead   bool          // more than the first
+	currentHeardAt   time.Duration // when the current server was last heard
+	steadySince      time.Duration // the current server has been heard without a long gap since then
+	hasCandidate     bool          // a candidate is open
+	candidateHeardAt time.Duration // when the candidate was last heard, or opened
+	candidateActive  bool          // the candidate has sent something
+	candidateAhead   bool          // the candidate has a later list than the current server
 }
 
-// Act is what to do now.
+// Action is what Failover.Step asks its caller to do.
 type Action int
 
-// What there is to do.
+// The actions.
 const (
 	NoAction          Action = iota
-	OpenCandidate            // ask another server beside the first
-	DropCandidate            // let the other go
-	SwitchToCandidate        // the other is the first from now on
-	ReplaceCandidate         // the other is silent as well: ask a third in its place
+	OpenCandidate            // open a stream to another server alongside the current one
+	DropCandidate            // close the candidate's stream
+	SwitchToCandidate        // make the candidate the current server
+	ReplaceCandidate         // the candidate is silent too: try a third server in its place
 )
 
-// NewLinks follows a server that beats so often, from its first line on.
+// NewFailover checks a server that sends something at the given interval, starting with its first line.
 func NewFailover(now, interval time.Duration) *Failover {
 	return &Failover{silentAfter: 3 * interval, switchAfter: 12 * interval, recoveredAfter: 8 * interval, currentHeardAt: now, steadySince: now}
 }
 
-// Heard notes that the first server has said something.
+// CurrentHeard records that the current server has sent something.
 func (f *Failover) CurrentHeard(now time.Duration) {
 	if now-f.currentHeardAt > f.silentAfter {
 		f.steadySince = now
@@ -46,20 +47,21 @@
 	f.currentHeardAt = now
 }
 
-// HeardOther notes that the other has, and whether that was more than the first has told.
+// CandidateHeard records that the candidate has sent something, and whether that was a later list than the current
+// server's.
 func (f *Failover) CandidateHeard(now time.Duration, ahead bool) {
 	f.candidateHeardAt, f.candidateActive, f.candidateAhead = now, true, f.candidateAhead || ahead
 }
 
-// Lost notes that the other's connection has ended.
+// CandidateLost records that the candidate's connection has ended.
 func (f *Failover) CandidateLost() {
 	f.hasCandidate, f.candidateActive, f.candidateAhead = false, false, false
 }
 
-// Silent tells whether the first server is doubted now.
+// Silent reports whether the current server has been silent for too long.
 func (f *Failover) Silent(now time.Duration) bool { return now-f.currentHeardAt > f.silentAfter }
 
-// Step tells what to do at a moment.
+// Step returns what to do at the given time.
 func (f *Failover) Step(now time.Duration) Action {
 	silent := f.Silent(now)
 	switch {
--- a/internal/listwatch/failover_test.go
+++ b/internal/listwatch/failover_test.go
@@ -18,11 +18,12 @@
 )
 
 const (
-	testHeartbeat = 100 * time.Millisecond // in stepped time
+	testHeartbeat = 100 * time.Millisecond // in simulated time
 	realHeartbeat = 300 * time.Millisecond // long enough for a busy machine
 )
 
-// playLinks steps the links of a server whose beats are heard as given, and another's beside it, and returns the acts.
+// runFailover steps a Failover through simulated time, with a current server and a candidate that are heard as given,
+// and returns the actions.
 func runFailover(span time.Duration, current, candidate func(now time.Duration) (heard, more bool)) (actions []string) {
 	l := NewFailover(0, testHeartbeat)
 	open := false
@@ -60,19 +61,19 @@
 	gap := func(now time.Duration) (bool, bool) {
 		return now%testHeartbeat == 0 && (now <= time.Second || now >= 1500*time.Millisecond), false
 	}
-	late := func(now time.Duration) (bool, bool) { // each beat comes 50 ms late, from a second on
+	late := func(now time.Duration) (bool, bool) { // from one second on, each heartbeat comes 50 ms late
 		return now <= time.Second && now%testHeartbeat == 0 || now > time.Second && now%testHeartbeat == 50*time.Millisecond, false
 	}
 	for name, c := range map[string]struct {
 		first, other func(time.Duration) (bool, bool)
 		want         string
 	}{
-		"it beats":                        {beats, knows, "[]"},
-		"it becomes slow":                 {late, knows, "[]"},
-		"silent, the other knows more":    {until(time.Second), knows, "[open 1.31s leave 1.4s]"},
-		"silent, the other knows as much": {until(time.Second), beats, "[open 1.31s leave 2.21s]"},
-		"silent, and the other too":       {until(time.Second), never, "[open 1.31s renew 2.52s renew 3.73s renew 4.94s]"},
-		"it comes back":                   {gap, beats, "[open 1.31s drop 2.3s]"},
+		"heartbeats arrive":                   {beats, knows, "[]"},
+		"heartbeats become late":              {late, knows, "[]"},
+		"silent, candidate has a later list":  {until(time.Second), knows, "[open 1.31s leave 1.4s]"},
+		"silent, candidate has the same list": {until(time.Second), beats, "[open 1.31s leave 2.21s]"},
+		"silent, and so is the candidate":     {until(time.Second), never, "[open 1.31s renew 2.52s renew 3.73s renew 4.94s]"},
+		"silent for a while":                  {gap, beats, "[open 1.31s drop 2.3s]"},
 	} {
 		if got := fmt.Sprint(runFailover(5*time.Second, c.first, c.other)); got != c.want {
 			t.Errorf("%s: %s, want %s", name, got, c.want)
@@ -80,7 +81,8 @@
 	}
 }
 
-// Whatever is heard when: a server that beats is never left, and no act comes without the one that it follows.
+// Whatever is heard when: a server that sends heartbeats is never left, and no action on a candidate comes without
+// one.
 func TestFailoverInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l, now, hasCandidate, lastHeard, candidateAhead := NewFailover(0, testHeartbeat), time.Duration(0), false, time.Duration(0), false
@@ -106,7 +108,7 @@
 			silent := now-lastHeard > 3*testHeartbeat
 			switch {
 			case action == OpenCandidate && (hasCandidate || !silent), (action == DropCandidate || action == SwitchToCandidate || action == ReplaceCandidate) && !hasCandidate, action == SwitchToCandidate && !silent && !candidateAhead:
-				t.Fatalf("act %d, beside %v, silent %v", action, hasCandidate, silent)
+				t.Fatalf("action %d, has candidate %v, silent %v", action, hasCandidate, silent)
 			}
 			if hasCandidate = hasCandidate || action == OpenCandidate; action == DropCandidate || action == SwitchToCandidate {
 				hasCandidate, candidateAhead = false, false
@@ -119,7 +121,7 @@
 	})
 }
 
-// beating is a list server that beats until it is stalled.
+// heartbeatServer is a list server that sends heartbeats until it is stalled.
 type heartbeatServer struct {
 	srv      *httptest.Server
 	stalled  atomic.Bool
@@ -157,7 +159,7 @@
 	return b
 }
 
-// watching is a watcher of two servers, the first of which it begins with.
+// twoServerWatch is a watcher of two servers that starts with the first one.
 type twoServerWatch struct {
 	servers           []*heartbeatServer
 	revisions         chan int64
@@ -197,7 +199,7 @@
 		<-done
 	})
 	if got := <-x.revisions; got != 5 {
-		t.Fatalf("revision %d", got)
+		t.Fatalf("got revision %d, want 5", got)
 	}
 	return x
 }
@@ -208,14 +210,14 @@
 	return b.requests
 }
 
-// change gives the second server a list that the first does not have.
+// publishOnSecond gives the second server a list that the first one does not have.
 func (x *twoServerWatch) publishOnSecond() {
 	x.servers[1].mu.Lock()
 	defer x.servers[1].mu.Unlock()
 	x.servers[1].list = List{Revision: 6, Members: []Member{{ID: "a", Phase: "DELETED"}}}
 }
 
-// until waits for a revision, and tells how long that took.
+// waitForRevision waits for a revision and returns how long that took.
 func (x *twoServerWatch) waitForRevision(revision int64) time.Duration {
 	began := time.Now()
 	for got := int64(0); got != revision; got = <-x.revisions {
@@ -223,45 +225,46 @@
 	return time.Since(began)
 }
 
-// A link that goes silent while its connection stays open is met within a few beats: the other server's list holds.
+// A connection that goes silent while it stays open must not keep the node on an old list: within a few heartbeats
+// the list of the other server is used.
 func TestWatcherLeavesSilentServer(t *testing.T) {
 	x := watchTwoServers(t)
 	time.Sleep(8 * realHeartbeat)
 	if x.servers[1].requestCount() != 0 || x.serverChanges.Load() != 0 {
-		t.Errorf("at rest the other is asked %d times", x.servers[1].requestCount())
+		t.Errorf("the other server got %d requests while the first sent heartbeats", x.servers[1].requestCount())
 	}
 	x.servers[0].stalled.Store(true)
 	x.publishOnSecond()
 	if took := x.waitForRevision(6); took > 20*realHeartbeat {
-		t.Errorf("the other's list holds after %v", took)
+		t.Errorf("the other server's list is used only after %v", took)
 	}
-	x.servers[0].stalled.Store(false) // it may beat again, and is not gone back to
+	x.servers[0].stalled.Store(false) // the watcher must not go back to it
 	time.Sleep(8 * realHeartbeat)
 	if x.serverChanges.Load() != 1 {
-		t.Errorf("%d turns", x.serverChanges.Load())
+		t.Errorf("%d server changes", x.serverChanges.Load())
 	}
 }
 
-// Who hears that others act on a later list asks another server beside the one that is behind, and follows that if it knows
-// more; if it does not, the first is kept.
+// A node that hears that others act on a later list asks another server alongside the one that is behind. It follows
+// the other server only if that one has a later list.
 func TestRequestedCandidateReplacesServerThatIsBehind(t *testing.T) {
 	x := watchTwoServers(t)
 	RequestCandidate(x.candidateRequests)
 	time.Sleep(4 * realHeartbeat)
 	if x.serverChanges.Load() != 0 || x.servers[1].requestCount() != 1 {
-		t.Errorf("%d turns, %d asks, and the other knows no more", x.serverChanges.Load(), x.servers[1].requestCount())
+		t.Errorf("%d server changes, %d requests, though the other server has no later list", x.serverChanges.Load(), x.servers[1].requestCount())
 	}
 	x.publishOnSecond()
 	RequestCandidate(x.candidateRequests)
 	x.waitForRevision(6)
-	RequestCandidate(x.candidateRequests) // the first is behind
+	RequestCandidate(x.candidateRequests) // the first server is behind
 	time.Sleep(4 * realHeartbeat)
 	if x.serverChanges.Load() != 1 {
-		t.Errorf("%d turns", x.serverChanges.Load())
+		t.Errorf("%d server changes", x.serverChanges.Load())
 	}
 }
 
-// A move of the servers ends the pause before the next ask, too.
+// A change of the addresses must also end the backoff before the next request.
 func TestAddressChangeEndsBackoff(t *testing.T) {
 	b := newHeartbeatServer(t, List{Revision: 5, Complete: true, Members: membersOf("a")})
 	at := NewAddresses([]string{"127.0.0.1:1"})
@@ -273,6 +276,6 @@
 	}
 	w.Run(ctx, 0)
 	if err := ctx.Err(); err != context.Canceled {
-		t.Errorf("the list is never heard: %v", err)
+		t.Errorf("the list never arrived: %v", err)
 	}
 }
--- a/internal/listwatch/follow_test.go
+++ b/internal/listwatch/follow_test.go
@@ -20,17 +20,19 @@
 	"harrierramp/internal/testkit"
 )
 
-const responseHead = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n" // to the end of the connection
+// responseHead is followed by a body that lasts until the connection is closed.
+const responseHead = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n"
 
-// agent is a discovery in virtual time: each connection it gets is served by the next function, the last by all after it.
+// fakeAgent returns a client of a discovery agent in virtual time. Each connection is served by the next function,
+// all further ones by the last.
 func fakeAgent(serve ...func(nc net.Conn)) *http.Client {
 	var n atomic.Int64
 	return &http.Client{Transport: &http.Transport{
 		DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 			i := min(int(n.Add(1)), len(serve)) - 1
-			if serve[i] == nil { // the dial never comes up
-				ctx, cancel := context.WithTimeout(ctx, dialTimeout) // as NewClient's; it outlives the ask
+			if serve[i] == nil { // the dial hangs
+				ctx, cancel := context.WithTimeout(ctx, dialTimeout) // as in NewClient; the dial outlives the request
 				defer cancel()
 				<-ctx.Done()
 				return nil, ctx.Err()
@@ -43,14 +45,14 @@
 					return
 				}
 				serve[i](there)
-				io.Copy(io.Discard, r) // it stays open, unless serve has closed it
+				io.Copy(io.Discard, r) // stays open unless serve has closed it
 			}()
 			return here, nil
 		},
 	}}
 }
 
-// says writes pieces with a pause before each, and then stays silent with its connection open.
+// writePieces writes pieces with a pause before each, and then stays silent with its connection open.
 func writePieces(pause time.Duration, pieces ...string) func(net.Conn) {
 	return func(nc net.Conn) {
 		for _, p := range pieces {
@@ -62,7 +64,7 @@
 	}
 }
 
-// bubble plays in virtual time, and lets all that is still on its way end.
+// inVirtualTime runs a test in virtual time, and leaves time for all pending timers and connections to end.
 func inVirtualTime(t *testing.T, play func(t *testing.T)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -73,8 +75,8 @@
 
 func emptyLines(n int) []string { return slices.Repeat([]string{"\n"}, n) }
 
-// Messages may come on one line each, indented, many in a piece, or cut anywhere; empty lines between them are heard and
-// those inside them are not.
+// Messages may be on one line each, indented, several in one chunk, or split anywhere. Empty lines between messages
+// count as activity and those within a message do not.
 func TestFollowFramesMessages(t *testing.T) {
 	indented, err := json.MarshalIndent(List{Revision: 7, Complete: true, Members: membersOf("a", "b")}, "", "  ")
 	if err != nil {
@@ -105,17 +107,17 @@
 				return err
 			})
 			if err == nil || !slices.Equal(got, []int64{7, 8, 8, 8, 7}) {
-				t.Errorf("pieces of %d: %v, %v", size, got, err)
+				t.Errorf("chunks of %d: %v, %v", size, got, err)
 			}
 			if heard != 5+4 {
-				t.Errorf("pieces of %d: heard %d times", size, heard)
+				t.Errorf("chunks of %d: activity was reported %d times", size, heard)
 			}
 		})
 	}
 }
 
-// A watch is silent from its last whole message or empty line on, whatever half of one still comes; and from the ask on,
-// whatever it waits for.
+// A stream is silent since its last complete message or empty line, even if part of a message still arrives; before
+// the first one, since the request was made.
 func TestFollowTimesOutWithoutCompleteMessage(t *testing.T) {
 	const patience = 750 * time.Millisecond
 	whole := `{"revision":1,"complete":true,"members":[]}` + "\n"
@@ -125,16 +127,16 @@
 		serve func(net.Conn)
 		want  time.Duration
 	}{
-		"the dial does not come up":       {nil, patience},
-		"no head of an answer":            {writePieces(0), patience},
-		"half a head":                     {writePieces(100*time.Millisecond, strings.Split(responseHead, "")...), patience},
-		"a head, and no line":             {writePieces(0, responseHead), patience},
-		"a head, and half a line":         {writePieces(0, responseHead, `{"revision":`), patience},
-		"a line, and nothing":             {writePieces(0, responseHead, whole), IdleTimeout},
-		"a line, and half of the next":    {writePieces(time.Second, responseHead[:20], responseHead[20:]+whole), patience},
-		"empty lines, and nothing":        {writePieces(2*time.Second, append([]string{}, emptyLines(3)...)...), patience},
-		"a message that goes on and on":   {writePieces(0, append([]string{responseHead, whole, `{"revision":2,"x":"`}, drip...)...), IdleTimeout},
-		"empty lines inside of a message": {writePieces(time.Second, append([]string{responseHead}, emptyLines(50)...)...), patience},
+		"the dial hangs":               {nil, patience},
+		"no response header":           {writePieces(0), patience},
+		"partial response header":      {writePieces(100*time.Millisecond, strings.Split(responseHead, "")...), patience},
+		"header and no line":           {writePieces(0, responseHead), patience},
+		"header and half a line":       {writePieces(0, responseHead, `{"revision":`), patience},
+		"a line, then nothing":         {writePieces(0, responseHead, whole), IdleTimeout},
+		"a line, and half of the next": {writePieces(time.Second, responseHead[:20], responseHead[20:]+whole), patience},
+		"empty lines, then nothing":    {writePieces(2*time.Second, append([]string{}, emptyLines(3)...)...), patience},
+		"a message without end":        {writePieces(0, append([]string{responseHead, whole, `{"revision":2,"x":"`}, drip...)...), IdleTimeout},
+		"empty lines within a message": {writePieces(time.Second, append([]string{responseHead}, emptyLines(50)...)...), patience},
 	} {
 		t.Run(name, func(t *testing.T) {
 			inVirtualTime(t, func(t *testing.T) {
@@ -154,11 +156,11 @@
 			io.WriteString(nc, responseHead+whole)
 			writePieces(2*time.Second, emptyLines(10)...)(nc)
 		}, 20*time.Second + IdleTimeout},
-		"beats inside a message": {func(nc net.Conn) {
+		"heartbeats within a message": {func(nc net.Conn) {
 			io.WriteString(nc, responseHead+whole+half)
 			writePieces(2*time.Second, emptyLines(10)...)(nc)
 		}, IdleTimeout},
-		"half a line a second": {func(nc net.Conn) { io.WriteString(nc, responseHead+whole); writePieces(time.Second, drip...)(nc) }, IdleTimeout},
+		"half a line per second": {func(nc net.Conn) { io.WriteString(nc, responseHead+whole); writePieces(time.Second, drip...)(nc) }, IdleTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			inVirtualTime(t, func(t *testing.T) {
@@ -172,7 +174,7 @@
 	}
 }
 
-// A torn or absurd message ends the watch at once: what it said has to be asked for anew.
+// A truncated or malformed message must end the stream at once: its content has to be requested again.
 func TestFollowEndsOnMalformedMessage(t *testing.T) {
 	whole := `{"revision":1,"complete":true,"members":[]}` + "\n"
 	for _, bad := range []string{
@@ -195,7 +197,7 @@
 	}
 }
 
-// Whatever a watch says, reading it ends, and no message is handed on that is no JSON.
+// Reading a stream must end whatever it contains, and each message that is handed on must be valid JSON.
 func FuzzFollow(f *testing.F) {
 	f.Add("\n{\"revision\":1}\n\n")
 	f.Add("{\n \"revision\": 1,\n\n \"members\": []\n}\n[]\"x\"1")
@@ -214,7 +216,7 @@
 	})
 }
 
-// watch runs a Watcher in virtual time and records what it tells, and when.
+// runWatcher runs a Watcher in virtual time and returns the revisions it reported, with the time of each.
 func runWatcher(t *testing.T, client *http.Client, after int64, span time.Duration) (seen []string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), span)
@@ -229,8 +231,8 @@
 	return seen
 }
 
-// What a watch misses that has fallen silent is known before it counts as told, 6 s after, also where the first ask anew
-// meets silence as well; and what an agent that was silent gets is known within the least grace of half a second.
+// A change that a silent stream missed must be known within 6 s, even if the first new request gets no answer either.
+// A change that a restored agent has must be known well within a second.
 func TestChangeMissedBySilentWatchIsFoundInTime(t *testing.T) {
 	list := func(revision int) string {
 		return fmt.Sprintf("{\"revision\":%d,\"complete\":true,\"members\":[]}\n", revision)
@@ -238,10 +240,11 @@
 	inVirtualTime(t, func(t *testing.T) {
 		client := fakeAgent(writePieces(0, responseHead, list(1)), writePieces(0), writePieces(0, responseHead, list(2)))
 		if got := runWatcher(t, client, 0, 20*time.Second); len(got) < 2 || got[0] != "1 0s" || got[1] != "2 5.5s" {
-			t.Errorf("told %v", got)
+			t.Errorf("got %v", got)
 		}
 	})
-	for restoredAt := 5 * time.Second; restoredAt < 10*time.Second; restoredAt += 130 * time.Millisecond { // discovery is back then
+	// Discovery is back at restoredAt.
+	for restoredAt := 5 * time.Second; restoredAt < 10*time.Second; restoredAt += 130 * time.Millisecond {
 		inVirtualTime(t, func(t *testing.T) {
 			began := time.Now()
 			serveOnceRestored := func(nc net.Conn) {
@@ -264,14 +267,14 @@
 			}
 			w.Run(ctx, 0)
 			if late := knownAt - restoredAt; knownAt == 0 || late > time.Second {
-				t.Errorf("back at %v, known at %v", restoredAt, knownAt)
+				t.Errorf("restored at %v, known at %v", restoredAt, knownAt)
 			}
 		})
 	}
 }
 
-// A revision that goes back is a change that was overtaken, or a discovery that has begun anew: nothing of it is taken
-// before the whole list has been asked for anew, and then what that says holds.
+// A lower revision is either a change that was overtaken by a later one, or a restart of discovery. Nothing may be
+// used before the full list has been requested again, and then that list is used.
 func TestLowerRevisionRequestsFullList(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		var requests []string
@@ -286,16 +289,16 @@
 			return transport.RoundTrip(r)
 		})
 		if got := runWatcher(t, client, 7, 3*time.Second); !slices.Equal(got, []string{"9 0s", "4 0s", "5 0s"}) {
-			t.Errorf("told %v", got)
+			t.Errorf("got %v", got)
 		}
 		if !slices.Equal(requests, []string{"7", "0"}) {
-			t.Errorf("asked after %v", requests)
+			t.Errorf("requests after revisions %v", requests)
 		}
 	})
 }
 
-// While discovery moves, what the old one still says is not taken: the new one is asked after what was taken last, and
-// only it is heard from then on.
+// After a change of addresses, nothing that the old server still sends may be used: the new server is asked for
+// changes after the last revision that was used.
 func TestAddressChangeIgnoresOldServer(t *testing.T) {
 	list := func(revision int) string {
 		return fmt.Sprintf("{\"revision\":%d,\"complete\":false,\"members\":[]}\n", revision)
@@ -330,20 +333,20 @@
 		}
 		w.Run(ctx, 0)
 		if !slices.Equal(revisions, []int64{5, 7}) || !slices.Equal(requests, []string{"old 0", "new 5"}) {
-			t.Errorf("told %v, asked %v", revisions, requests)
+			t.Errorf("got %v, requests %v", revisions, requests)
 		}
 	})
 }
 
-// A dial outlives the ask that it was made for, so that it needs a bound of its own: where connections never come up, asks
-// anew must not take one descriptor after another.
+// A dial outlives the request that started it and needs a timeout of its own. Without one, retries to a host that
+// never answers would use up file descriptors.
 func TestHangingDialsTimeOut(t *testing.T) {
 	t.Parallel()
 	addr := testkit.UnresponsiveAddr(t)
 	client := NewClient(nil)
 	for range 5 {
 		if err := Follow(t.Context(), client, "http://"+addr+"/", FollowOptions{ResponseTimeout: 20 * time.Millisecond}, nil); err == nil {
-			t.Fatal("it answers")
+			t.Fatal("the server answered")
 		}
 	}
 	testkit.Eventually(t, "no dial is under way", func() bool { return testkit.CountPendingDials(t, addr) == 0 })
--- a/internal/listwatch/listwatch.go
+++ b/internal/listwatch/listwatch.go
@@ -1,5 +1,6 @@
-// Package listwatch reads a watch of a list service: a chunked answer that stays open and holds one JSON object a
-// line. Nodes follow their endpoints by it, and a list server its primary.
+// Package listwatch follows the list of endpoints: it reads the stream of a list server or of the platform's
+// discovery, a chunked HTTP response that stays open and holds a sequence of JSON objects. Nodes use it to follow
+// their endpoints, and list servers to follow their primary.
 package listwatch
 
 import (
@@ -19,18 +20,21 @@
 
 const (
 	maxMessage = 4 << 20
-	// Silence is how long a watch of the platform's discovery may go without a whole message or an empty line, which comes
-	// every 2 s while it is up. What a silent watch misses counts as told 6 s after it fell silent. So two empty lines
-	// may be missing, and what is left of the 6 s is for the watch that is opened in its place.
+	// IdleTimeout is how long a stream of the platform's discovery may go without a complete message or an empty
+	// line; discovery sends an empty line every 2 s. A change that a silent stream missed must be known 6 s after the
+	// stream fell silent. So the timeout tolerates two missing empty lines, and the rest of the 6 s is for opening a
+	// new stream.
 	IdleTimeout = 4500 * time.Millisecond
-	// ServiceSilence is the same of the project's own list service, which is asked beside when it is silent: see Links.
+	// ServiceIdleTimeout is the same for the project's own list service, where a silent server is checked against
+	// another one: see Failover.
 	ServiceIdleTimeout = 10 * time.Second
-	// dialTimeout bounds a dial, which goes on for others when the ask has ended that it was made for.
+	// dialTimeout bounds a dial, which the HTTP transport continues for other requests after the request that started
+	// it has ended.
 	dialTimeout = serviceResponseTimeout
 )
 
-// NewClient makes the client for watches, whose connections come from source, or from where the system chooses if that is
-// nil.
+// NewClient returns an HTTP client for streaming requests. Its connections come from source, or from an address that
+// the system chooses if source is nil.
 func NewClient(source net.Addr) *http.Client {
 	dialer := &net.Dialer{LocalAddr: source, Timeout: dialTimeout}
 	return &http.Client{Transport: &http.Transport{
@@ -38,13 +42,12 @@
 	}}
 }
 
-const maxPostResponse = 64 << 10 // of an answer to a Post
+const maxPostResponse = 64 << 10 // bytes read of the response to a Post
 
-// ClockHeader says what a list server's clock showed when it took a post, in milliseconds since 1970.
+// ClockHeader is the response header with the list server's clock at the time of a post, in milliseconds since 1970.
 const ClockHeader = "Registry-Clock-Ms"
 
-// Post makes one post of JSON to a list server. There is no error if the server has taken it, which it says by 204; then
-// the answer's head is returned.
+// Post sends JSON to a list server and returns the response header. Any status but 204 is an error.
 func Post(ctx context.Context, client *http.Client, url string, body []byte) (http.Header, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
@@ -56,21 +59,22 @@
 		return nil, err
 	}
 	defer resp.Body.Close()
-	reply, err := io.ReadAll(io.LimitReader(resp.Body, maxPostResponse)) // so that the connection serves again
+	reply, err := io.ReadAll(io.LimitReader(resp.Body, maxPostResponse)) // to the end, so the connection can be reused
 	if err == nil && resp.StatusCode != http.StatusNoContent {
 		err = fmt.Errorf("post: %s: %.100s", resp.Status, bytes.TrimSpace(reply))
 	}
 	return resp.Header, err
 }
 
-// The headers by which a server says when to come: Retry-After in whole seconds, as everybody reads it, and the same to
-// the millisecond. A turn is said again with the ask that keeps it.
+// Headers that tell a client when to retry: Retry-After holds whole seconds, as any HTTP client understands it, and
+// retryAfterMSHeader the same time in milliseconds. The client repeats reservationHeader's value in its next request, as
+// the parameter "turn", to claim the reserved place.
 const (
 	retryAfterMSHeader = "Retry-After-Ms"
 	reservationHeader  = "Registry-Turn"
 )
 
-// TellWait writes that an ask is to be made again after a wait, which keeps a turn if that is not 0.
+// SetRetryAfter sets the headers that ask the client to retry after wait, with a reservation if it is not 0.
 func SetRetryAfter(h http.Header, wait time.Duration, reservation uint64) {
 	ms := max((wait + time.Millisecond - 1).Milliseconds(), 1)
 	h.Set("Retry-After", strconv.FormatInt((ms+999)/1000, 10))
@@ -80,18 +84,18 @@
 	}
 }
 
-// StatusError is an answer that is no watch.
+// StatusError is returned for a response with a status other than 200.
 type StatusError struct {
 	Code int
-	Text string // the beginning of what the server says about it
-	// Said is whether the server has said when to come, Wait what it said, which may be absurd: -1 where it can't be
-	// read. Turn is what to say then, 0 for nothing.
+	Text string // start of the response body
+	// HasRetryAfter is set if the response said when to retry. RetryAfter is the unchecked value, or -1 if it can't
+	// be parsed. Reservation is to be presented with the next request; 0 means none.
 	HasRetryAfter bool
 	RetryAfter    time.Duration
 	Reservation   uint64
 }
 
-// told reads when to come.
+// parseRetryAfter sets the fields that tell when to retry.
 func (e *StatusError) parseRetryAfter(h http.Header) {
 	text := h.Get(retryAfterMSHeader)
 	if e.HasRetryAfter = text != ""; !e.HasRetryAfter {
@@ -101,30 +105,31 @@
 	if e.RetryAfter = time.Duration(ms) * time.Millisecond; err != nil || ms > int64(time.Duration(math.MaxInt64)/time.Millisecond) {
 		e.RetryAfter = -1
 	}
-	e.Reservation, _ = strconv.ParseUint(h.Get(reservationHeader), 10, 64) // without one it is an ask like any other
+	e.Reservation, _ = strconv.ParseUint(h.Get(reservationHeader), 10, 64) // 0 if missing: no reservation
 }
 
 func (e *StatusError) Error() string {
 	return fmt.Sprintf("watch: %d %s: %s", e.Code, http.StatusText(e.Code), e.Text)
 }
 
-// BeatHeader says, in milliseconds, how often a server that was asked for it says something.
+// HeartbeatHeader is the response header with the interval, in milliseconds, at which the server sends something. A
+// server sets it if the request asked for heartbeats.
 const HeartbeatHeader = "Registry-Beat-Ms"
 
-// errSilent is the end of a watch that has said nothing for too long.
-var errSilent = errors.New("it is silent")
+// errSilent ends a stream on which no data arrived within its timeout.
+var errSilent = errors.New("the server sent nothing within the timeout")
 
-// Watch is how a watch is followed. The functions may be nil.
+// FollowOptions configures Follow. The functions may be nil.
 type FollowOptions struct {
-	ResponseTimeout time.Duration // from the ask, dial and head of the answer included, to the first message or empty line
-	IdleTimeout     time.Duration // from one to the next; 0 for Silence
-	OnOpen          func(beat time.Duration)
-	OnActivity      func() // for each message, and each empty line between messages
+	ResponseTimeout time.Duration // from the request, including the dial, to the first message or empty line
+	IdleTimeout     time.Duration // between messages or empty lines; 0 means the IdleTimeout constant
+	OnOpen          func(heartbeat time.Duration)
+	OnActivity      func() // called for each message, and each empty line between messages
 }
 
-// Follow follows one watch to its end, which is always an error, and hands on each message: a JSON value, on one line or
-// indented over many. A watch that has gone silent is given up, for its machine may be gone; one that goes on with half a
-// message, or with empty lines inside one, is silent too.
+// Follow reads one stream until it ends, which is always an error, and passes each message to the message function. A
+// message is a JSON value, on one line or indented over several. A silent stream is given up, because the server's
+// machine may be gone; a stream that only sends part of a message, or empty lines within one, counts as silent too.
 func Follow(ctx context.Context, client *http.Client, url string, opts FollowOptions, message func([]byte) error) error {
 	if opts.IdleTimeout == 0 {
 		opts.IdleTimeout = IdleTimeout
@@ -151,7 +156,7 @@
 	if opts.OnOpen != nil {
 		ms, err := strconv.ParseInt(resp.Header.Get(HeartbeatHeader), 10, 64)
 		if err != nil || ms < 0 || ms > ServiceIdleTimeout.Milliseconds() {
-			ms = 0 // it says something when it likes
+			ms = 0 // the server does not promise heartbeats
 		}
 		opts.OnOpen(time.Duration(ms) * time.Millisecond)
 	}
@@ -165,19 +170,20 @@
 	return fmt.Errorf("watch: %w", reader.readAll(message, activity))
 }
 
-// feed is what a decoder of messages reads. It keeps empty lines between messages from it, which say that the server is
-// there, and bounds what a message may hold.
+// messageReader is the input of a JSON decoder. It filters out empty lines between messages, which only show that the
+// server is alive, and limits the size of a message.
 type messageReader struct {
 	r           *bufio.Reader
 	onEmptyLine func()
-	pending     []byte // of a line, and what is left of it to hand on
-	inMessage   bool   // a message has begun
-	size        int    // of it so far
+	pending     []byte // rest of the chunk that was read but not yet returned
+	inMessage   bool   // part of a message has been read
+	size        int    // bytes of the current message so far
 }
 
 func newBufferedReader(r io.Reader) *bufio.Reader { return bufio.NewReaderSize(r, 16<<10) }
 
-// messages hands on each message, and tells whole that one has come, to the end, which is always an error.
+// readAll passes each message to the message function, after calling complete, until the stream ends. The error is
+// never nil.
 func (m *messageReader) readAll(message func([]byte) error, complete func()) error {
 	for d := json.NewDecoder(m); ; {
 		var raw json.RawMessage
@@ -207,7 +213,7 @@
 			continue
 		}
 		if m.size += len(chunk); m.size > maxMessage {
-			return 0, fmt.Errorf("a message over %d bytes", maxMessage)
+			return 0, fmt.Errorf("message is longer than %d bytes", maxMessage)
 		}
 		m.pending = chunk
 	}
@@ -216,9 +222,9 @@
 	return n, nil
 }
 
-// ended notes that a message has ended, behind which the decoder has read so much.
+// endMessage records that a message has ended. buffered is what the decoder has read beyond it.
 func (m *messageReader) endMessage(buffered io.Reader) {
-	rest, _ := io.ReadAll(buffered) // of a buffer: no error
+	rest, _ := io.ReadAll(buffered) // reading from a buffer returns no error
 	m.size = len(rest)
 	m.inMessage = len(bytes.TrimSpace(rest)) > 0
 }
--- a/internal/listwatch/listwatch_test.go
+++ b/internal/listwatch/listwatch_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// A server whose machine is gone says nothing and closes nothing.
+// A server whose machine is gone sends nothing and does not close the connection.
 func TestFollowGivesUpOnSilentServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := &http.Client{Transport: &http.Transport{DialContext: func(context.Context, string, string) (net.Conn, error) {
@@ -77,7 +77,7 @@
 	})
 }
 
-// fixedTurns records what it is told.
+// fixedPacer records the waits that servers asked for.
 type fixedPacer struct{ hints []time.Duration }
 
 func (f *fixedPacer) InitialDelay() time.Duration            { return 0 }
@@ -87,7 +87,8 @@
 	return wait, wait > 0 && wait < time.Minute
 }
 
-// Who is told when to come asks the same server again then, with its turn; a wait without sense turns it to the next.
+// A watcher that is told when to retry must ask the same server at that time, with its reservation. After a wait that
+// is out of range it asks the next server.
 func TestWatcherHonorsRetryAfter(t *testing.T) {
 	var requests []string
 	var times []time.Time
@@ -113,9 +114,9 @@
 	}
 	w.Run(ctx, 0)
 	if len(requests) != len(answers)+1 || counted != len(requests) || retries != 1 || serverChanges != len(answers)-1 || len(pacer.hints) != 6 {
-		t.Fatalf("%d asks, %d counted, %d told, %d turned, %v", len(requests), counted, retries, serverChanges, pacer.hints)
+		t.Fatalf("%d requests, %d counted, %d to be retried, %d server changes, %v", len(requests), counted, retries, serverChanges, pacer.hints)
 	}
 	if !strings.Contains(requests[1], "turn=77") || strings.Contains(requests[2], "turn") || times[1].Sub(times[0]) < 120*time.Millisecond {
-		t.Errorf("asks %q after %v", requests, times[1].Sub(times[0]))
+		t.Errorf("requests %q after %v", requests, times[1].Sub(times[0]))
 	}
 }
--- a/internal/listwatch/propagation_test.go
+++ b/internal/listwatch/propagation_test.go
@@ -12,13 +12,13 @@
 	"harrierramp/internal/backoff"
 )
 
-// countsAsTold is how long after discovery had a change and could be reached, or after a watch fell silent, a node is held to
-// know it.
+// propagationDeadline is the time by which a node must know a change, after discovery has it and can be reached, or
+// after its stream fell silent.
 const propagationDeadline = 6 * time.Second
 
-// Whatever up to three asks in a row meet, a change that discovery has from the last of them on is known before it counts
-// as told: discovery can be reached by whoever asks after that one, and a watch that it has told something was silent from
-// there on.
+// Whatever goes wrong with up to three requests in a row, a change that discovery has since the last of them must be
+// known before the deadline. Discovery can be reached by any request after that one, and a stream that had delivered
+// something was silent since then.
 func TestChangeIsKnownBeforePropagationDeadline(t *testing.T) {
 	list := func(revision int) string {
 		return fmt.Sprintf("{\"revision\":%d,\"complete\":true,\"members\":[]}\n", revision)
@@ -75,7 +75,7 @@
 					}
 					w.Run(ctx, 0)
 					if knownAt.IsZero() || len(requests) <= len(serve) {
-						t.Fatalf("%s: never known, after %d asks", strings.Join(names, "; "), len(requests))
+						t.Fatalf("%s: never known, after %d requests", strings.Join(names, "; "), len(requests))
 					}
 					took := knownAt.Sub(requests[len(serve)-1])
 					if took > worst {
@@ -96,17 +96,17 @@
 				}
 			}
 			sequences(nil)
-			t.Logf("at the worst after %v: %s", worst, worstCase)
+			t.Logf("worst case %v: %s", worst, worstCase)
 		})
 	}
 }
 
-// The sums of the parts that make up those times, each under the 6 s by what an answer takes.
+// The parts of these times must add up to less than 6 s, with a margin for the response.
 func TestTimeoutsFitPropagationDeadline(t *testing.T) {
 	for name, sum := range map[string]time.Duration{
-		"a silent watch, then an ask anew":                         IdleTimeout + maxSilenceBackoff,
-		"an agent's silent watch, and a first ask that meets none": IdleTimeout + maxAgentBackoff + AgentResponseTimeout + maxAgentBackoff,
-		"an ask that began just before discovery could be reached": DiscoveryResponseTimeout + maxDiscoveryBackoff,
+		"a silent stream, then a new request":                          IdleTimeout + maxSilenceBackoff,
+		"an agent's silent stream, and no answer to the first request": IdleTimeout + maxAgentBackoff + AgentResponseTimeout + maxAgentBackoff,
+		"a request just before discovery could be reached":             DiscoveryResponseTimeout + maxDiscoveryBackoff,
 	} {
 		if sum > propagationDeadline-250*time.Millisecond {
 			t.Errorf("%s: %v", name, sum)
--- a/internal/listwatch/validator.go
+++ b/internal/listwatch/validator.go
@@ -17,44 +17,47 @@
 )
 
 const (
-	// What is lost is doubted if it is at least so many and more than half of what was known.
+	// A full list is suspicious if it lacks at least this many members, and more than half, of those known.
 	minSuspiciousLoss = 3
-	recheckInterval   = 75 * time.Millisecond // between asks while it is, and up to as much again
-	MaxHold           = time.Second           // the most that a list may be held
-	// What a file says is held against servers that tell less for so long, while others have yet to be heard.
+	// recheckInterval is the least delay between requests while a list is held; a random part of as much again is added.
+	recheckInterval = 75 * time.Millisecond
+	MaxHold         = time.Second // maximum of Validator.HoldFor
+	// unconfirmedTimeout is how long a list read from the cache outranks servers that send older ones while some
+	// servers have not answered yet.
 	unconfirmedTimeout = 30 * time.Second
 )
 
-// errOlderList refuses a server that is behind what the node knows.
-var errOlderList = errors.New("the server's list is older than what is known")
+// errOlderList rejects a server whose list is older than the node's.
+var errOlderList = errors.New("the server's list is older than the known one")
 
-// Doubt looks at the lists of the project's own service before they are taken.
+// Validator checks the lists of the project's own list service before they are used.
 //
-// A list never takes the node back to an older revision: the server that tells it is a follower that lags, or a
-// primary that has been replaced, and another server is asked.
+// The node never goes back to an older revision. A server that sends one is a follower that lags, or a primary that
+// has been replaced, and another server is asked.
 //
-// A whole list without most of what was known is what a service tells that has lost its folder, or that was promoted
-// far behind, and whose instances have yet to register again. But it may as well be true, and then sends to what it
-// leaves out have to end within the protocol's grace. So it is held for most of that grace, in which all servers
-// are asked for a later list; then it is obeyed. What changes say by name is never doubted.
+// A full list that lacks most of the known members may come from a service that lost its state directory, or from a
+// server that was promoted while far behind, whose instances have not registered again yet. But the list may also be
+// right, and then calls to the missing endpoints must end within the protocol's drain grace. So the list is held back
+// for most of that grace while all servers are asked for a later one; then it is obeyed. Members that a change names
+// as removed are removed without delay.
 type Validator struct {
 	Log      *slog.Logger
 	Client   *http.Client
 	Servers  *Addresses
 	HoldFor  time.Duration
 	Revision int64
-	known    map[string]bool // by id
-	// Unconfirmed says that what is known comes from a file, and no server has said so yet. It may be another fleet's, or
-	// of a service that has lost its folder since. So once every server has told an earlier list, or one has and
-	// unconfirmedLast has passed, the servers are believed.
+	known    map[string]bool // IDs of the known members
+	// Unconfirmed is set while the known list comes from a cache file and no server has confirmed it. The file may
+	// belong to another fleet, or to a service that has lost its state since. So once every server has sent an older
+	// list, or one server has and unconfirmedTimeout has passed, the servers' older list is accepted.
 	Unconfirmed   bool
-	olderServers  map[string]bool // addresses that have told an earlier list meanwhile
-	olderSince    time.Time       // the first of them
-	RejectedLists *atomic.Int64   // lists refused
-	HeldLists     *atomic.Int64   // lists held
+	olderServers  map[string]bool // addresses of the servers that have sent an older list
+	olderSince    time.Time       // when the first of them did
+	RejectedLists *atomic.Int64   // counts lists rejected as older
+	HeldLists     *atomic.Int64   // counts lists held back
 }
 
-// NewDoubt begins with what is known.
+// NewValidator returns a copy of v that starts with the known members.
 func NewValidator(v Validator, known iter.Seq[Member]) *Validator {
 	v.known = map[string]bool{}
 	for m := range known {
@@ -63,7 +66,7 @@
 	return &v
 }
 
-// Check is what watch does with each list of the server at addr.
+// Check validates a list that the server at addr sent. It implements Watcher.Check.
 func (v *Validator) Check(ctx context.Context, addr string, l List) (List, error) {
 	if l.Revision < v.Revision && !v.acceptOlder(addr, l) {
 		v.RejectedLists.Add(1)
@@ -80,7 +83,8 @@
 	return l, nil
 }
 
-// ahead tells whether what is known is not to be held against a server that tells less.
+// acceptOlder reports whether a server's list is accepted although it is older than the unconfirmed one from the
+// cache.
 func (v *Validator) acceptOlder(addr string, l List) bool {
 	if !v.Unconfirmed || !l.Complete {
 		return false
@@ -98,10 +102,10 @@
 	return true
 }
 
-// doubtful tells whether losing so many of those known is worth a second look.
+// losesTooMany reports whether a list that lacks lost of the known members is suspicious.
 func losesTooMany(lost, known int) bool { return lost >= minSuspiciousLoss && 2*lost > known }
 
-// lost is how many of those known a whole list leaves out.
+// countMissing returns how many of the known members a full list lacks.
 func (v *Validator) countMissing(l List) int {
 	if !l.Complete {
 		return 0
@@ -126,7 +130,7 @@
 	}
 }
 
-// reconsider asks all servers for a later list that is not doubtful, for as long as the list may be held.
+// recheck asks all servers for a later list that is not suspicious, for at most HoldFor.
 func (v *Validator) recheck(ctx context.Context, l List) List {
 	ctx, cancel := context.WithTimeout(ctx, v.HoldFor)
 	defer cancel()
@@ -150,8 +154,8 @@
 	}
 }
 
-// askList gets the whole list once. It says which revision is known: who only wants a second opinion goes before those
-// that begin.
+// fetchList gets the full list once. The request names the revision that the node has, because servers admit a node
+// that only wants a second opinion before those that are starting.
 func fetchList(ctx context.Context, client *http.Client, addr string, revision int64) (List, error) {
 	var l List
 	url := fmt.Sprintf("http://%s/registry/instances?after=%d", addr, revision)
--- a/internal/listwatch/validator_test.go
+++ b/internal/listwatch/validator_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// members are serving endpoints with these ids.
+// membersOf returns serving endpoints with the given IDs.
 func membersOf(ids ...string) (out []Member) {
 	for _, id := range ids {
 		out = append(out, Member{ID: id, Phase: "SERVING"})
@@ -22,7 +22,7 @@
 
 const testGrace = 1200 * time.Millisecond
 
-// doubtOf is a doubt that knows six endpoints at revision 10 and may ask servers at these addresses.
+// newTestValidator returns a validator that knows six endpoints at revision 10 and may ask servers at the addresses.
 func newTestValidator(t *testing.T, addrs ...string) *Validator {
 	t.Helper()
 	var older, doubted atomic.Int64
@@ -35,13 +35,13 @@
 func TestValidatorRejectsOlderList(t *testing.T) {
 	d := newTestValidator(t, "127.0.0.1:1")
 	if _, err := d.Check(t.Context(), "127.0.0.1:1", List{Revision: 9, Complete: true}); !errors.Is(err, errOlderList) {
-		t.Errorf("an older list: %v", err)
+		t.Errorf("an older list is not rejected: %v", err)
 	}
 	if _, err := d.Check(t.Context(), "127.0.0.1:1", List{Revision: 10}); err != nil {
-		t.Errorf("the list that is known: %v", err)
+		t.Errorf("the same revision is rejected: %v", err)
 	}
 	if got := d.RejectedLists.Load(); got != 1 {
-		t.Errorf("%d refused", got)
+		t.Errorf("%d lists rejected, want 1", got)
 	}
 }
 
@@ -56,15 +56,15 @@
 	for name, c := range map[string]struct {
 		told   List
 		answer string
-		want   int64 // the revision that is taken
+		want   int64 // the revision that is used
 		held   bool
 	}{
-		"lost, and back by now":    {List{Revision: 11, Complete: true, Members: membersOf("a")}, later, 12, false},
-		"lost for good":            {List{Revision: 11, Complete: true, Members: membersOf("a")}, same, 11, true},
-		"empty, and nobody sane":   {List{Revision: 11, Complete: true}, "{", 11, true},
-		"half of them":             {List{Revision: 11, Complete: true, Members: membersOf("a", "b", "c")}, later, 11, false},
-		"said by name":             {List{Revision: 11, Members: []Member{{ID: "a", Phase: "DELETED"}, {ID: "b", Phase: "DELETED"}, {ID: "c", Phase: "DELETED"}, {ID: "d", Phase: "DELETED"}}}, later, 11, false},
-		"replaced by as many more": {List{Revision: 11, Complete: true, Members: membersOf("u", "v", "w", "x", "y", "z")}, later, 12, false},
+		"missing for a moment":               {List{Revision: 11, Complete: true, Members: membersOf("a")}, later, 12, false},
+		"missing for good":                   {List{Revision: 11, Complete: true, Members: membersOf("a")}, same, 11, true},
+		"empty, and no valid second opinion": {List{Revision: 11, Complete: true}, "{", 11, true},
+		"half missing":                       {List{Revision: 11, Complete: true, Members: membersOf("a", "b", "c")}, later, 11, false},
+		"deleted by name":                    {List{Revision: 11, Members: []Member{{ID: "a", Phase: "DELETED"}, {ID: "b", Phase: "DELETED"}, {ID: "c", Phase: "DELETED"}, {ID: "d", Phase: "DELETED"}}}, later, 11, false},
+		"replaced by as many more":           {List{Revision: 11, Complete: true, Members: membersOf("u", "v", "w", "x", "y", "z")}, later, 12, false},
 	} {
 		answer.Store(c.answer)
 		d := newTestValidator(t, srv.Listener.Addr().String())
@@ -72,13 +72,13 @@
 		got, err := d.Check(t.Context(), "127.0.0.1:1", c.told)
 		took := time.Since(began)
 		if err != nil || got.Revision != c.want {
-			t.Errorf("%s: revision %d is taken, %v", name, got.Revision, err)
+			t.Errorf("%s: revision %d is used, %v", name, got.Revision, err)
 		}
 		if c.held != (took >= d.HoldFor) || d.HoldFor >= testGrace {
-			t.Errorf("%s: held for %v, may be for %v of a grace of %v", name, took, d.HoldFor, testGrace)
+			t.Errorf("%s: held for %v, limit %v, grace %v", name, took, d.HoldFor, testGrace)
 		}
 		if d.Revision != got.Revision {
-			t.Errorf("%s: known is revision %d", name, d.Revision)
+			t.Errorf("%s: known revision is %d", name, d.Revision)
 		}
 	}
 }
--- a/internal/listwatch/watcher.go
+++ b/internal/listwatch/watcher.go
@@ -16,23 +16,23 @@
 	"harrierramp/internal/backoff"
 )
 
-// List is discovery's form of the list of endpoints, whole or as changes.
+// List is the list of endpoints as discovery sends it: the full list, or only the members that changed.
 type List struct {
 	Revision int64    `json:"revision"`
 	Complete bool     `json:"complete"`
 	Members  []Member `json:"members"`
-	// Settling says that the list service has begun anew: endpoints that are there may not be in the list yet. The
-	// platform's discovery never says so.
+	// Settling is set while the list service has restarted without its state, so that live endpoints may still be
+	// missing from the list. The platform's discovery never sets it.
 	Settling bool `json:"settling,omitempty"`
-	// Floor is what the list service asks of every node; the platform's discovery asks nothing.
+	// Floor is the minimum that the list service requires of every node. The platform's discovery never sets it.
 	Floor *Floor `json:"floor,omitempty"`
 }
 
-// Floor is the least that a node has to be to act at all. What is empty or 0 is not asked for.
+// Floor is the minimum version that a node must have in order to act at all. An empty or zero field requires nothing.
 type Floor struct {
-	Revision int64  `json:"revision,omitempty"` // of the list that it acts on
+	Revision int64  `json:"revision,omitempty"` // list revision that the node acts on
 	Build    string `json:"build,omitempty"`
-	Config   string `json:"config,omitempty"` // the digest of its configuration
+	Config   string `json:"config,omitempty"` // digest of the node's configuration
 }
 
 // Member is one endpoint of a List.
@@ -46,20 +46,21 @@
 	Size     float64 `json:"size"`
 }
 
-// Addresses is where discovery is to be found. It moves when the configuration is replaced.
+// Addresses holds the addresses of the discovery servers. They change when the configuration is replaced. It is safe
+// for concurrent use.
 type Addresses struct {
 	mu      sync.Mutex
-	addrs   []string      // of servers that tell the same
-	first   int           // the one that this node begins with, so that a fleet spreads over them
-	changed chan struct{} // closed by the next move
+	addrs   []string      // servers that hold the same list
+	first   int           // index of the server to try first; random, so that a fleet spreads over the servers
+	changed chan struct{} // closed by the next change of the addresses
 }
 
-// NewAddresses begins with one of addrs by chance; there must be one at least.
+// NewAddresses returns Addresses that start at a random one of addrs, which must not be empty.
 func NewAddresses(addrs []string) *Addresses {
 	return &Addresses{addrs: addrs, first: rand.N(len(addrs)), changed: make(chan struct{})}
 }
 
-// Move sends to the addresses whatever is asked of discovery from now on, and ends what is being asked elsewhere.
+// Set replaces the addresses. Requests in progress to the old addresses are canceled.
 func (a *Addresses) Set(addrs []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -69,7 +70,8 @@
 	}
 }
 
-// Here returns the address for whoever has turned away from so many, and a context that ends when discovery moves.
+// Pick returns the address of the server that is offset places after this node's first one, and a context that is
+// canceled when the addresses change.
 func (a *Addresses) Pick(ctx context.Context, offset int) (string, context.Context, context.CancelFunc) {
 	a.mu.Lock()
 	addr, changed := a.addrs[(a.first+offset)%len(a.addrs)], a.changed
@@ -85,81 +87,96 @@
 	return addr, ctx, cancel
 }
 
-// all are the addresses.
+// all returns all addresses.
 func (a *Addresses) all() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.addrs
 }
 
-// Turns are when a member of a fleet asks for the list. turns.Turn is one.
+// Pacer spreads the requests of a fleet's nodes for the list over time. It is implemented by admission.Pacer.
 type Pacer interface {
+	// InitialDelay returns the delay before a request that all nodes may want to make at the same moment.
 	InitialDelay() time.Duration
+	// RetryDelay returns the delay after a failed request that took the given time.
 	RetryDelay(took time.Duration) time.Duration
+	// RetryAfter returns the delay after a response that asked to wait; ok is false if that wait is out of range.
 	RetryAfter(wait time.Duration) (d time.Duration, ok bool)
 }
 
 const (
-	// answerPatience is how long a server that says when to come may take to say anything.
+	// serviceResponseTimeout is how long a list server, which answers overload with Retry-After, may take until the
+	// first data.
 	serviceResponseTimeout = 2 * time.Second
-	// AgentPatience is the same of an agent of the platform's on the node's machine, which answers at once. After Silence
-	// there is 1.5 s left until what was missed counts as told: time for a second ask if the first meets silence as well.
+	// AgentResponseTimeout is how long an agent of the platform on the node's own machine may take until the first
+	// data; such an agent answers at once. A change missed by a silent stream must be known 6 s after the stream fell
+	// silent, which leaves 1.5 s after IdleTimeout: enough for a second request if the first one gets no answer
+	// either.
 	AgentResponseTimeout = 750 * time.Millisecond
-	// AskPatience is the same where discovery has to be asked: a call that it can't take in fails after that.
+	// DiscoveryResponseTimeout is the same limit for a remote discovery server. A request that the server cannot
+	// handle fails after this time.
 	DiscoveryResponseTimeout = 2 * time.Second
-	retrySpacing             = 50 * time.Millisecond // of the whole fleet's first asks again after a failure common to all
-	// agentPause is the longest pause between asks of an agent on the node's machine. What an agent gets when discovery
-	// returns counts as told at once, and sends have to obey it within the drain grace.
+	retrySpacing             = 50 * time.Millisecond // between the first retries of a fleet's nodes after a common failure
+	// maxAgentBackoff is the longest delay between requests to an agent on the node's machine. A change that the
+	// agent receives when discovery returns counts as known to the node at once, and calls must obey it within the
+	// drain grace.
 	maxAgentBackoff = 250 * time.Millisecond
-	// askPause is the longest where discovery has to be asked. A change counts as told 6 s after discovery had it and could
-	// be reached. An ask that began just before it could ends after AskPatience, and after this pause the next one has 0.5 s.
+	// maxDiscoveryBackoff is the longest delay between requests to a remote discovery server. A change must be known
+	// 6 s after discovery has it and can be reached. A request that started just before discovery became reachable
+	// ends after DiscoveryResponseTimeout; after this delay, 0.5 s are left for the next one.
 	maxDiscoveryBackoff = 3500 * time.Millisecond
-	// silentPause is the longest after a watch that fell silent: with Silence it leaves 0.25 s of the 6 s for the answer.
+	// maxSilenceBackoff is the longest delay after a stream that fell silent. Together with IdleTimeout it leaves
+	// 0.25 s of the 6 s for the response.
 	maxSilenceBackoff = 1250 * time.Millisecond
 )
 
-// AgentPauses are the pauses between asks of an agent, to whom they are no work.
+// AgentBackoff returns the delays between requests to an agent on the node's machine, for which requests are cheap.
 func AgentBackoff() backoff.Backoff {
 	return backoff.Backoff{Initial: backoff.InitialDelay, Max: maxAgentBackoff}
 }
 
-// AskPauses are those between asks where discovery has to be asked. Every ask is work for it, and one that it can't take in
-// fails late: a whole fleet that asks again within a second or two keeps it from answering anybody. So the pauses grow
-// with the fleet, up to askPause.
+// DiscoveryBackoff returns the delays between requests to a remote discovery server, by the number of nodes in the
+// fleet. Each request costs the server work, and one that it cannot handle fails late: if a whole fleet retried
+// within a second or two, the server could not answer anyone. So the first delay grows with the fleet, up to
+// maxDiscoveryBackoff.
 func DiscoveryBackoff(fleet int) backoff.Backoff {
 	first := min(max(backoff.InitialDelay, time.Duration(fleet)*retrySpacing), maxDiscoveryBackoff)
 	return backoff.Backoff{Initial: first, Max: maxDiscoveryBackoff}
 }
 
-// Watcher follows the list.
+// Watcher keeps a node's list of endpoints up to date by following a list server or the platform's discovery.
 type Watcher struct {
 	Log     *slog.Logger
 	Client  *http.Client
 	Servers *Addresses
-	Backoff backoff.Backoff // between watches, without Turns
-	// Patience is how long a server without Turns may take to say anything; 0 for Silence.
+	Backoff backoff.Backoff // between requests, if Pacer is nil
+	// ResponseTimeout is the time until the first data of a server, if Pacer is nil; 0 means IdleTimeout.
 	ResponseTimeout time.Duration
-	// Turns pace the asks where the servers are the project's own, which say when to come; nil elsewhere. With Begin the
-	// first ask waits for its turn as well: the whole fleet may be starting.
+	// Pacer schedules the requests to the project's own list servers, which answer overload with Retry-After; nil for
+	// the platform's discovery. With PaceStart the first request is delayed too, because the whole fleet may be
+	// starting.
 	Pacer             Pacer
 	PaceStart         bool
-	HeartbeatInterval time.Duration // how often a server is asked to say something; 0 for as it likes
-	OnRequest         func()        // an ask goes out; may be nil
-	OnRetryLater      func()        // and is told to come later; may be nil
-	OnActivity        func()        // a server has said something
-	OnServerChange    func()        // the watch goes to the next server
-	// Nudged asks for another server beside the one that is followed: others act on a later list. May be nil.
+	HeartbeatInterval time.Duration // interval at which the server is asked to send something; 0 leaves it to the server
+	OnRequest         func()        // a request is sent; may be nil
+	OnRetryLater      func()        // the server answered with a Retry-After; may be nil
+	OnActivity        func()        // a server sent a message or an empty line
+	OnServerChange    func()        // the watcher moves on to another server
+	// CandidateRequests asks the watcher to try another server alongside the current one, because other nodes act on
+	// a later list. May be nil.
 	CandidateRequests <-chan struct{}
-	// Trouble hears in few words why the list may be late; may be nil.
+	// OnDelay is called with a short reason when the node's list may be out of date from now on. May be nil.
 	OnDelay func(why string)
-	// check looks at a list before it is taken: it may give another in its place, or refuse it, and with it the server
-	// that told it. Nil takes each as it comes: the platform's discovery says what holds.
+	// Check validates a list before it is used. It may return another list in its place, or an error, which rejects
+	// the list and the server that sent it. If nil, each list is used as it comes: the platform's discovery is
+	// authoritative.
 	Check  func(ctx context.Context, addr string, l List) (List, error)
 	OnList func(List)
 }
 
-// Run follows the list from a revision until the context ends. Each watch that ends turns it to the next server, but
-// for one that says when to come, which is asked again then. With Beat a server that falls silent is doubted: see Links.
+// Run follows the list, starting after the given revision, until ctx is done. When a stream ends, Run goes on with
+// the next server, unless the server asked to retry later: then the same server is asked again after that time. With
+// HeartbeatInterval, a server that falls silent is checked against another one: see Failover.
 func (w *Watcher) Run(ctx context.Context, after int64) {
 	f := follower{Watcher: w, revision: after, events: make(chan streamEvent, 16), startedAt: time.Now()}
 	defer f.streams.Wait()
@@ -167,12 +184,12 @@
 		backoff.Sleep(ctx, w.Pacer.InitialDelay())
 	}
 	for offset, reservation := 0, uint64(0); ctx.Err() == nil; {
-		_, serverCtx, cancel := w.Servers.Pick(ctx, offset) // ends also the pause below when the servers move
+		_, serverCtx, cancel := w.Servers.Pick(ctx, offset) // a change of addresses also ends the sleep below
 		s, err := f.followServer(ctx, f.openStream(ctx, offset, reservation))
 		reservation, offset = 0, s.offset
 		if serverCtx.Err() != nil {
 			cancel()
-			w.Backoff.Reset() // it has moved, or the node ends
+			w.Backoff.Reset() // the addresses changed, or ctx is done
 			continue
 		}
 		w.Log.Debug("list_watch_ended", "addr", s.addr, "err", err)
@@ -187,7 +204,8 @@
 	}
 }
 
-// follower is a Watcher at work. One goroutine owns it, and hears from the streams by a channel.
+// follower is the state of a running Watcher. It is owned by one goroutine, to which the streams send events over a
+// channel.
 type follower struct {
 	*Watcher
 	revision  int64
@@ -196,7 +214,7 @@
 	startedAt time.Time
 }
 
-// stream is one watch of one server.
+// stream is one streaming request to one server.
 type stream struct {
 	addr      string
 	offset    int
@@ -204,22 +222,23 @@
 	cancel    context.CancelFunc
 	startedAt time.Time
 	listCount int
-	heard     bool          // a message, or an empty line between messages
-	heartbeat time.Duration // of the server; 0 where it has none
+	heard     bool          // a message or an empty line has arrived
+	heartbeat time.Duration // interval promised by the server; 0 if it sends no heartbeats
 }
 
-// said is what a stream has heard: that it is open, a line, maybe empty, or its end.
+// streamEvent is something that happened on a stream: it was opened, a message or an empty line arrived (only stream is
+// set), a message is to be processed, or the stream ended.
 type streamEvent struct {
 	stream    *stream
 	opened    bool
 	heartbeat time.Duration
 	message   []byte
-	err       error // the end, where it is not nil
+	err       error // why the stream ended, if not nil
 }
 
 func (f *follower) now() time.Duration { return time.Since(f.startedAt) }
 
-// open begins to watch a server.
+// openStream starts following the server at offset, presenting a reservation if it is not 0.
 func (f *follower) openStream(ctx context.Context, offset int, reservation uint64) *stream {
 	s := &stream{offset: offset, startedAt: time.Now()}
 	s.addr, s.ctx, s.cancel = f.Servers.Pick(ctx, offset)
@@ -256,19 +275,19 @@
 	return s
 }
 
-// follow follows a server to the end of its watch, and another beside it while it is silent. It returns the stream that
-// it followed last, and why that has ended.
+// followServer follows a server until its stream ends, and a candidate server alongside it while the current one is
+// silent. It returns the stream that it followed last and why that stream ended.
 func (f *follower) followServer(ctx context.Context, current *stream) (*stream, error) {
 	var candidate *stream
 	var failover *Failover
-	requested := false // the other is asked since the first may be behind
+	requested := false // the candidate was opened because the current server may be behind
 	defer func() {
 		current.cancel()
 		if candidate != nil {
 			candidate.cancel()
 		}
 	}()
-	var ticks <-chan time.Time // without beats there is nothing to look at
+	var ticks <-chan time.Time // without heartbeats there is nothing to check
 	if f.HeartbeatInterval > 0 {
 		t := time.NewTicker(max(f.HeartbeatInterval/2, 50*time.Millisecond))
 		defer t.Stop()
@@ -294,7 +313,7 @@
 			switch failover.Step(f.now()) {
 			case OpenCandidate:
 				f.Log.Warn("list_silent", "addr", current.addr)
-				f.reportDelay("the link is silent")
+				f.reportDelay("the list server is silent")
 				candidate = f.openStream(ctx, current.offset+1, 0)
 			case ReplaceCandidate:
 				offset := current.offset + 1
@@ -327,7 +346,7 @@
 		}
 		switch {
 		case e.stream != current && e.stream != candidate:
-			continue // one that was left
+			continue // an event of a stream that was given up
 		case e.err != nil && e.stream == current:
 			if candidate == nil || candidate.listCount == 0 {
 				return current, e.err
@@ -345,7 +364,7 @@
 			known := f.revision
 			err := f.handleEvent(e, current, failover)
 			if err == nil && e.stream == candidate && requested && e.message != nil {
-				if requested = false; f.revision > known { // it knows more
+				if requested = false; f.revision > known { // the candidate has a later list
 					f.Log.Warn("list_server_left", "addr", current.addr, "for", candidate.addr)
 					f.OnServerChange()
 					current.cancel()
@@ -353,7 +372,7 @@
 					failover = f.newFailover(current)
 					continue
 				}
-				dropCandidate() // it knows no more
+				dropCandidate() // the candidate has no later list
 			}
 			if err != nil && e.stream == current {
 				return current, err
@@ -364,7 +383,7 @@
 	}
 }
 
-// Nudge asks a Watcher that is Nudged by the channel for another server, and never waits.
+// RequestCandidate asks the Watcher that reads from the channel to try another server. It never blocks.
 func RequestCandidate(requests chan<- struct{}) {
 	select {
 	case requests <- struct{}{}:
@@ -378,21 +397,21 @@
 	}
 }
 
-// reason says in few words why a watch has ended.
+// reason describes in a few words why a stream ended.
 func reason(err error) string {
 	statusErr, isStatus := errors.AsType[*StatusError](err)
 	switch {
 	case errors.Is(err, errOlderList):
-		return "a server told an older list"
+		return "a server sent an older list"
 	case isStatus && statusErr.HasRetryAfter:
-		return "a server said to come later"
+		return "a server asked to retry later"
 	case isStatus:
-		return fmt.Sprintf("a server answered %d", statusErr.Code)
+		return fmt.Sprintf("a server answered with status %d", statusErr.Code)
 	}
-	return "the watch ended"
+	return "the stream ended"
 }
 
-// links begins to look at a server's beats; nil where it has none.
+// newFailover starts to check a server's heartbeats. It returns nil if the server sends none.
 func (f *follower) newFailover(s *stream) *Failover {
 	if s.heartbeat <= 0 {
 		return nil
@@ -400,7 +419,7 @@
 	return NewFailover(f.now(), s.heartbeat)
 }
 
-// hear takes one line of a stream.
+// handleEvent processes a message of a stream, or the sign that a message or an empty line has arrived.
 func (f *follower) handleEvent(e streamEvent, current *stream, failover *Failover) error {
 	e.stream.heard = true
 	if e.message == nil {
@@ -419,7 +438,8 @@
 	case f.Check != nil:
 		l, err = f.Check(e.stream.ctx, e.stream.addr, l)
 	case l.Revision < f.revision:
-		// A change that was overtaken, or a discovery that has begun anew. Its whole list, asked for anew, tells.
+		// Either a later change arrived before this one, or discovery has restarted. Requesting the full list settles
+		// which.
 		err = fmt.Errorf("%w: revision %d after %d", errOlderList, l.Revision, f.revision)
 		f.revision = 0
 	}
@@ -436,8 +456,8 @@
 	return nil
 }
 
-// rest is how long to wait after a watch that has ended so, and the turn to come with, 0 for none: then it is the next
-// server's.
+// nextRequest returns how long to wait after a stream that ended with err, and the reservation to present to the same
+// server. If the reservation is 0, the next server is asked instead.
 func (w *Watcher) nextRequest(err error, s *stream) (time.Duration, uint64) {
 	if w.Pacer == nil {
 		delay := w.Backoff.Next()
@@ -457,7 +477,7 @@
 		}
 		return wait, statusErr.Reservation
 	}
-	if s.listCount > 0 { // all who followed that server have lost it
+	if s.listCount > 0 { // every node that followed this server has lost it
 		return w.Pacer.InitialDelay(), 0
 	}
 	return w.Pacer.RetryDelay(time.Since(s.startedAt)), 0
