--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -12,7 +12,7 @@
 
 const testRate = DefaultRate
 
-// event is an ask that is due.
+// event is a request that is due.
 type event struct {
 	at     time.Duration
 	member int
@@ -31,15 +31,15 @@
 	return x
 }
 
-// storm is what came of a start.
+// startOutcome describes how a start of a fleet went.
 type startOutcome struct {
 	requests, busiest, deferred int
-	lastServed                  time.Duration // the last member was served so long after the server came
-	earlyRetries                int           // members that came sooner than they were told
+	lastServed                  time.Duration // when the last member was served, since the server came up
+	earlyRetries                int           // requests before the time that the limiter had given
 }
 
-// play has a fleet start within a span while its server comes late. turned members keep their turns; others ask at once
-// and then do as they are told.
+// simulateStart has a fleet start within a time span while its server comes up late. Paced members use a Pacer; the
+// others ask at once and then follow the limiter's answers.
 func simulateStart(seed uint64, fleet int, startSpread, serverDelay time.Duration, paced bool) (s startOutcome) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	g := NewLimiter(testRate, 1)
@@ -86,8 +86,8 @@
 	return s
 }
 
-// Whatever the size of a fleet, and however late its server, the asks of a second stay under the server's rate, and the
-// last member is served after a time that follows from size and rate alone.
+// Whatever the size of the fleet and however late its server, the requests per second must stay below the server's
+// rate, and the last member must be served within a time that follows from size and rate alone.
 func TestPacedStartStaysUnderRate(t *testing.T) {
 	for _, fleet := range []int{1, 10, 100, 200, 300, 1000, 3000, 10_000} {
 		for _, late := range []time.Duration{0, 5 * time.Second, time.Minute} {
@@ -96,10 +96,10 @@
 					s := simulateStart(seed, fleet, 500*time.Millisecond, late, true)
 					bound := 500*time.Millisecond + 2*max(MinCycle, time.Duration(fleet)*RequestSpacing)*6/10
 					if s.busiest > testRate || s.lastServed > bound || s.earlyRetries > 0 {
-						t.Errorf("seed %d: %d asks in the busiest second, the last after %v of %v, %d told, %d early", seed, s.busiest, s.lastServed, bound, s.deferred, s.earlyRetries)
+						t.Errorf("seed %d: %d requests in the busiest second, the last served after %v of %v, %d deferred, %d early", seed, s.busiest, s.lastServed, bound, s.deferred, s.earlyRetries)
 					}
 					if seed == 0 {
-						t.Logf("%d asks, %d in the busiest second, %d told, the last after %v", s.requests, s.busiest, s.deferred, s.lastServed)
+						t.Logf("%d requests, %d in the busiest second, %d deferred, the last served after %v", s.requests, s.busiest, s.deferred, s.lastServed)
 					}
 				}
 			})
@@ -107,20 +107,20 @@
 	}
 }
 
-// Members that know nothing of turns and all ask in the same moment are served at the rate all the same.
+// Members without a Pacer that all ask at the same moment must still be served at the limiter's rate.
 func TestLimiterServesUnpacedStartAtRate(t *testing.T) {
 	for _, fleet := range []int{300, 3000, 10_000} {
 		s := simulateStart(7, fleet, time.Millisecond, 0, false)
 		ideal := time.Duration(float64(fleet) / testRate * float64(time.Second))
-		t.Logf("%d members: %d asks, the last after %v, at best %v", fleet, s.requests, s.lastServed, ideal)
+		t.Logf("%d members: %d requests, the last served after %v, at best %v", fleet, s.requests, s.lastServed, ideal)
 		if s.lastServed > ideal*11/10+300*time.Millisecond || s.requests > 3*fleet {
-			t.Errorf("%d members: %d asks, the last after %v", fleet, s.requests, s.lastServed)
+			t.Errorf("%d members: %d requests, the last served after %v", fleet, s.requests, s.lastServed)
 		}
 	}
 }
 
-// Whatever comes in whatever order, a gate serves no more whole lists than its rate and burst allow, gives no turn twice,
-// tells nobody a wait without sense, and lets renewals in while others wait.
+// Whatever requests come in whatever order, a limiter must not serve more than its rate and burst allow, must not
+// give out a reservation twice, and must give every deferred request a sane wait.
 func TestLimiterNeverExceedsRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(1, 1000).Draw(t, "rate")
@@ -129,25 +129,25 @@
 		for range rapid.IntRange(1, 400).Draw(t, "asks") {
 			now += time.Duration(rapid.Int64Range(0, int64(50*time.Millisecond)).Draw(t, "pause"))
 			c := Priority(rapid.IntRange(0, 2).Draw(t, "class"))
-			held := uint64(rapid.IntRange(0, 60).Draw(t, "turn")) // also turns that were never given
+			held := uint64(rapid.IntRange(0, 60).Draw(t, "turn")) // includes reservations that were never given out
 			ok, wait, turn := g.Admit(now, c, held)
 			switch {
 			case ok:
 				served += requestCost[c]
 			case wait < minWait || wait > time.Minute+time.Duration(400/rate*float64(time.Second)):
-				t.Fatalf("told to wait %v", wait)
+				t.Fatalf("deferred by %v", wait)
 			case turn != 0 && turn != held && out[turn]:
-				t.Fatalf("turn %d is given twice", turn)
+				t.Fatalf("reservation %d is given out twice", turn)
 			}
 			out[turn] = true
 			if most := rate*now.Seconds() + g.burst()*(1+renewalBorrowBursts) + 1; served > most {
-				t.Fatalf("%v served after %v, and %v at most", served, now, most)
+				t.Fatalf("%v served after %v, at most %v allowed", served, now, most)
 			}
 		}
 	})
 }
 
-// Renewals go before whole lists: in the middle of a storm they are let in.
+// Renewals go before full lists: they must be admitted in the middle of a storm of list requests.
 func TestRenewalsAreAdmittedUnderLoad(t *testing.T) {
 	g := NewLimiter(testRate, 1)
 	refused := 0
@@ -163,39 +163,39 @@
 		}
 	}
 	if refused > 0 {
-		t.Errorf("%d of 200 renewals are told to wait", refused)
+		t.Errorf("%d of 200 renewals are deferred", refused)
 	}
 }
 
-// A turn that nobody takes does not stay for ever, and no more are kept than the bound.
+// A reservation that is not used must not stay forever, and the number of reservations must stay bounded.
 func TestReservationsAreBounded(t *testing.T) {
 	g := NewLimiter(1, 1)
 	for range 2 * maxReservations {
 		g.Admit(0, FullList, 0)
 	}
 	if g.Outstanding() > maxReservations {
-		t.Errorf("%d turns are out", g.Outstanding())
+		t.Errorf("%d reservations are outstanding", g.Outstanding())
 	}
 	g.Admit(100*time.Hour, FullList, 0)
 	if g.Outstanding() > 1 {
-		t.Errorf("%d turns are out long after their time", g.Outstanding())
+		t.Errorf("%d reservations are outstanding long after their time", g.Outstanding())
 	}
 }
 
-// What is told is heeded within its bounds, and what makes no sense is not.
+// A wait within its bounds must be obeyed, and one out of range must be replaced by the node's own cycle.
 func TestPacerDelaysStayInBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		turn := NewPacer(rapid.IntRange(-5, 20_000).Draw(t, "fleet"), rapid.IntRange(-5, 20_000).Draw(t, "number"), rand.New(rand.NewPCG(1, 2)))
 		wait := time.Duration(rapid.Int64().Draw(t, "wait"))
 		d, ok := turn.RetryAfter(wait)
 		if sense := wait > 0 && wait <= MaxRetryAfter; ok != sense || sense && (d < wait || d > 2*wait) || d <= 0 || d > 2*max(MaxRetryAfter, turn.Cycle()) {
-			t.Fatalf("told %v, it waits %v, %v", wait, d, ok)
+			t.Fatalf("RetryAfter(%v) is %v, %v", wait, d, ok)
 		}
 		if first := turn.InitialDelay(); first < 0 || first > turn.Cycle() {
-			t.Fatalf("first after %v of %v", first, turn.Cycle())
+			t.Fatalf("initial delay %v, cycle %v", first, turn.Cycle())
 		}
 		if again := turn.RetryDelay(wait); again <= 0 || again > turn.Cycle()*3/2 {
-			t.Fatalf("again after %v of %v", again, turn.Cycle())
+			t.Fatalf("retry delay %v, cycle %v", again, turn.Cycle())
 		}
 	})
 }
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -1,56 +1,58 @@
-// Package turns lets hundreds come one after another: a Gate at a server that takes so many a second and tells the others
-// when to come, and a Turn at each that comes. Both are stepped with explicit time, do no input or output, and may be
-// played in virtual time. Neither is safe for use by several goroutines.
+// Package admission spreads the requests of hundreds of nodes over time. A Limiter at a server admits a number of
+// requests per second and tells the others when to retry; a Pacer at each node decides when that node asks. Both take
+// the time as an argument and do no I/O, so that they can be simulated. Neither is safe for concurrent use.
 //
-// The two hold one bound together. A fleet of N whose members keep their Turns makes at most 1/Spacing asks a second,
-// whatever happened to all of them at once, and each of them asks again within N*Spacing. A Gate whose rate is above
-// that serves nearly all of them at once; whoever it can't serve gets a turn of its own, no two the same, so that the
-// last of N is served within N/Rate of the first ask, however many ask in one moment.
+// Together they keep one bound. A fleet of N nodes that use Pacers makes at most 1/RequestSpacing requests per
+// second, whatever happened to all of them at once, and each node asks again within N*RequestSpacing. A Limiter with
+// a higher rate admits nearly all of these at once. Each node that it defers gets a reservation of its own, no two
+// for the same moment, so that the last of N is served within N/rate of the first request, even if all ask at the
+// same moment.
 package admission
 
 import (
 	"time"
 )
 
-// Class is how urgent an ask is. Lower ones go before higher ones.
+// Priority is the priority of a request. Lower values go first.
 type Priority int
 
-// The classes.
+// The priorities.
 const (
-	Renewal     Priority = iota // leases and registrations of instances: without them the list itself goes wrong
-	PartialList                 // watchers that lack some changes
-	FullList                    // watchers that need the whole list
+	Renewal     Priority = iota // lease renewals and registrations of instances: without them the list is wrong
+	PartialList                 // watchers that miss some changes
+	FullList                    // watchers that need the full list
 	priorities
 )
 
-// cost is what an ask takes of the rate, next to a whole list.
+// requestCost is what a request takes from the rate, relative to a full list.
 var requestCost = [priorities]float64{Renewal: 0.1, PartialList: 0.25, FullList: 1}
 
-// DefaultRate is what a server admits where it is told nothing: over a third more than a fleet that keeps its turns asks
-// for.
+// DefaultRate is the default of a server's rate, in full lists per second: over a third more than a fleet that uses
+// Pacers asks for.
 const DefaultRate = 250
 
 const (
-	burstWindow         = 100 * time.Millisecond // of the rate may be taken at once
-	minWait             = 20 * time.Millisecond  // that anybody is told
-	maxReservations     = 1 << 14                // turns that are given out and not yet taken
-	reservationTTL      = 10 * time.Second       // after it has come, a turn that nobody takes is given up
-	renewalBorrowBursts = 2.0                    // bursts that the most urgent may take of what is promised to others
+	burstWindow         = 100 * time.Millisecond // the burst is what the rate yields in this time
+	minWait             = 20 * time.Millisecond  // shortest wait given to a client
+	maxReservations     = 1 << 14                // reservations that are outstanding at once
+	reservationTTL      = 10 * time.Second       // a reservation that is not used is dropped this long after its time
+	renewalBorrowBursts = 2.0                    // bursts that renewals may take from the tokens reserved for others
 )
 
-// Gate admits asks at a rate. The zero value admits everything.
+// Limiter admits requests at a rate, as a token bucket with reservations. The zero value admits everything.
 type Limiter struct {
-	rate            float64 // whole lists a second
+	rate            float64 // tokens per second; a full list costs one
 	tokens          float64
 	refilledAt      time.Duration
-	promisedUntil   [priorities]time.Duration // until when turns of a class are given out
+	promisedUntil   [priorities]time.Duration // per priority, the latest time given to a deferred request
 	reservations    map[uint64]time.Duration
 	lastReservation uint64
 	sweptAt         time.Duration
 }
 
-// NewGate makes a gate for so many whole lists a second; 0 or less admits everything. first is any number that an
-// earlier process of the server does not give out, so that its turns are not taken for this one's.
+// NewLimiter returns a limiter with the given rate, in full lists per second; 0 or less admits everything. Reservations
+// are numbered from first+1. An earlier process of the server must not have given out the same numbers, or its
+// reservations would be mistaken for this one's.
 func NewLimiter(rate float64, first uint64) *Limiter {
 	l := &Limiter{rate: rate, reservations: map[uint64]time.Duration{}, lastReservation: first}
 	l.tokens = l.burst()
@@ -59,7 +61,8 @@
 
 func (l *Limiter) burst() float64 { return max(1, l.rate*burstWindow.Seconds()) }
 
-// floor is how far an ask of a class may take the tokens down: the urgent ones go before what is promised to others.
+// minTokens returns how far a request may take the tokens down. Urgent requests may take tokens that are reserved for
+// others.
 func (l *Limiter) minTokens(p Priority) float64 {
 	switch p {
 	case Renewal:
@@ -70,15 +73,16 @@
 	return 0
 }
 
-// Ask tells whether an ask may be served now. If not, wait is when to come, and turn what to say then: a number that no
-// other ask was given, or 0 where too many have one. held is the turn that the ask says it has, 0 for none.
+// Admit reports whether a request may be served now. If not, wait is the time until the client may retry, and
+// reservation is the number to present then: it is unique, or 0 if too many reservations are outstanding or the
+// priority gets none. presented is the reservation that the request carries, 0 for none.
 func (l *Limiter) Admit(now time.Duration, p Priority, presented uint64) (ok bool, wait time.Duration, reservation uint64) {
 	if l == nil || l.rate <= 0 {
 		return true, 0, 0
 	}
 	l.refill(now)
 	dueAt, reserved := l.reservations[presented]
-	queued := p == FullList && l.promisedUntil[FullList] > now // others have been promised what comes next
+	queued := p == FullList && l.promisedUntil[FullList] > now // earlier requests hold reservations for the next tokens
 	if reserved && now >= dueAt {
 		queued = false
 	}
@@ -87,12 +91,12 @@
 		delete(l.reservations, presented)
 		return true, 0, 0
 	}
-	if reserved && now < dueAt { // it comes too soon
+	if reserved && now < dueAt { // too early
 		return false, max(dueAt-now, minWait), presented
 	}
 	delete(l.reservations, presented)
 	admitAt := max(l.promisedUntil[p], now) + l.refillTime(requestCost[p])
-	if !reserved { // the turns that are out hold the tokens to come; short of them, it takes that long to have one
+	if !reserved { // outstanding reservations hold the next tokens; wait for later ones
 		admitAt = max(admitAt, now+l.refillTime(l.minTokens(p)+requestCost[p]-l.tokens))
 		l.promisedUntil[p] = admitAt
 	} else {
@@ -107,7 +111,7 @@
 	return false, admitAt - now, l.lastReservation
 }
 
-// span is how long so many tokens take to come.
+// refillTime returns how long it takes until the given number of tokens has accrued.
 func (l *Limiter) refillTime(tokens float64) time.Duration {
 	return time.Duration(max(tokens, 0) / l.rate * float64(time.Second))
 }
@@ -126,5 +130,5 @@
 	}
 }
 
-// Out is how many turns are given out and not yet taken.
+// Outstanding returns the number of reservations that have not been used yet.
 func (l *Limiter) Outstanding() int { return len(l.reservations) }
--- a/internal/admission/pacer.go
+++ b/internal/admission/pacer.go
@@ -7,32 +7,33 @@
 )
 
 const (
-	// Spacing is between the asks of a fleet whose members all want the same at the same moment. A server's rate has to
-	// be above one ask a Spacing; the share between is for chance.
+	// RequestSpacing is the time between two requests of a fleet whose nodes all want the list at the same moment. A
+	// server's rate has to be above 1/RequestSpacing; the margin absorbs the random jitter.
 	RequestSpacing = 5500 * time.Microsecond
-	// LeastCycle is between the asks of one member, however small its fleet.
+	// MinCycle is the shortest time between two requests of one node, however small the fleet.
 	MinCycle = 100 * time.Millisecond
-	// MostTold is the longest wait that a member lets itself be told. More is a fault of whoever told it.
+	// MaxRetryAfter is the longest wait that a node accepts. A longer one is a fault of the server.
 	MaxRetryAfter       = 5 * time.Minute
-	maxRetryAfterJitter = 100 * time.Millisecond // of chance on top of a wait that was told, and no more than the wait
+	maxRetryAfterJitter = 100 * time.Millisecond // random delay added to a server's wait; at most the wait itself
 )
 
-// Turn is when one member of a fleet asks for what all may want at once. Its place among the others follows from its
-// number, so that their asks are evenly apart and not merely apart on average; chance within the place keeps them from
-// coming in step with anything else.
+// Pacer decides when one node of a fleet asks for the list, which all nodes may want at the same moment. Its place in
+// the cycle follows from the node's number, so that the requests are evenly spaced and not only on average; jitter
+// within that place keeps them from synchronizing with anything else.
 type Pacer struct {
-	cycle      time.Duration // from one ask to the next, of one member
-	phase      float64       // in the cycle, from 0 to 1
-	phaseWidth float64       // of the place
+	cycle      time.Duration // between two requests of one node
+	phase      float64       // start of the node's place in the cycle, from 0 to 1
+	phaseWidth float64       // length of that place, as a share of the cycle
 	rng        *rand.Rand
 }
 
-// NewTurn is for member number of so many; a number out of range is taken as any.
+// NewPacer returns the pacer of a node, by its number and the number of nodes in the fleet. A number out of range is
+// taken modulo the fleet's size.
 func NewPacer(fleet, number int, rng *rand.Rand) *Pacer {
 	fleet = max(fleet, 1)
 	number = ((number % fleet) + fleet) % fleet
-	// Neighbours by number often start one after the other. The golden ratio puts them far apart, and any run of
-	// numbers evenly over the cycle.
+	// Nodes with adjacent numbers often start one after the other. A stride by the golden ratio puts them far apart
+	// in the cycle and spreads any run of numbers evenly.
 	stride := max(1, int(math.Round(float64(fleet)/math.Phi)))
 	for gcd(stride, fleet) != 1 {
 		stride++
@@ -50,23 +51,23 @@
 	return a
 }
 
-// Cycle is the time in which each member of the fleet has its turn once.
+// Cycle returns the time in which each node of the fleet may ask once.
 func (p *Pacer) Cycle() time.Duration { return p.cycle }
 
-// First is how long to wait after something that all members notice at the same moment: a start of the whole fleet, or
-// the end of a server.
+// InitialDelay returns how long to wait after something that all nodes notice at the same moment, such as a start of
+// the whole fleet or the loss of a server.
 func (p *Pacer) InitialDelay() time.Duration {
 	return time.Duration((p.phase + p.phaseWidth*p.rng.Float64()) * float64(p.cycle))
 }
 
-// Again is how long to wait after an ask that has failed, and took so long.
+// RetryDelay returns how long to wait after a failed request that took the given time.
 func (p *Pacer) RetryDelay(took time.Duration) time.Duration {
 	jitter := time.Duration((p.rng.Float64() - 0.5) * p.phaseWidth * float64(p.cycle))
 	return max(p.cycle+jitter-max(took, 0), min(p.cycle, MinCycle)/2)
 }
 
-// Told is how long to wait after an ask that was told to come after a wait: never less, and at most twice that. ok is
-// whether the wait makes sense; if not, the member goes by its own cycle.
+// RetryAfter returns how long to wait after a response that asked for the given wait: never less than that, and at
+// most twice as long. If the wait is out of range, ok is false and the delay is the node's own cycle.
 func (p *Pacer) RetryAfter(wait time.Duration) (d time.Duration, ok bool) {
 	if wait <= 0 || wait > MaxRetryAfter {
 		return p.RetryDelay(0), false
