--- a/internal/membership/claim.go
+++ b/internal/membership/claim.go
@@ -5,21 +5,21 @@
 	"hash/fnv"
 )
 
-// ID names a member in datagrams. It is made of the member's address, so that nodes whose lists differ in order or
-// length still mean the same member by it.
+// ID identifies a member in datagrams. It is derived from the member's address, so that nodes whose member lists
+// differ in order or length still mean the same member by it.
 type ID uint32
 
-// IDOf is the id of the member at an address.
+// IDOf returns the ID of the member at an address.
 func IDOf(addr string) ID {
 	h := fnv.New32a()
 	h.Write([]byte(addr))
 	return ID(h.Sum32())
 }
 
-// State is what a node holds a member for.
+// State is the state that a node holds a member in.
 type State uint8
 
-// The states. A suspect is still present: it has time to speak for itself.
+// The states. A suspect still counts as present: it has time to refute the suspicion.
 const (
 	Alive State = iota
 	Suspect
@@ -31,22 +31,22 @@
 
 func (s State) String() string { return stateNames[s] }
 
-// Gone tells that a member takes no part.
+// Gone reports whether a member does not take part: it is dead or has left.
 func (s State) Gone() bool { return s >= Dead }
 
-// maxIncarnation bounds what is believed: only a member itself raises its incarnation, by one at a time.
+// maxIncarnation bounds the incarnations that are accepted. A member raises its own incarnation by one at a time.
 const maxIncarnation = 1 << 30
 
-// claim is what somebody says of a member.
+// claim is a statement about a member's state.
 type claim struct {
 	id          ID
 	state       State
 	incarnation uint32
-	suspectedBy ID // who suspects it
+	suspectedBy ID // the member that suspects it
 }
 
-// overrides tells whether news of a member are newer than what is held of it. Only the member itself makes a later
-// incarnation, so a later one wins; of the same one, the worse state does.
+// overrides reports whether a claim is newer than the known state. Only the member itself can raise its incarnation,
+// so a higher one wins; within the same incarnation the worse state wins.
 func (c claim) overrides(state State, incarnation uint32) bool {
 	if c.incarnation != incarnation {
 		return c.incarnation > incarnation
@@ -54,8 +54,8 @@
 	return c.state > state && !state.Gone()
 }
 
-// Datagrams begin with a byte that no note of package choice begins with, a version, and the kind. The sender's
-// incarnation and, but for digests, claims follow, as many as there are bytes.
+// A datagram starts with Magic, which no datagram of the choice package starts with, the version and the kind. The
+// sequence number, the sender's incarnation, the fields of the kind and as many claims as fit follow.
 const (
 	Magic   = 'M'
 	version = 1
@@ -67,11 +67,11 @@
 const (
 	kindPing kind = iota + 1
 	kindAck
-	kindPingReq // ping the target for the sender
+	kindPingReq // asks the receiver to ping the target for the sender
 	kindNack    // the target has not answered yet
-	kindDigest  // what the sender's view comes to, by buckets
-	kindInSync  // the view of the receiver's digest is the sender's as well
-	kindEntries // the sender's view of one bucket; want asks for the receiver's
+	kindDigest  // digest of the sender's view, per bucket
+	kindInSync  // the sender's view has the same digest as the receiver's
+	kindEntries // the sender's view of one bucket; wantReply asks for the receiver's
 	kindCount
 )
 
@@ -84,15 +84,15 @@
 type message struct {
 	kind        kind
 	seq         uint16
-	incarnation uint32 // of the sender
-	target      ID     // of a ping request
+	incarnation uint32 // the sender's
+	target      ID     // member to ping, for kindPingReq
 	bucket      uint8
 	wantReply   bool
 	digest      [buckets]uint32
 	claims      []claim
 }
 
-// head writes all but the claims.
+// header returns the encoded message without its claims.
 func (m message) header() []byte {
 	b := append(make([]byte, 0, maxSize), Magic, version, byte(m.kind))
 	b = binary.BigEndian.AppendUint16(b, m.seq)
@@ -113,7 +113,7 @@
 	return b
 }
 
-// appendClaim adds a claim, unless it does not fit.
+// appendClaim appends a claim and reports whether it fitted.
 func appendClaim(b []byte, c claim) ([]byte, bool) {
 	full := len(b)
 	b = binary.BigEndian.AppendUint32(b, uint32(c.id))
@@ -128,7 +128,7 @@
 	return b, true
 }
 
-// reader reads the fields of a datagram; bad is set when one is missing or impossible.
+// reader decodes the fields of a datagram. malformed is set if one is missing or out of range.
 type reader struct {
 	b         []byte
 	malformed bool
@@ -158,7 +158,7 @@
 	return uint32(v)
 }
 
-// decode reads a datagram; ok is false for one that is cut, too long, of another version or with impossible numbers.
+// decode decodes a datagram. ok is false if it is truncated, too long, of another version or has values out of range.
 func decode(b []byte) (m message, ok bool) {
 	if len(b) < headerSize || len(b) > maxSize || b[0] != Magic || b[1] != version {
 		return m, false
--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -1,15 +1,16 @@
-// Package membership tells each node of a fleet who else is there, by SWIM with the local health of Lifeguard. Core is
-// deterministic: it is handed datagrams, the time and a seed, and hands back datagrams and changes. A shell owns the
-// socket, the clock and the file that the incarnation is kept in.
+// Package membership lets each node of a fleet know which other nodes are present, by the SWIM protocol with
+// Lifeguard's local health. Core is deterministic: it takes datagrams, the time and a seed, and returns datagrams and
+// changes. Its caller owns the socket, the clock and the file with the incarnation.
 //
-// How it works: once in a period each member pings another, in an order that reaches all. One that does not answer is
-// pinged by some others as well, and suspected if they hear nothing either. What is known goes round on the back of
-// these datagrams. A suspect that hears of it says that it is alive, under a later incarnation that only it can make;
-// one that does not within a time is dead. Members compare digests of their views now and then, also with those they
-// hold for gone, so that one that came late, or a part that was cut off, gets to know all.
+// In each period a member pings another one, in an order that reaches all. If that member does not answer, a few
+// others are asked to ping it too, and it is suspected if they get no answer either. Claims about members are
+// piggybacked on these datagrams. A suspect that hears of the suspicion refutes it under a higher incarnation, which
+// only the suspect itself can create; a suspect that does not refute in time is dead. Now and then members compare
+// digests of their views, also with members that they consider gone, so that a member that joined late and partitions
+// that were cut off catch up.
 //
-// Invariants: a member's incarnation only rises; the own state is never taken from others; what is sent in a period
-// does not grow with the fleet.
+// Invariants: a member's incarnation only rises; a node never takes its own state from others; the amount of data
+// sent per period does not grow with the fleet.
 package membership
 
 import (
@@ -21,56 +22,56 @@
 	"time"
 )
 
-// Config is what a core is told at its start.
+// Config configures a Core.
 type Config struct {
-	Self         int           // of Members
-	Members      []ID          // all that may take part, this one too
-	Incarnation  uint32        // later than any that it ever had, if that is known; else 0
-	PingInterval time.Duration // between pings
-	AckTimeout   time.Duration // for an answer, before others are asked to ping
+	Self         int           // index of this node in Members
+	Members      []ID          // all possible members, including this node
+	Incarnation  uint32        // higher than any this node has used before, if that is known; else 0
+	PingInterval time.Duration // length of a period
+	AckTimeout   time.Duration // time for an answer before others are asked to ping the member
 	Seed         uint64
 }
 
 const (
-	indirectProbes   = 3  // others who are asked to ping
-	retransmitMult   = 3  // a claim is sent so many times the logarithm of the fleet
-	suspicionMult    = 5  // of periods, times the fleet's decimal logarithm, that a suspect has at least
-	maxSuspicionMult = 4  // and so many times that if nobody else suspects it
-	maxConfirmations = 3  // others whose suspicion shortens it to the least
-	maxHealthScore   = 8  // periods and time-outs of a node that is slow itself grow up to so many times and one
-	syncPeriods      = 10 // periods between digests to those present,
-	reconnectPeriods = 5  // and to those gone
-	isolationPeriods = 3  // periods without a datagram from anybody
-	maxSyncBuckets   = 3  // of a view that differ and are sent at once
-	maxRelays        = 64 // pings for others at once
-	leaveFanout      = 8  // members that hear of a leave from the node itself
+	indirectProbes   = 3  // members asked to ping a member that does not answer
+	retransmitMult   = 3  // a claim is sent this many times the binary logarithm of the fleet's size
+	suspicionMult    = 5  // least suspicion timeout in periods, per decimal logarithm of the fleet's size
+	maxSuspicionMult = 4  // the timeout without confirmations is this many times the least one
+	maxConfirmations = 3  // confirmations by other members that shorten the timeout to the least one
+	maxHealthScore   = 8  // a node that is slow itself lengthens its periods and timeouts by up to this factor plus one
+	syncPeriods      = 10 // periods between digests to a present member
+	reconnectPeriods = 5  // periods between digests to a member that is gone
+	isolationPeriods = 3  // periods without any datagram before a node doubts its own connection
+	maxSyncBuckets   = 3  // differing buckets sent at once
+	maxRelays        = 64 // pings for others in progress at once
+	leaveFanout      = 8  // members that a leaving node tells directly
 )
 
-// member is what is held of one.
+// member is what a node knows of a member.
 type member struct {
 	id                ID
 	state             State
 	incarnation       uint32
 	reason            Reason
 	stateSince        time.Duration
-	lastHeard         time.Duration // the last datagram from it; 0 for never
-	suspicionDeadline time.Duration // of a suspicion
+	lastHeard         time.Duration // last datagram from it; 0 for never
+	suspicionDeadline time.Duration // end of a suspicion
 	suspectedBy       []ID
-	transmissions     int  // times that the claim about it has been sent; -1 when it is not being sent any more
-	lowPriority       bool // the claim changes nothing about who is present
+	transmissions     int  // times that the claim about it has been sent; -1 if it is not being sent
+	lowPriority       bool // the claim does not change who is present
 }
 
-// Reason tells why a member is held for what it is.
+// Reason says why a member is in its state.
 type Reason string
 
 // The reasons.
 const (
-	ReasonListed           Reason = "listed, not heard of yet"
-	ReasonHeard            Reason = "it spoke"
-	ReasonGossip           Reason = "others say so"
-	ReasonNoAck            Reason = "it does not answer"
-	ReasonSuspicionExpired Reason = "it was suspected and did not speak up"
-	ReasonLeft             Reason = "it said so"
+	ReasonListed           Reason = "listed, not heard from yet"
+	ReasonHeard            Reason = "it sent a datagram"
+	ReasonGossip           Reason = "reported by other members"
+	ReasonNoAck            Reason = "it does not answer pings"
+	ReasonSuspicionExpired Reason = "it was suspected and did not refute that in time"
+	ReasonLeft             Reason = "it announced that it leaves"
 )
 
 // Datagram is to be sent to a member.
@@ -79,23 +80,23 @@
 	Payload []byte
 }
 
-// Change is news of a member that is gone or is back.
+// Change is a member that is gone, or present again.
 type Change struct {
 	Member int
 	Gone   bool
 }
 
-// Counts are what a core counts.
+// Counts are the counters of a Core.
 type Counts struct {
-	Rejected     int64 // datagrams that could not be read, or came from or told of nobody known
+	Rejected     int64 // datagrams that are malformed, or that come from or name an unknown member
 	Probes       int64
-	FailedProbes int64 // that were not answered
-	Refutations  int64 // claims about this node that were wrong
-	Suspicions   int64 // suspicions raised here
-	Deaths       int64 // that ran out here
+	FailedProbes int64 // probes without an answer
+	Refutations  int64 // wrong claims about this node that it refuted
+	Suspicions   int64 // suspicions raised by this node
+	Deaths       int64 // suspicions that expired on this node
 }
 
-// Core is the membership as one node sees it.
+// Core is the membership protocol of one node.
 type Core struct {
 	cfg         Config
 	rng         *rand.Rand
@@ -103,41 +104,41 @@
 	members     []member
 	index       map[ID]int
 	leaving     bool
-	healthScore int // 0 is good
+	healthScore int // 0 is healthy
 	seq         uint16
-	probeOrder  []int // of pings
+	probeOrder  []int // members still to be pinged in this round
 	probe       probe
-	nextProbeAt time.Duration // of the next
+	nextProbeAt time.Duration // when the next period starts
 	periods     int
 	relays      []relay
-	wakeAt      time.Duration // the wake that was asked for
+	wakeAt      time.Duration // the time returned by WakeAt
 	gossipQueue []int         // members whose claims are being sent
 	outgoing    []Datagram
 	changes     []Change
-	agreedAt    time.Duration // when another had the same view; 0 never
-	lastHeard   time.Duration // the last datagram from anybody
+	agreedAt    time.Duration // when another member last had the same view; 0 for never
+	lastHeard   time.Duration // last datagram from any member
 	Counts      Counts
 }
 
-// probe is the ping that is out.
+// probe is the ping in progress.
 type probe struct {
 	target             int // -1 for none
 	seq                uint16
-	indirectAt, failAt time.Duration // when others are asked, and when it has failed
+	indirectAt, failAt time.Duration // when others are asked to ping the target, and when the probe has failed
 	indirectSent       bool
 	nacksExpected      int
 	nacksReceived      int
 }
 
-// relay is a ping for another.
+// relay is a ping on behalf of another member.
 type relay struct {
 	from, target int
 	fromSeq, seq uint16
-	nackAt       time.Duration // 0 once it is sent
+	nackAt       time.Duration // 0 once the nack is sent
 	expiresAt    time.Duration
 }
 
-// New makes a core. All members are held for present until they are found silent.
+// New returns a Core. All members count as present until they are found silent.
 func New(cfg Config, now time.Duration) *Core {
 	c := &Core{
 		cfg: cfg, now: now, rng: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Self))), index: map[ID]int{},
@@ -155,23 +156,23 @@
 	return c
 }
 
-// scaled is a time that grows when this node is slow itself.
+// scaled lengthens a duration while this node is slow itself.
 func (c *Core) scaled(d time.Duration) time.Duration { return d * time.Duration(1+c.healthScore) }
 
 func (c *Core) improveHealth() { c.healthScore = max(c.healthScore-1, 0) }
 func (c *Core) degradeHealth() { c.healthScore = min(c.healthScore+1, maxHealthScore) }
 
-// Incarnation is the node's own, to be kept for its next start.
+// Incarnation returns the node's own incarnation, to be stored for its next start.
 func (c *Core) Incarnation() uint32 { return c.members[c.cfg.Self].incarnation }
 
-// Take returns what is to be sent and what has changed since it was last called.
+// Take returns the datagrams to send and the changes since the last call.
 func (c *Core) Take() ([]Datagram, []Change) {
 	out, changes := c.outgoing, c.changes
 	c.outgoing, c.changes = nil, nil
 	return out, changes
 }
 
-// Wake is when Tick is to be called next.
+// WakeAt returns when Tick is to be called next.
 func (c *Core) WakeAt() time.Duration {
 	at := c.nextProbeAt
 	if c.probe.target >= 0 {
@@ -191,16 +192,17 @@
 			at = min(at, m.suspicionDeadline)
 		}
 	}
-	// A suspicion that others have shortened may have run out before they said so. That is not this node's delay.
+	// A suspicion that other members have confirmed may have expired before their confirmation arrived. That is not a
+	// delay of this node.
 	c.wakeAt = max(at, c.now)
 	return c.wakeAt
 }
 
-// Tick does what is due. The datagrams that have come have to be handed in first.
+// Tick does what is due. Datagrams that have arrived must be passed to Receive first.
 func (c *Core) Tick(now time.Duration) {
 	c.now = now
 	if late := now - c.wakeAt; late > c.cfg.PingInterval/2 {
-		// The node was not running: what it waited for may have come, and nobody had time to speak up.
+		// The process was not running: answers may have arrived meanwhile, and no suspect had time to refute.
 		c.degradeHealth()
 		c.probe.indirectAt, c.probe.failAt = c.probe.indirectAt+late, c.probe.failAt+late
 		for i := range c.members {
@@ -225,7 +227,7 @@
 	}
 }
 
-// probed follows the ping that is out.
+// checkProbe advances the probe in progress.
 func (c *Core) checkProbe() {
 	p := &c.probe
 	if p.target < 0 {
@@ -242,8 +244,9 @@
 		return
 	}
 	c.Counts.FailedProbes++
-	// Those who were asked say at least that they heard nothing. If they and everybody else are silent, it may be this
-	// node that does not hear. Not if it hears others: then many have died at once, and it must not slow down now.
+	// The members that were asked send at least a nack. If they and everyone else are silent, the fault may be this
+	// node's connection. If other datagrams still arrive, many members have died at once, and this node must not slow
+	// down.
 	m := &c.members[p.target]
 	if p.nacksReceived < max(p.nacksExpected, 1) && m.state == Alive && c.now-c.lastHeard > c.scaled(isolationPeriods*c.cfg.PingInterval) {
 		c.degradeHealth()
@@ -257,7 +260,7 @@
 	}
 }
 
-// period pings the next member, and now and then compares views.
+// startPeriod pings the next member, and now and then sends a digest.
 func (c *Core) startPeriod() {
 	c.nextProbeAt = c.now + c.scaled(c.cfg.PingInterval)
 	c.periods++
@@ -272,7 +275,7 @@
 		}
 	}
 	if c.probe.target >= 0 {
-		return // the last one, with longer time-outs, is still out
+		return // the last probe, lengthened by the health score, is still in progress
 	}
 	i := c.nextTarget()
 	if i < 0 {
@@ -280,15 +283,15 @@
 	}
 	c.Counts.Probes++
 	c.seq++
-	// The whole wait fits into a period.
+	// The whole probe fits into a period.
 	c.probe = probe{
 		target: i, seq: c.seq, indirectAt: c.now + c.scaled(c.cfg.AckTimeout), failAt: c.now + c.scaled(c.cfg.PingInterval)*9/10,
 	}
 	c.send(i, message{kind: kindPing, seq: c.seq})
 }
 
-// nextTarget goes round all that are present, in an order that is drawn anew each time. A suspect that enough others
-// suspect too is left to speak up.
+// nextTarget returns the next member to ping, or -1. Each round goes through all present members in a new random
+// order. A suspect with enough confirmations is skipped: it has to refute by itself.
 func (c *Core) nextTarget() int {
 	for range 2 {
 		for len(c.probeOrder) > 0 {
@@ -308,7 +311,7 @@
 	return -1
 }
 
-// pick draws members for which fit holds.
+// randomMembers draws up to count members that match.
 func (c *Core) randomMembers(count int, match func(int) bool) (out []int) {
 	var all []int
 	for i := range c.members {
@@ -324,12 +327,12 @@
 	return out
 }
 
-// some draws members that are present, other than one.
+// randomAlive draws up to count members that are alive, other than except.
 func (c *Core) randomAlive(count, except int) []int {
 	return c.randomMembers(count, func(i int) bool { return i != except && c.members[i].state == Alive })
 }
 
-// relayed ends the pings for others.
+// checkRelays sends nacks that are due and drops pings for others that have expired.
 func (c *Core) checkRelays() {
 	c.relays = slices.DeleteFunc(c.relays, func(r relay) bool { return c.now >= r.expiresAt })
 	for i := range c.relays {
@@ -340,7 +343,7 @@
 	}
 }
 
-// Receive takes a datagram that came from a member's address.
+// Receive processes a datagram that came from a member's address.
 func (c *Core) Receive(now time.Duration, from int, payload []byte) {
 	c.now = now
 	m, ok := decode(payload)
@@ -380,10 +383,10 @@
 	}
 }
 
-// acked takes an answer to a ping of this node, or to one for another.
+// handleAck processes the answer to a ping of this node, or to a ping for another member.
 func (c *Core) handleAck(from int, seq uint16) {
 	if c.probe.target >= 0 && c.probe.seq == seq {
-		// From the target, or from one that was asked and has heard it.
+		// From the target itself, or from a relay that got the target's answer.
 		c.probe.target = -1
 		c.improveHealth()
 		return
@@ -394,7 +397,7 @@
 	}
 }
 
-// pingFor pings a member for another.
+// relayPing pings a member on behalf of another one.
 func (c *Core) relayPing(from int, m message) {
 	target, ok := c.index[m.target]
 	if !ok || target == c.cfg.Self || len(c.relays) >= maxRelays {
@@ -408,8 +411,8 @@
 	c.send(target, message{kind: kindPing, seq: c.seq})
 }
 
-// heardClaim takes what somebody says of a member. What is merged from a view was not seen just now: who is held for
-// present has time to speak up before it is taken for dead.
+// handleClaim processes a claim about a member. A claim that was merged from a view is not a fresh observation: a
+// member that is held as present is only suspected, so that it has time to refute, before it is taken for dead.
 func (c *Core) handleClaim(cl claim, merged bool) {
 	i, ok := c.index[cl.id]
 	if !ok {
@@ -435,13 +438,13 @@
 	}
 }
 
-// heardOfSelf refutes what is wrong about this node.
+// handleSelfClaim refutes a wrong claim about this node.
 func (c *Core) handleSelfClaim(cl claim) {
 	self := &c.members[c.cfg.Self]
 	if cl.incarnation < self.incarnation || (cl.state == Alive && cl.incarnation == self.incarnation) || c.leaving {
 		return
 	}
-	// A later one that is alive is its own, from before a start without its folder.
+	// A higher incarnation with state alive is this node's own, from before it lost its state directory.
 	if self.incarnation = min(cl.incarnation+1, maxIncarnation); cl.state != Alive {
 		c.Counts.Refutations++
 		if cl.state == Suspect {
@@ -451,7 +454,7 @@
 	c.enqueueClaim(c.cfg.Self, false)
 }
 
-// accuse takes a suspicion, a new one or one more of the same.
+// handleSuspicion processes a new suspicion, or a confirmation of a known one.
 func (c *Core) handleSuspicion(i int, cl claim, reason Reason) {
 	m := &c.members[i]
 	if m.state == Suspect && m.incarnation == cl.incarnation {
@@ -471,7 +474,7 @@
 	m.suspicionDeadline = m.stateSince + c.suspicionTimeout(0)
 }
 
-// suspicion is how long a suspect has, when so many others suspect it as well.
+// suspicionTimeout returns how long a suspect has to refute, by the number of confirmations from other members.
 func (c *Core) suspicionTimeout(confirmations int) time.Duration {
 	present := 0
 	for i := range c.members {
@@ -481,14 +484,14 @@
 	}
 	least := suspicionMult * max(1, math.Log10(float64(present))) * float64(c.cfg.PingInterval)
 	most := maxSuspicionMult * least
-	share := 1.0 // where nobody else could confirm it
+	share := 1.0 // no other member could confirm it
 	if most := min(maxConfirmations, present-2); most > 0 {
 		share = min(1, math.Log(float64(confirmations)+1)/math.Log(float64(most)+1))
 	}
 	return time.Duration(max(least, most-share*(most-least)))
 }
 
-// hold takes a claim for what holds of a member from now on, and passes it on.
+// setState takes over a claim as the state of a member and queues it for sending.
 func (c *Core) setState(i int, cl claim, reason Reason) {
 	m := &c.members[i]
 	wasGone, lowPriority := m.state.Gone(), m.state == Alive && cl.state == Alive
@@ -505,7 +508,7 @@
 	c.enqueueClaim(i, lowPriority)
 }
 
-// spread sends the claim about a member with what goes out, from the start.
+// enqueueClaim starts sending the claim about a member with the outgoing datagrams.
 func (c *Core) enqueueClaim(i int, lowPriority bool) {
 	if c.members[i].transmissions < 0 {
 		c.gossipQueue = append(c.gossipQueue, i)
@@ -513,7 +516,7 @@
 	c.members[i].transmissions, c.members[i].lowPriority = 0, lowPriority
 }
 
-// claimOf is what this node says of a member.
+// claimOf returns this node's claim about a member.
 func (c *Core) claimOf(i int) claim {
 	m := &c.members[i]
 	cl := claim{id: m.id, state: m.state, incarnation: m.incarnation}
@@ -523,9 +526,9 @@
 	return cl
 }
 
-// send sends a message with as many claims as fit: first what is held of the receiver, if it should speak up, then
-// those that change who is present, and of each kind those that were sent least. When a whole fleet starts, all have
-// a new incarnation to tell, and that must not hold up news of the dead.
+// send queues a message with as many claims as fit: first the one about the receiver, if it has to refute it, then
+// those that change who is present before the others, each group ordered by the fewest transmissions. When a whole
+// fleet starts, every member has a new incarnation to announce, and that must not delay claims about dead members.
 func (c *Core) send(to int, m message) {
 	m.incarnation = c.Incarnation()
 	b := m.header()
@@ -564,7 +567,7 @@
 	return 0
 }
 
-// Leave tells that the node is about to go. It answers others, but takes no part any more.
+// Leave announces that the node is leaving. It still answers pings but no longer probes others.
 func (c *Core) Leave(now time.Duration) {
 	if c.now = now; c.leaving {
 		return
@@ -579,7 +582,7 @@
 	}
 }
 
-// Return takes a leave back.
+// Rejoin undoes a Leave.
 func (c *Core) Rejoin(now time.Duration) {
 	if c.now = now; !c.leaving {
 		return
--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// A view is compared by the digests of its buckets, and only buckets that differ are sent. A digest tells who is
-// present, and under which incarnation; whether somebody is suspected just now is no difference.
+// Views are compared by the digests of their buckets, and only buckets that differ are sent. A digest covers who is
+// present and under which incarnation; a current suspicion makes no difference.
 
 func (c *Core) bucketOf(id ID) int { return int(mixBits(uint64(id)) % buckets) }
 
-// spreadBits mixes a number's bits.
+// mixBits hashes a number.
 func mixBits(x uint64) uint64 {
 	for range 2 {
 		x = (x ^ x>>31 ^ 0x9e3779b97f4a7c15) * 0xbf58476d1ce4e5b9
@@ -15,8 +15,8 @@
 	return x ^ x>>29
 }
 
-// digests are the sums over each bucket's members, whose order does not matter. One that only this node's list names,
-// and of which nothing was ever heard, does not count.
+// digests returns the sum over each bucket's members, which does not depend on their order. A member that is only on
+// this node's list, and of which nothing was ever heard, does not count.
 func (c *Core) digests() (out [buckets]uint32) {
 	for i := range c.members {
 		m := &c.members[i]
@@ -37,7 +37,7 @@
 	c.send(to, message{kind: kindDigest, seq: c.seq, digest: c.digests()})
 }
 
-// compare answers a digest: with some of the buckets that differ, or with a word that none does.
+// handleDigest answers a digest with some of the buckets that differ, or with a message that none does.
 func (c *Core) handleDigest(from int, m message) {
 	own := c.digests()
 	var differing []int
@@ -57,7 +57,7 @@
 	}
 }
 
-// sendEntries sends what this node holds of a bucket's members; what does not fit goes another time.
+// sendEntries sends this node's claims about a bucket's members. Those that do not fit are left for a later digest.
 func (c *Core) sendEntries(to, bucket int, wantReply bool) {
 	b := message{kind: kindEntries, seq: c.seq, incarnation: c.Incarnation(), bucket: uint8(bucket), wantReply: wantReply}.header()
 	first := c.rng.IntN(len(c.members))
@@ -69,7 +69,7 @@
 		}
 		cl := claim{id: m.id, state: m.state, incarnation: m.incarnation}
 		if cl.state == Suspect {
-			cl.state = Alive // the suspicion goes its own way
+			cl.state = Alive // suspicions spread by themselves
 		}
 		var fits bool
 		if b, fits = appendClaim(b, cl); !fits {
@@ -79,17 +79,17 @@
 	c.outgoing = append(c.outgoing, Datagram{to, b})
 }
 
-// Seen is a member as this node sees it.
+// MemberStatus is a member as this node sees it.
 type MemberStatus struct {
 	Member      int
 	State       State
 	Reason      Reason
 	Incarnation uint32
-	Since       time.Duration // when it came to be so
-	LastHeard   time.Duration // when it last spoke here; 0 for never
+	Since       time.Duration // when it entered its state
+	LastHeard   time.Duration // last datagram from it; 0 for never
 }
 
-// View is what this node sees, by the members' order.
+// View returns the status of all members, in the order of Config.Members.
 func (c *Core) View() []MemberStatus {
 	out := make([]MemberStatus, len(c.members))
 	for i := range c.members {
@@ -99,10 +99,12 @@
 	return out
 }
 
-// Agreed is when another member had the same view; never is 0. Health is 0 unless this node is slow itself.
+// Health returns when another member last had the same view, 0 for never, and this node's health score, which is 0
+// unless the node is slow itself.
 func (c *Core) Health() (at time.Duration, health int) { return c.agreedAt, c.healthScore }
 
-// Present counts those who are not gone, this node too.
+// MemberCounts returns the number of members that are present, this node included, and how many of these are
+// suspects.
 func (c *Core) MemberCounts() (present, suspect int) {
 	for i := range c.members {
 		if !c.members[i].state.Gone() {
--- a/internal/membership/sim_test.go
+++ b/internal/membership/sim_test.go
@@ -15,34 +15,34 @@
 	testTimeout = 200 * time.Millisecond
 )
 
-// fleet steps many cores in module time over a network that loses, repeats, delays and overtakes.
+// fleet simulates many cores in virtual time, over a network that loses, duplicates, delays and reorders datagrams.
 type fleet struct {
 	t                 testing.TB
 	rng               *rand.Rand
 	now               time.Duration
 	ids               []ID
-	cores             []*Core // nil while down
+	cores             []*Core // nil while the node is down
 	savedIncarnations []uint32
 	events            events
 	lossRate          float64
 	duplicateRate     float64
-	delayRate         float64                 // share of the datagrams that come up to ten periods late
-	blocked           func(from, to int) bool // nil for none
-	pausedUntil       []time.Duration         // a core does nothing before this
+	delayRate         float64                 // share of the datagrams that arrive up to ten periods late
+	blocked           func(from, to int) bool // nil blocks nothing
+	pausedUntil       []time.Duration         // a core is stopped before this time
 	sent              []int
 	bytes             []int
-	falselyDead       map[int]bool          // members that were held for dead while they ran
-	goneAt            map[int]time.Duration // when a member was first held for gone
+	falselyDead       map[int]bool          // members that were declared dead while they ran
+	goneAt            map[int]time.Duration // when a member was first declared gone
 	eventSeq          int
 }
 
 type event struct {
 	at      time.Duration
-	seq     int // order among those of the same time
+	seq     int // order of events at the same time
 	node    int
 	from    int // -1 for a tick
 	payload []byte
-	core    *Core // that a tick is for
+	core    *Core // the core to tick
 }
 
 type events []event
@@ -78,7 +78,7 @@
 	}
 }
 
-// start brings a node up, with what its folder has.
+// start starts a node with the incarnation in its state directory.
 func (f *fleet) start(i int) {
 	f.savedIncarnations[i]++
 	f.startAs(f.config(i, f.savedIncarnations[i]))
@@ -109,14 +109,14 @@
 	heap.Push(&f.events, e)
 }
 
-// after sends what a core has said and asks for its next tick.
+// flush sends what a core has queued and schedules its next tick.
 func (f *fleet) flush(i int) {
 	c := f.cores[i]
 	out, changes := c.Take()
 	f.savedIncarnations[i] = max(f.savedIncarnations[i], c.Incarnation())
 	for _, d := range out {
 		if len(d.Payload) > 256 {
-			f.t.Fatalf("a datagram of %d bytes", len(d.Payload))
+			f.t.Fatalf("a datagram has %d bytes", len(d.Payload))
 		}
 		f.sent[i]++
 		f.bytes[i] += len(d.Payload)
@@ -151,7 +151,7 @@
 	return time.Duration(rng.Int64N(int64(d)))
 }
 
-// run lets so much time pass.
+// run advances the simulation by a duration.
 func (f *fleet) run(d time.Duration) {
 	end := f.now + d
 	for len(f.events) > 0 && f.events[0].at <= end {
@@ -162,7 +162,7 @@
 			continue
 		}
 		if p := f.pausedUntil[e.node]; f.now < p {
-			// The socket keeps what comes; ticks come after it.
+			// The socket buffers datagrams meanwhile; the tick comes after them.
 			e.at = p
 			if e.from < 0 {
 				e.at += time.Microsecond
@@ -172,7 +172,7 @@
 		}
 		if e.from < 0 {
 			if e.core != c || f.now < c.wakeAt {
-				continue // of a core before this one, or overtaken by an earlier wake
+				continue // a tick of an earlier core, or replaced by an earlier one
 			}
 			c.Tick(f.now)
 		} else {
@@ -183,7 +183,7 @@
 	f.now = end
 }
 
-// agree tells whether all that run see the same nodes present: those that run and have not left.
+// viewsAgree reports whether all running nodes hold exactly those nodes as present that run and have not left.
 func (f *fleet) viewsAgree() bool {
 	for i, c := range f.cores {
 		if c == nil || c.leaving {
@@ -198,20 +198,21 @@
 	return true
 }
 
-// until runs until all agree, and tells how long that took.
+// untilAgreement runs until all views agree, and returns how long that took.
 func (f *fleet) untilAgreement(most time.Duration) time.Duration {
 	f.t.Helper()
 	began := f.now
 	for !f.viewsAgree() {
 		if f.now-began > most {
-			f.t.Fatalf("no agreement after %v", most)
+			f.t.Fatalf("views do not agree after %v", most)
 		}
 		f.run(100 * time.Millisecond)
 	}
 	return f.now - began
 }
 
-// finding plays deaths in fleets of a size, and tells when the first held the dead for gone, and when all did.
+// measureDetection kills a node in fleets of the given size, and returns when the first node held it as gone, and
+// when all did.
 func measureDetection(t testing.TB, size int, seeds uint64) (first, all []time.Duration) {
 	for seed := range seeds {
 		f := newFleet(t, size, seed).startAll()
@@ -222,7 +223,7 @@
 		f.untilAgreement(2 * time.Minute)
 		first, all = append(first, f.goneAt[victim]-at), append(all, f.now-at)
 		if len(f.falselyDead) > 0 {
-			t.Errorf("%d nodes, seed %d: %v are held for dead and run", size, seed, f.falselyDead)
+			t.Errorf("%d nodes, seed %d: %v are declared dead but run", size, seed, f.falselyDead)
 		}
 	}
 	slices.Sort(first)
@@ -233,7 +234,7 @@
 func TestDeadMembersAreDetected(t *testing.T) {
 	for _, size := range []int{2, 10, 100} {
 		first, all := measureDetection(t, size, 3)
-		t.Logf("%4d nodes: found after %v to %v, known to all after %v to %v, periods of %v",
+		t.Logf("%4d nodes: detected after %v to %v, known to all after %v to %v, ping interval %v",
 			size, first[0], first[2], all[0], all[2], testPeriod)
 		if all[2] > 20*testPeriod {
 			t.Errorf("%d nodes: known to all after %v", size, all[2])
@@ -241,7 +242,7 @@
 	}
 }
 
-// traffic is what a node of a fleet sends a second, with none lost and none dead.
+// traffic returns what a node of a fleet sends per second while nothing is lost and nobody is dead.
 func traffic(t testing.TB, size int) (datagrams, bytes float64) {
 	f := newFleet(t, size, 1).startAll()
 	f.run(30 * time.Second)
@@ -254,18 +255,18 @@
 	return datagrams / float64(size) / 30, bytes / float64(size) / 30
 }
 
-// What a node sends does not grow with the fleet.
+// What a node sends must not grow with the fleet.
 func TestTrafficIsIndependentOfFleetSize(t *testing.T) {
 	small, _ := traffic(t, 10)
 	large, bytes := traffic(t, 300)
-	t.Logf("a second and node: 10 nodes %.2f datagrams, 300 nodes %.2f of %.0f bytes together", small, large, bytes)
+	t.Logf("per node and second: 10 nodes %.2f datagrams, 300 nodes %.2f datagrams with %.0f bytes", small, large, bytes)
 	if large > 1.5*small || bytes > 3*256 {
 		t.Errorf("300 nodes: %.2f datagrams, %.0f bytes; 10 nodes: %.2f datagrams", large, bytes, small)
 	}
 }
 
-// BenchmarkFleet tells, by the fleet's size, how long a death takes to be found and to be known to all, in periods, and
-// what a node sends. It runs each once: go test -bench Fleet -benchtime 1x.
+// BenchmarkFleet measures, by the size of the fleet, how long it takes until a death is detected and until it is
+// known to all, in periods, and what a node sends. Run each size once: go test -bench Fleet -benchtime 1x.
 func BenchmarkFleet(b *testing.B) {
 	for _, size := range []int{10, 30, 100, 300, 1000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -296,14 +297,14 @@
 				suspects += c.Counts.Suspicions
 			}
 		}
-		t.Logf("%.0f%% lost, 3 times %d nodes for two minutes: %d held for dead, %d suspicions", 100*lost, size, wrong, suspects)
+		t.Logf("%.0f%% lost, 3 times %d nodes for two minutes: %d declared dead, %d suspicions", 100*lost, size, wrong, suspects)
 		if wrong > 0 {
-			t.Errorf("%.0f%% lost: %d nodes are held for dead and run", 100*lost, wrong)
+			t.Errorf("%.0f%% lost: %d nodes are declared dead but run", 100*lost, wrong)
 		}
 	}
 }
 
-// A part that is cut off knows only itself, and all know all soon after it is back.
+// A partition sees only its own members, and after it has healed all nodes soon see each other again.
 func TestPartitionsMerge(t *testing.T) {
 	for seed := range uint64(3) {
 		f := newFleet(t, 60, seed).startAll()
@@ -314,28 +315,28 @@
 		for i, c := range f.cores {
 			for k, m := range c.members {
 				if m.state.Gone() != (zone(i) != zone(k)) {
-					t.Fatalf("seed %d: %d holds %d for %v while they are cut off", seed, i, k, m.state)
+					t.Fatalf("seed %d: node %d holds node %d as %v during the partition", seed, i, k, m.state)
 				}
 			}
 		}
 		f.blocked = nil
 		took := f.untilAgreement(time.Minute)
-		t.Logf("seed %d: together after %v", seed, took)
+		t.Logf("seed %d: merged after %v", seed, took)
 		f.run(30 * time.Second)
 		if !f.viewsAgree() {
-			t.Errorf("seed %d: they part again", seed)
+			t.Errorf("seed %d: the views differ again", seed)
 		}
 	}
 }
 
-// A node that hears but is not heard by some is reached by way of others, and stays.
+// A node whose datagrams do not reach some others is reached through relays, and must not be declared dead.
 func TestOneWayLossCausesNoFalseDeath(t *testing.T) {
 	f := newFleet(t, 30, 1).startAll()
 	f.run(5 * time.Second)
 	f.blocked = func(from, to int) bool { return from == 3 && to%4 == 0 }
 	f.run(2 * time.Minute)
 	if len(f.falselyDead) > 0 {
-		t.Errorf("%v are held for dead", f.falselyDead)
+		t.Errorf("%v are declared dead", f.falselyDead)
 	}
 }
 
@@ -352,12 +353,12 @@
 		f.kill(dead...)
 		t.Logf("seed %d: known to all after %v", seed, f.untilAgreement(3*time.Minute))
 		if len(f.falselyDead) > 0 {
-			t.Errorf("seed %d: %v are held for dead and run", seed, f.falselyDead)
+			t.Errorf("seed %d: %v are declared dead but run", seed, f.falselyDead)
 		}
 		for _, i := range dead {
 			f.start(i)
 		}
-		t.Logf("seed %d: back for all after %v", seed, f.untilAgreement(time.Minute))
+		t.Logf("seed %d: all present again after %v", seed, f.untilAgreement(time.Minute))
 	}
 }
 
@@ -371,11 +372,12 @@
 	}
 	f.run(10 * time.Second)
 	if len(f.falselyDead) > 0 || !f.viewsAgree() {
-		t.Errorf("%v are held for dead and run; agreed %v", f.falselyDead, f.viewsAgree())
+		t.Errorf("%v are declared dead but run; views agree: %v", f.falselyDead, f.viewsAgree())
 	}
 }
 
-// Without its folder a node begins with an incarnation that the others have long seen; they tell it.
+// Without its state directory, a node starts with an incarnation that the others have long seen. They must tell it,
+// so that it can raise its own.
 func TestLostIncarnationIsRecovered(t *testing.T) {
 	for _, dead := range []bool{false, true} {
 		f := newFleet(t, 20, 1).startAll()
@@ -392,7 +394,7 @@
 		f.untilAgreement(time.Minute)
 		f.run(40 * time.Second)
 		if got := f.cores[4].Incarnation(); got <= 10 || !f.viewsAgree() {
-			t.Errorf("dead %v: incarnation %d, agreed %v", dead, got, f.viewsAgree())
+			t.Errorf("dead %v: incarnation %d, views agree: %v", dead, got, f.viewsAgree())
 		}
 	}
 }
@@ -409,7 +411,7 @@
 	}
 	for i, c := range f.cores {
 		if m := c.members[5]; i != 5 && (m.state != Left || m.reason != ReasonLeft) {
-			t.Fatalf("%d holds it for %v: %s", i, m.state, m.reason)
+			t.Fatalf("node %d holds it as %v: %s", i, m.state, m.reason)
 		}
 	}
 	f.run(20 * time.Second)
@@ -418,7 +420,7 @@
 	f.untilAgreement(time.Minute)
 }
 
-// The node that sleeps is suspected; it does not suspect the others, and is not dead.
+// A node that stalls is suspected but must not be declared dead, and must hardly suspect the others.
 func TestSlowNodeRaisesFewSuspicions(t *testing.T) {
 	for seed := range uint64(20) {
 		f := newFleet(t, 50, seed).startAll()
@@ -428,7 +430,7 @@
 			f.run(5 * time.Second)
 		}
 		if len(f.falselyDead) > 0 {
-			t.Errorf("seed %d: %v are held for dead and run", seed, f.falselyDead)
+			t.Errorf("seed %d: %v are declared dead but run", seed, f.falselyDead)
 		}
 		var others int64
 		for i, c := range f.cores {
@@ -437,7 +439,7 @@
 			}
 		}
 		if own := f.cores[7].Counts.Suspicions; own > 3 || others == 0 {
-			t.Errorf("seed %d: the slow node suspects %d times, the others %d times", seed, own, others)
+			t.Errorf("seed %d: the slow node raised %d suspicions, the others %d", seed, own, others)
 		}
 	}
 }
@@ -451,13 +453,13 @@
 		f.run(randDuration(f.rng, 5*time.Second))
 	}
 	f.untilAgreement(time.Minute)
-	delete(f.falselyDead, 2) // news of its death may come after its return
+	delete(f.falselyDead, 2) // its death may be announced after its return
 	if len(f.falselyDead) > 0 {
-		t.Errorf("%v are held for dead", f.falselyDead)
+		t.Errorf("%v are declared dead", f.falselyDead)
 	}
 }
 
-// Nodes whose lists have another order, or lack some, still mean the same by what they say.
+// Nodes whose member lists have another order, or lack some members, must still agree on who is meant.
 func TestDifferentMemberLists(t *testing.T) {
 	f := newFleet(t, 20, 1)
 	f.startAll()
@@ -473,7 +475,7 @@
 		}
 		for k, m := range c.members {
 			if m.state.Gone() != (k == 3) {
-				t.Errorf("%d holds %d for %v", i, k, m.state)
+				t.Errorf("node %d holds node %d as %v", i, k, m.state)
 			}
 		}
 	}
@@ -487,7 +489,7 @@
 	f.run(time.Minute)
 	for i, c := range f.cores {
 		if at, _ := c.Health(); f.now-at > 40*time.Second {
-			t.Errorf("%d agreed with another %v ago", i, f.now-at)
+			t.Errorf("node %d last agreed with another %v ago", i, f.now-at)
 		}
 	}
 	if present, suspect := f.cores[0].MemberCounts(); present != 100 || suspect != 0 {
@@ -512,7 +514,7 @@
 		return text
 	}
 	if play() != play() {
-		t.Error("two plays differ")
+		t.Error("two runs differ")
 	}
 }
 
@@ -522,16 +524,16 @@
 	good := message{kind: kindPing, seq: 1}.header()
 	dead, _ := appendClaim(slices.Clone(good), claim{id: f.ids[2], state: Dead, incarnation: 1})
 	for name, text := range map[string][]byte{
-		"empty":             {},
-		"a note of another": []byte("a..........."),
-		"another version":   append([]byte{Magic, 2}, good[2:]...),
-		"no kind":           append([]byte{Magic, version, 0}, good[3:]...),
-		"unknown kind":      append([]byte{Magic, version, byte(kindCount)}, good[3:]...),
-		"cut":               dead[:len(dead)-2],
-		"too long":          append(slices.Clone(dead), make([]byte, 300)...),
-		"unknown state":     append(slices.Clone(good), 0, 0, 0, 1, 9, 1),
-		"huge incarnation":  append(slices.Clone(good), 0, 0, 0, 1, 2, 0xff, 0xff, 0xff, 0xff, 0x7f),
-		"no such bucket":    append(message{kind: kindEntries}.header()[:6], 0xff),
+		"empty":                         {},
+		"a datagram of another package": []byte("a..........."),
+		"another version":               append([]byte{Magic, 2}, good[2:]...),
+		"no kind":                       append([]byte{Magic, version, 0}, good[3:]...),
+		"unknown kind":                  append([]byte{Magic, version, byte(kindCount)}, good[3:]...),
+		"cut":                           dead[:len(dead)-2],
+		"too long":                      append(slices.Clone(dead), make([]byte, 300)...),
+		"unknown state":                 append(slices.Clone(good), 0, 0, 0, 1, 9, 1),
+		"huge incarnation":              append(slices.Clone(good), 0, 0, 0, 1, 2, 0xff, 0xff, 0xff, 0xff, 0x7f),
+		"no such bucket":                append(message{kind: kindEntries}.header()[:6], 0xff),
 	} {
 		before := c.Counts.Rejected
 		c.Receive(f.now, 1, text)
@@ -543,14 +545,14 @@
 		c.Receive(f.now, from, dead)
 	}
 	if c.members[2].state != Alive {
-		t.Errorf("a bad datagram is believed: %v", c.members[2].state)
+		t.Errorf("an invalid datagram changed the state to %v", c.members[2].state)
 	}
 	if out, _ := c.Take(); len(out) > 0 {
-		t.Errorf("%d answers to bad datagrams", len(out))
+		t.Errorf("%d answers to invalid datagrams", len(out))
 	}
 	c.Receive(f.now, 1, dead)
 	if c.members[2].state != Dead {
-		t.Errorf("a good one is not: %v", c.members[2].state)
+		t.Errorf("a valid datagram left the state at %v", c.members[2].state)
 	}
 }
 
@@ -573,12 +575,12 @@
 			}
 		}
 		if c.members[0].state != Alive {
-			t.Error("the own state is taken from others")
+			t.Error("the node took its own state from others")
 		}
 	})
 }
 
-// Datagrams that come many periods late, twice and out of order, say nothing that holds any more.
+// Datagrams that arrive many periods late, duplicated and out of order must not change what is known since.
 func TestDelayedDatagramsAreOutdated(t *testing.T) {
 	for seed := range uint64(2) {
 		f := newFleet(t, 40, seed)
@@ -593,13 +595,13 @@
 			f.run(10 * time.Second)
 		}
 		f.delayRate = 0
-		f.run(40 * time.Second) // what is on the way comes
+		f.run(40 * time.Second) // datagrams in flight arrive
 		if !f.viewsAgree() {
-			t.Errorf("seed %d: they do not agree", seed)
+			t.Errorf("seed %d: the views do not agree", seed)
 		}
 		for i, c := range f.cores {
 			if c.Incarnation() > 40 {
-				t.Errorf("seed %d: %d had to refute until incarnation %d", seed, i, c.Incarnation())
+				t.Errorf("seed %d: node %d had to refute up to incarnation %d", seed, i, c.Incarnation())
 			}
 		}
 	}
