--- a/internal/staleness/detector.go
+++ b/internal/staleness/detector.go
@@ -1,9 +1,12 @@
-// Package straggler tells a node that the rest of its fleet acts on a later list than it does: nodes tell each other by
-// small datagrams which revision they act on, and one that can't follow within a bound is shut out until it can. Core is
-// deterministic: it is handed datagrams, the time and a seed, and hands back datagrams and what is to be done.
+// Package staleness tells a node that the rest of its fleet acts on a later list than it does. Nodes exchange small
+// datagrams with the list revision that they act on, and a node that cannot catch up within a bound is fenced: it
+// begins nothing new until it has. Detector is deterministic: it takes datagrams, the time and a seed, and returns
+// datagrams and what is to be done.
 //
-// What it costs does not hang on the fleet's size: one datagram a period, two more for each change of the list, and
-// answers to those that are behind.
+// In logs and metrics, a fenced node is called shut out.
+//
+// The traffic per node does not depend on the fleet's size: one datagram per gossip interval, two more for each
+// change of the list, and answers to nodes that are behind.
 package staleness
 
 import (
@@ -14,38 +17,41 @@
 	"time"
 )
 
-// Config is what a core is told at its start.
+// Config configures a Detector.
 type Config struct {
-	Self           int // of Fleet
-	FleetSize      int // nodes, this one too
+	Self           int // index of this node in the fleet
+	FleetSize      int // number of nodes, including this one
 	Seed           uint64
-	GossipInterval time.Duration // between words to somebody drawn by chance; 0 for DefaultPeriod
+	GossipInterval time.Duration // between announcements to a random peer; 0 for DefaultGossipInterval
 }
 
-// Bounds, in which a straggler is met.
+// Limits of the detection.
 const (
+	// DefaultGossipInterval is the default of Config.GossipInterval.
 	DefaultGossipInterval = 400 * time.Millisecond
-	// AskAfter is how long others have to be ahead before another server is asked, and up to an eighth more, so that not all
-	// ask in one moment. A server that is merely half a second slow has told by then.
+	// ServerQueryAfter is how long other nodes must be ahead before another list server is asked. Up to an eighth
+	// more is added at random, so that not all nodes ask at the same moment. A server that is only half a second slow
+	// has sent the list by then.
 	ServerQueryAfter = 600 * time.Millisecond
-	// Bound is how long a node may be behind, as it knows, before it is shut out.
+	// FenceAfter is how long a node may know that it is behind before it is fenced.
 	FenceAfter = 700 * time.Millisecond
-	// AskAgain is how often another server is asked meanwhile.
+	// ServerQueryInterval is how often another list server is asked while the node is behind.
 	ServerQueryInterval = time.Second
-	// fresh is how long a word counts. A node that is alone goes on: an outage stops nothing.
+	// observationTTL is how long a peer's revision counts. A node that hears from nobody goes on: an outage stops no
+	// node.
 	observationTTL = 3 * time.Second
-	// witnesses have to say that they act on a later list, or all others where there are fewer. So no single one that is
-	// wrong, or lies, shuts anybody out.
+	// minConfirmations is how many peers must act on a later list, or all of them in a smaller fleet. So a single
+	// peer that is wrong, or lies, cannot get a node fenced.
 	minConfirmations       = 2
 	maxSilenceQueryBackoff = 400 * time.Millisecond
-	changeFanout           = 2                     // that hear of a change at once
-	queryFanout            = 3                     // that are asked to bear witness
-	minQueryBackoff        = 50 * time.Millisecond // until they are asked again, doubled each time: datagrams get lost
-	maxUnfenceJitter       = time.Second           // those that were shut out come back within so long of each other
-	unfenceJitterAfter     = 2 * time.Second       // of being shut out; who was for less comes back at once
+	changeFanout           = 2                     // peers told of a change at once
+	queryFanout            = 3                     // peers queried for confirmation
+	minQueryBackoff        = 50 * time.Millisecond // before peers are queried again, doubled each time: datagrams get lost
+	maxUnfenceJitter       = time.Second           // nodes that were fenced resume at random times within this span
+	unfenceJitterAfter     = 2 * time.Second       // a node that was fenced for less resumes at once
 )
 
-// Magic begins a word; no note of package choice and no datagram of membership does.
+// Magic is the first byte of a datagram. No datagram of the choice and membership packages starts with it.
 const Magic = 'V'
 
 const (
@@ -56,9 +62,9 @@
 type kind uint8
 
 const (
-	kindAnnounce kind = iota + 1 // answered where the receiver knows of a later list
-	kindQuery                    // answered in any case
-	kindReply                    // not answered
+	kindAnnounce kind = iota + 1 // answered by a peer that knows of a later list
+	kindQuery                    // always answered
+	kindReply                    // never answered
 	kindCount
 )
 
@@ -80,39 +86,39 @@
 	return k, revision, k > 0 && k < kindCount && revision >= 0
 }
 
-// word is what another node has said.
+// observation is the revision that a peer has reported.
 type observation struct {
 	peer     int
 	revision int64
 	seenAt   time.Duration
 }
 
-// Core is one node's view of who is ahead.
+// Detector is one node's view of which peers are ahead of it.
 //
-// Invariants: it is shut out only while enough others have said of late that they act on a later list, or a floor is set
-// that it does not reach; it keeps one word of each node that is ahead, and none of others.
+// Invariants: the node is fenced only while enough peers have recently reported a later list, or while its revision
+// is below the floor; the detector keeps one observation of each peer that is ahead, and none of others.
 type Detector struct {
 	cfg                 Config
 	rng                 *rand.Rand
 	revision            int64
 	floor               int64
-	peersAhead          []observation // by node
+	peersAhead          []observation // at most one per peer
 	announceAt          time.Duration
-	queryAt             time.Duration // when others are to be asked to bear witness; 0 while nobody is ahead
+	queryAt             time.Duration // when peers are queried for confirmation; 0 while nobody is ahead
 	queryBackoff        time.Duration
-	silenceQueryAt      time.Duration // when others are asked since the own list server is silent; 0 while it is heard
-	silenceQueryBackoff time.Duration // pause
-	behindSince         time.Duration // since; -1 for not
-	serverQueryAt       time.Duration // when another server is to be asked
+	silenceQueryAt      time.Duration // when peers are queried because the list server is silent; 0 while it is heard
+	silenceQueryBackoff time.Duration // delay until the next such query
+	behindSince         time.Duration // -1 if not behind
+	serverQueryAt       time.Duration // when another list server is asked
 	fenced              bool
 	fencedSince         time.Duration
 	unfenceAt           time.Duration // 0 while it has not caught up
 	outgoing            []Datagram
-	Malformed           int64 // datagrams that could not be read
-	FenceCount          int64 // times that it was shut out
+	Malformed           int64 // datagrams that could not be decoded
+	FenceCount          int64 // times that the node was fenced
 }
 
-// New makes a core that acts on a revision.
+// New returns the Detector of a node that acts on a revision.
 func New(cfg Config, now time.Duration, revision int64) *Detector {
 	if cfg.GossipInterval == 0 {
 		cfg.GossipInterval = DefaultGossipInterval
@@ -122,7 +128,7 @@
 	return d
 }
 
-// others draws other nodes.
+// randomPeers draws up to count other nodes.
 func (d *Detector) randomPeers(count int) (out []int) {
 	count = min(count, d.cfg.FleetSize-1)
 	for len(out) < count {
@@ -139,7 +145,7 @@
 	}
 }
 
-// Listed notes the revision that the node acts on from now on.
+// SetRevision records the revision that the node acts on from now on.
 func (d *Detector) SetRevision(now time.Duration, revision int64) {
 	if revision == d.revision {
 		return
@@ -149,7 +155,8 @@
 	d.send(kindAnnounce, d.randomPeers(changeFanout)...)
 }
 
-// Doubt notes whether the list server is silent: then others are asked at once, and again with growing pauses.
+// SetServerSilent records whether the list server is silent. If so, peers are queried at once, and again with a
+// growing delay.
 func (d *Detector) SetServerSilent(now time.Duration, silent bool) {
 	switch {
 	case !silent:
@@ -159,10 +166,10 @@
 	}
 }
 
-// Floor notes the least revision that the list service asks of all; 0 for none.
+// SetFloor sets the minimum revision that the list service requires of all nodes; 0 for none.
 func (d *Detector) SetFloor(revision int64) { d.floor = revision }
 
-// Receive takes a datagram of another node.
+// Receive processes a datagram from another node.
 func (d *Detector) Receive(now time.Duration, from int, payload []byte) {
 	k, revision, ok := decode(payload)
 	if !ok || from < 0 || from >= d.cfg.FleetSize || from == d.cfg.Self {
@@ -179,7 +186,7 @@
 	}
 }
 
-// verify asks others to bear witness while only one says that it is ahead.
+// requestConfirmation queries peers while too few of them report a later revision.
 func (d *Detector) requestConfirmation(now time.Duration) {
 	switch {
 	case len(d.peersAhead) == 0:
@@ -190,7 +197,7 @@
 	}
 }
 
-// witnessed is the latest revision that enough others say they act on; 0 for none that is later than the own.
+// confirmedRevision returns the latest revision that enough peers act on; 0 if none is later than the node's own.
 func (d *Detector) confirmedRevision() int64 {
 	need := min(minConfirmations, d.cfg.FleetSize-1)
 	if need == 0 || len(d.peersAhead) < need {
@@ -204,14 +211,14 @@
 	return revisions[need-1]
 }
 
-// News is what a step has brought.
+// StepResult is the outcome of a Step.
 type StepResult struct {
-	FenceChanged  bool  // whether the node is shut out
-	QueryServer   bool  // another list server than the one that is followed
-	NewerRevision int64 // the revision that others act on, where that is later
+	FenceChanged  bool  // the node was fenced or unfenced
+	QueryServer   bool  // another list server than the current one is to be asked
+	NewerRevision int64 // the revision that others act on, or the floor, if it is later than the node's own; else 0
 }
 
-// Step does what is due, after the datagrams that have come were handed in.
+// Step does what is due. Datagrams that have arrived must be passed to Receive first.
 func (d *Detector) Step(now time.Duration) (result StepResult) {
 	d.peersAhead = slices.DeleteFunc(d.peersAhead, func(w observation) bool { return now-w.seenAt > observationTTL })
 	d.requestConfirmation(now)
@@ -224,7 +231,7 @@
 		d.send(kindAnnounce, d.randomPeers(1)...)
 	}
 	result.NewerRevision = max(d.confirmedRevision(), d.floor)
-	if result.NewerRevision <= d.revision || d.revision == 0 { // who has no list yet waits for one in its turn
+	if result.NewerRevision <= d.revision || d.revision == 0 { // a node without a list waits for its first one
 		result.NewerRevision, d.behindSince = 0, -1
 		return d.unfence(now, result)
 	}
@@ -242,8 +249,8 @@
 	return result
 }
 
-// back lets a node in again that has caught up, or that nobody says is behind any more. Many do so at once when what kept
-// them is mended, so each that was out for long waits for some part of backMost.
+// unfence lifts the fence of a node that has caught up, or that nobody reports as behind any more. Many nodes catch
+// up at once when the cause is fixed, so each that was fenced for long waits for a random part of maxUnfenceJitter.
 func (d *Detector) unfence(now time.Duration, result StepResult) StepResult {
 	if !d.fenced {
 		return result
@@ -259,20 +266,20 @@
 	return result
 }
 
-// Out tells whether the node is shut out: it begins nothing new on what it knows.
+// Fenced reports whether the node is fenced: it must not begin anything new.
 func (d *Detector) Fenced() bool { return d.fenced }
 
-// Behind tells since when the node knows that it is behind.
+// Behind returns since when the node has known that it is behind; ok is false if it is not.
 func (d *Detector) Behind() (since time.Duration, ok bool) { return d.behindSince, d.behindSince >= 0 }
 
-// Take returns what is to be sent since it was last called.
+// Take returns the datagrams to send since the last call.
 func (d *Detector) Take() []Datagram {
 	out := d.outgoing
 	d.outgoing = nil
 	return out
 }
 
-// Wake is when Step has to be called next.
+// WakeAt returns when Step is to be called next.
 func (d *Detector) WakeAt() time.Duration {
 	at := d.announceAt
 	if d.behindSince >= 0 {
@@ -293,7 +300,7 @@
 		at = min(at, d.queryAt)
 	}
 	if d.behindSince >= 0 && (max(d.confirmedRevision(), d.floor) <= d.revision || d.revision == 0) {
-		at = 0 // it has caught up, and Step decides about the way back
+		at = 0 // it has caught up: Step decides when to unfence
 	}
 	return at
 }
--- a/internal/staleness/detector_test.go
+++ b/internal/staleness/detector_test.go
@@ -13,7 +13,7 @@
 	stepInterval = 10 * ms
 )
 
-// fleet is nodes in virtual time between which datagrams are lost and late.
+// fleet simulates nodes in virtual time, with datagrams that are lost and delayed.
 type fleet struct {
 	nodes         []*Detector
 	rng           *rand.Rand
@@ -21,10 +21,10 @@
 	lossRate      float64
 	maxDelay      time.Duration
 	inFlight      []inFlightDatagram
-	fencedAt      []time.Duration // since when each is shut out; -1 for not
-	serverQueries []int           // other servers
+	fencedAt      []time.Duration // when each node was last fenced; -1 if it is not
+	serverQueries []int           // times that each node asked another list server
 	sentCount     int
-	reachable     func(from, to int) bool // nil for all
+	reachable     func(from, to int) bool // nil if all are reachable
 }
 
 type inFlightDatagram struct {
@@ -42,7 +42,7 @@
 	return f
 }
 
-// run goes on until a moment.
+// run advances the simulation to a time.
 func (f *fleet) run(until time.Duration) {
 	for ; f.now < until; f.now += stepInterval {
 		rest := f.inFlight[:0]
@@ -80,7 +80,7 @@
 	}
 }
 
-// list brings a revision to nodes within a time, each at its own moment.
+// publish gives nodes a revision within a time span, each at a random moment.
 func (f *fleet) publish(revision int64, from, to int, within time.Duration) {
 	begin := f.now
 	at := map[int]time.Duration{}
@@ -107,8 +107,9 @@
 	return n
 }
 
-// Whoever a change does not reach is shut out before the grace of a second and half a second more are over, as long as two
-// others know of it or its only fellow does; nobody else is, ever; and all are back soon after they have the list, spread.
+// A node that a change does not reach must be fenced before the grace of one second and another half second have
+// passed, as long as two others know of the change, or its only peer does. No other node is ever fenced. After the
+// list has arrived everywhere, all nodes resume soon, spread over time.
 func TestOnlyStaleNodesAreFenced(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{2, 3, 10, 50, 300}).Draw(t, "nodes")
@@ -116,16 +117,16 @@
 		f.lossRate, f.maxDelay = rapid.SampledFrom([]float64{0, 0.1}).Draw(t, "lost"), rapid.SampledFrom([]time.Duration{0, 30 * ms}).Draw(t, "late")
 		behind := max(n*rapid.IntRange(0, 50).Draw(t, "behind%")/100, 1)
 		f.run(2 * time.Second)
-		f.publish(11, behind, n, 200*ms) // the first ones are cut off
+		f.publish(11, behind, n, 200*ms) // the first nodes are cut off
 		f.run(2800 * ms)
-		for _, c := range f.nodes[:behind] { // three beats of a quarter of a second are missing
+		for _, c := range f.nodes[:behind] { // three heartbeats, one per 250 ms, are missing
 			c.SetServerSilent(f.now, true)
 		}
 		f.run(3700 * ms)
 		notFenced := 0
 		for i, c := range f.nodes {
 			if i >= behind && c.FenceCount > 0 {
-				t.Fatalf("node %d of %d has the list and is shut out", i, n)
+				t.Fatalf("node %d of %d has the list but is fenced", i, n)
 			}
 			if i < behind && !c.Fenced() {
 				notFenced++
@@ -135,11 +136,11 @@
 			}
 		}
 		if notFenced > behind/20 && (f.lossRate == 0 || n > 10) {
-			t.Fatalf("%d of %d that are behind are not shut out after 1.5 s, of a fleet of %d", notFenced, behind, n)
+			t.Fatalf("%d of %d nodes that are behind are not fenced after 1.5 s, in a fleet of %d", notFenced, behind, n)
 		}
 		f.run(5 * time.Second)
 		if out := f.fencedCount(); out != behind {
-			t.Fatalf("%d of %d that are behind are shut out after 3 s", out, behind)
+			t.Fatalf("%d of %d nodes that are behind are fenced after 3 s", out, behind)
 		}
 		for _, c := range f.nodes[:behind] {
 			c.SetServerSilent(f.now, false)
@@ -148,16 +149,17 @@
 		most := f.fencedCount()
 		f.run(f.now + 500*ms)
 		if left := f.fencedCount(); most >= 50 && (left < most/5 || left > most*4/5) {
-			t.Fatalf("%d of %d are shut out half a second after all have the list", left, most)
+			t.Fatalf("%d of %d nodes are fenced half a second after all have the list", left, most)
 		}
 		f.run(f.now + maxUnfenceJitter)
 		if left := f.fencedCount(); left > 0 {
-			t.Fatalf("%d are shut out long after", left)
+			t.Fatalf("%d nodes are still fenced", left)
 		}
 	})
 }
 
-// A server that is half a second slow keeps a third of the fleet behind for so long: nobody asks another, nobody is shut out.
+// A server that is half a second slow keeps a third of the fleet behind for that long. No node may ask another server
+// or be fenced for it.
 func TestSlowServerCausesNoFencing(t *testing.T) {
 	f := newFleet(300, 3)
 	f.run(2 * time.Second)
@@ -167,41 +169,41 @@
 	f.run(5 * time.Second)
 	for i, c := range f.nodes {
 		if c.FenceCount > 0 || f.serverQueries[i] > 0 {
-			t.Fatalf("node %d: shut out %d times, asked %d other servers", i, c.FenceCount, f.serverQueries[i])
+			t.Fatalf("node %d: fenced %d times, %d queries to other servers", i, c.FenceCount, f.serverQueries[i])
 		}
 	}
 }
 
-// Where nobody knows of a change nobody is shut out, a single one that says otherwise moves nobody, and who is shut out and
-// then alone goes on: an outage stops nothing.
+// While nobody knows of a change, nobody is fenced; a single node that claims a later list fences nobody; and a
+// fenced node that then hears from nobody resumes. So an outage stops no node.
 func TestOutageAndSingleLiarFenceNobody(t *testing.T) {
 	f := newFleet(20, 1)
 	f.run(2 * time.Second)
-	f.nodes[0].SetRevision(f.now, 1<<60) // a liar
+	f.nodes[0].SetRevision(f.now, 1<<60) // claims a revision that does not exist
 	f.run(60 * time.Second)
 	if f.fencedCount() > 0 {
-		t.Errorf("%d are shut out for what one says", f.fencedCount())
+		t.Errorf("%d nodes are fenced because of a single peer", f.fencedCount())
 	}
 	f = newFleet(20, 2)
 	f.publish(11, 5, 20, 100*ms)
 	f.run(2 * time.Second)
 	if f.fencedCount() != 5 {
-		t.Fatalf("%d are shut out", f.fencedCount())
+		t.Fatalf("%d nodes are fenced, want 5", f.fencedCount())
 	}
 	f.reachable = func(from, to int) bool { return from >= 5 && to >= 5 }
 	f.run(f.now + observationTTL + maxUnfenceJitter + time.Second)
 	if f.fencedCount() > 0 {
-		t.Errorf("%d are shut out though they hear nobody", f.fencedCount())
+		t.Errorf("%d nodes are fenced though they hear from nobody", f.fencedCount())
 	}
 }
 
-// Who has no list yet is no straggler: it begins, in its turn.
+// A node that is starting and has no list yet must not be fenced.
 func TestStartingNodeIsNotFenced(t *testing.T) {
 	f := newFleet(10, 4)
 	f.nodes[3] = New(Config{Self: 3, FleetSize: 10}, 0, 0)
 	f.run(5 * time.Second)
 	if f.fencedCount() > 0 || f.serverQueries[3] > 0 {
-		t.Errorf("%d are shut out, %d asks", f.fencedCount(), f.serverQueries[3])
+		t.Errorf("%d nodes are fenced, %d queries", f.fencedCount(), f.serverQueries[3])
 	}
 }
 
@@ -210,16 +212,16 @@
 	f.nodes[1].SetFloor(12)
 	f.run(2 * time.Second)
 	if !f.nodes[1].Fenced() || f.fencedCount() != 1 {
-		t.Errorf("%d are shut out", f.fencedCount())
+		t.Errorf("%d nodes are fenced", f.fencedCount())
 	}
 	f.nodes[1].SetFloor(0)
 	f.run(4 * time.Second)
 	if f.fencedCount() != 0 {
-		t.Errorf("%d are shut out after the floor is gone", f.fencedCount())
+		t.Errorf("%d nodes are fenced after the floor was removed", f.fencedCount())
 	}
 }
 
-// What it costs a node does not hang on the fleet's size.
+// The traffic per node must not depend on the fleet's size.
 func TestTrafficPerNodeIsIndependentOfFleetSize(t *testing.T) {
 	for _, n := range []int{10, 300, 10_000} {
 		f := newFleet(n, 1)
@@ -229,9 +231,9 @@
 		f.publish(11, 0, n, 200*ms)
 		f.run(f.now + time.Second)
 		change := float64(f.sentCount)/float64(n) - 1.2*rest
-		t.Logf("%d nodes: %.1f datagrams a node and second at rest, %.1f more for a change", n, rest, change)
+		t.Logf("%d nodes: %.1f datagrams per node and second at rest, %.1f more for a change", n, rest, change)
 		if rest > 3 || change > 12 {
-			t.Errorf("%d nodes: %.1f datagrams a node and second at rest, %.1f for a change", n, rest, change)
+			t.Errorf("%d nodes: %.1f datagrams per node and second at rest, %.1f for a change", n, rest, change)
 		}
 	}
 }
