--- a/internal/rollout/reporter.go
+++ b/internal/rollout/reporter.go
@@ -6,24 +6,25 @@
 )
 
 const (
-	minReportInterval = time.Second      // between claims of one node
-	reportSpread      = 2 * time.Second  // within which the fleet tells of a change
-	maxRetryDelay     = 30 * time.Second // between tries at servers that don't take a claim
+	minReportInterval = time.Second      // between reports of one node
+	reportSpread      = 2 * time.Second  // the nodes of a fleet report a change within this span
+	maxRetryDelay     = 30 * time.Second // between attempts while no server accepts the report
 )
 
-// Teller is when a node tells what it acts on: soon after a change, and once in TellEvery. A change that all apply at once
-// is told spread over two seconds, and many changes in that time are told as one. So what a node costs does not hang on
-// the fleet's size, nor on how often the list changes.
+// Reporter decides when a node reports what it acts on: soon after a change, and once per ReportInterval. A change
+// that all nodes apply at once is reported over two seconds, and several changes in that time are reported together.
+// So a node's cost depends neither on the fleet's size nor on how often the list changes.
 type Reporter struct {
 	rng        *rand.Rand
 	report     Report
 	dirty      bool
-	inFlight   bool // a claim is on its way
+	inFlight   bool // a report is being sent
 	dueAt      time.Duration
-	retryDelay time.Duration // between tries
+	retryDelay time.Duration // before the next attempt
 }
 
-// NewTeller begins at a moment with what holds then. Its incarnation must rise with each process of the node.
+// NewReporter returns a Reporter that starts with the given state. The incarnation must rise with each process of the
+// node.
 func NewReporter(now time.Duration, report Report, rng *rand.Rand) *Reporter {
 	r := &Reporter{rng: rng, report: report, dirty: true}
 	r.dueAt = now + r.jitter(reportSpread)
@@ -34,7 +35,7 @@
 	return time.Duration(r.rng.Float64() * float64(d))
 }
 
-// Update notes what the node acts on now, whether it is ready, and whether it is shut out.
+// Update records the revision that the node acts on, whether it is ready, and whether it is fenced.
 func (r *Reporter) Update(now time.Duration, revision int64, ready, fenced bool, lagReason string) {
 	if r.report.Revision == revision && r.report.Ready == ready && r.report.Fenced == fenced {
 		return
@@ -49,7 +50,7 @@
 	}
 }
 
-// Wake is when Next has to be asked; 0 while a claim is on its way.
+// WakeAt returns when Next is to be called; 0 while a report is being sent.
 func (r *Reporter) WakeAt() time.Duration {
 	if r.inFlight {
 		return 0
@@ -57,7 +58,7 @@
 	return r.dueAt
 }
 
-// Next is the claim that is due, if one is. Its end comes by Done.
+// Next returns the report that is due, if any. The caller sends it and then calls Done.
 func (r *Reporter) Next(now time.Duration) (Report, bool) {
 	if r.inFlight || now < r.dueAt {
 		return Report{}, false
@@ -67,7 +68,7 @@
 	return r.report, true
 }
 
-// Done notes whether a server has taken the claim.
+// Done records whether a server has accepted the report.
 func (r *Reporter) Done(now time.Duration, accepted bool) {
 	r.inFlight = false
 	if !accepted {
@@ -77,7 +78,7 @@
 		return
 	}
 	r.retryDelay = 0
-	if r.dirty { // something has changed meanwhile
+	if r.dirty { // the state has changed meanwhile
 		r.dueAt = now + minReportInterval
 		return
 	}
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -18,7 +18,8 @@
 	return Report{Name: name, Incarnation: incarnation, Seq: seq, Revision: revision, Build: "b", Config: "c", Ready: true}
 }
 
-// A change goes through a fleet: who has it, who is behind and since when, and how long it took.
+// The table follows a revision through the fleet: which nodes have it, which are behind and since when, and how long
+// it took.
 func TestTableTracksRevisionThroughFleet(t *testing.T) {
 	x := NewTable()
 	x.Advance(0, 10)
@@ -59,47 +60,49 @@
 		c    Report
 		want error
 	}{
-		"a revision not given yet": {newReport("m", 1, 1, 11), ErrInvalid},
-		"no name":                  {newReport("", 1, 1, 1), ErrInvalid},
-		"a long name":              {newReport(strings.Repeat("x", 65), 1, 1, 1), ErrInvalid},
-		"a name with a line end":   {newReport("a\nb", 1, 1, 1), ErrInvalid},
-		"no incarnation":           {newReport("m", 0, 1, 1), ErrInvalid},
-		"no number":                {newReport("m", 1, 0, 1), ErrInvalid},
-		"a revision below zero":    {newReport("m", 1, 1, -1), ErrInvalid},
-		"an earlier incarnation":   {newReport("n", 4, 9, 10), ErrStale},
-		"the same claim again":     {newReport("n", 5, 5, 10), ErrStale},
-		"an earlier claim":         {newReport("n", 5, 4, 10), ErrStale},
+		"a revision that does not exist": {newReport("m", 1, 1, 11), ErrInvalid},
+		"no name":                        {newReport("", 1, 1, 1), ErrInvalid},
+		"a long name":                    {newReport(strings.Repeat("x", 65), 1, 1, 1), ErrInvalid},
+		"a name with a line feed":        {newReport("a\nb", 1, 1, 1), ErrInvalid},
+		"no incarnation":                 {newReport("m", 0, 1, 1), ErrInvalid},
+		"no sequence number":             {newReport("m", 1, 0, 1), ErrInvalid},
+		"a negative revision":            {newReport("m", 1, 1, -1), ErrInvalid},
+		"an earlier incarnation":         {newReport("n", 4, 9, 10), ErrStale},
+		"the same report again":          {newReport("n", 5, 5, 10), ErrStale},
+		"an earlier report":              {newReport("n", 5, 4, 10), ErrStale},
 	} {
 		if err := x.Apply(s, c.c); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 	if x.Rejected != 10 || len(x.Snapshot(s).Nodes) != 1 {
-		t.Errorf("%d refused, %+v", x.Rejected, x.Snapshot(s).Nodes)
+		t.Errorf("%d rejected, %+v", x.Rejected, x.Snapshot(s).Nodes)
 	}
 }
 
-// A flood of names fills the table and no more; a row silent for a day gives way.
+// A flood of new names must not grow the table beyond its limit. A row that has been silent for a day makes room for
+// a new name.
 func TestTableSizeIsBounded(t *testing.T) {
 	x := NewTable()
 	x.Advance(0, 1)
 	for i := range MaxNodes + 100 {
 		if err := x.Apply(0, newReport(fmt.Sprint("n", i), 1, 1, 1)); (err != nil) != (i >= MaxNodes) {
-			t.Fatalf("claim %d: %v", i, err)
+			t.Fatalf("report %d: %v", i, err)
 		}
 	}
 	for r := range int64(3 * maxTrackedRevisions) {
 		x.Advance(s, r+2)
 	}
 	if v := x.Snapshot(s); len(v.Nodes) != MaxNodes || len(v.Revisions) != maxTrackedRevisions {
-		t.Errorf("%d nodes, %d changes", len(v.Nodes), len(v.Revisions))
+		t.Errorf("%d nodes, %d revisions", len(v.Nodes), len(v.Revisions))
 	}
 	if err := x.Apply(2*evictAfter, newReport("late", 1, 1, 1)); err != nil {
 		t.Error(err)
 	}
 }
 
-// What several servers know joins to the same, in whatever order, and the latest claim wins whatever the clocks say.
+// The tables of several servers must merge to the same result in any order, and the latest report must win whatever
+// the clocks say.
 func TestMergeKeepsLatestReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tables := []*Table{NewTable(), NewTable(), NewTable()}
@@ -132,13 +135,13 @@
 	})
 }
 
-// What a fleet's telling costs does not hang on how often the list changes, and a change is known within two seconds and a
-// bit; at rest a node tells once a minute or so.
+// The cost of reporting must not depend on how often the list changes. A change is reported within about two seconds;
+// at rest a node reports about once per minute.
 func TestReportRateIsIndependentOfChangeRate(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		every       time.Duration // between changes
-		least, most float64       // claims of a node in a minute
+		least, most float64       // reports per node and minute
 	}{{"at rest", time.Hour, 0.8, 1.5}, {"a change a second", time.Second, 20, 60}, {"a change in 10 ms", 10 * time.Millisecond, 20, 60}} {
 		rng := rand.New(rand.NewPCG(1, 1))
 		const nodes, minutes = 50, 10
@@ -163,12 +166,12 @@
 			}
 		}
 		if rate := float64(reports) / nodes / minutes; rate < c.least || rate > c.most {
-			t.Errorf("%s: %.1f claims a node and minute", c.name, rate)
+			t.Errorf("%s: %.1f reports per node and minute", c.name, rate)
 		}
 	}
 }
 
-// A claim that nobody takes is made again, with pauses that grow to a bound, and always the newest.
+// A report that no server accepts is sent again, with delays that grow to a limit, and always with the latest state.
 func TestRejectedReportIsRetried(t *testing.T) {
 	x := NewReporter(0, newReport("n", 1, 0, 1), rand.New(rand.NewPCG(1, 1)))
 	tries, last := 0, int64(0)
@@ -183,11 +186,11 @@
 		}
 	}
 	if tries < 8 || tries > 30 {
-		t.Errorf("%d tries in five minutes", tries)
+		t.Errorf("%d attempts in five minutes", tries)
 	}
 }
 
-// BenchmarkTable is what a full table costs: memory a row, and a claim.
+// BenchmarkTable measures a full table: memory per row, and the time of a report.
 func BenchmarkTable(b *testing.B) {
 	var before, after runtime.MemStats
 	runtime.GC()
--- a/internal/rollout/table.go
+++ b/internal/rollout/table.go
@@ -1,6 +1,6 @@
-// Package roster is who of a fleet has applied which version: the claims that nodes make, the table that a list server
-// keeps of them, and when a node makes one. All of it is stepped with explicit time and does no input or output; whoever
-// has a Table or a Teller owns it.
+// Package rollout tracks which node of a fleet has applied which list revision: the reports that nodes send, the
+// table that a list server keeps of them, and when a node reports. Everything takes the time as an argument and does
+// no I/O. A Table or Reporter is not safe for concurrent use.
 package rollout
 
 import (
@@ -12,35 +12,35 @@
 	"time"
 )
 
-// Bounds.
+// Limits.
 const (
-	MaxNodes            = 10_000             // rows of a table; a new name is refused beyond, unless a row is silent for long
-	maxFieldLen         = 64                 // bytes of a name, a build or a digest
-	maxTrackedRevisions = 128                // revisions whose way through the fleet is remembered
-	SilentAfter         = 3 * ReportInterval // a node that has said nothing for so long is silent
-	evictAfter          = 24 * time.Hour     // a silent one gives its row to a new name after this
+	MaxNodes            = 10_000             // rows of a table; beyond it a new name needs an old row to be evicted
+	maxFieldLen         = 64                 // bytes of a name, build or digest
+	maxTrackedRevisions = 128                // revisions whose progress through the fleet is kept
+	SilentAfter         = 3 * ReportInterval // a node that has not reported for this long is silent
+	evictAfter          = 24 * time.Hour     // a node silent for this long may lose its row to a new name
 	ReportInterval      = 60 * time.Second
 )
 
-// Claim is what a node says of itself.
+// Report is what a node reports about itself.
 type Report struct {
 	Name        string `json:"name"`
-	Incarnation int64  `json:"incarnation"` // of its process: a later one began later
-	Seq         int64  `json:"seq"`         // of the claim in that process
-	Revision    int64  `json:"revision"`    // of the list that it acts on
+	Incarnation int64  `json:"incarnation"` // of the node's process; a later process has a higher one
+	Seq         int64  `json:"seq"`         // number of the report within that process
+	Revision    int64  `json:"revision"`    // list revision that the node acts on
 	Build       string `json:"build"`
-	Config      string `json:"config"` // a digest of what counts of its configuration
+	Config      string `json:"config"` // digest of the node's configuration
 	Ready       bool   `json:"ready"`
-	Fenced      bool   `json:"out,omitempty"`  // shut out: it does nothing new
-	AdminAddr   string `json:"door,omitempty"` // of its operators
-	LagReason   string `json:"why,omitempty"`  // it was behind, last
+	Fenced      bool   `json:"out,omitempty"`  // the node begins nothing new, because its list is out of date
+	AdminAddr   string `json:"door,omitempty"` // address of the node's admin API
+	LagReason   string `json:"why,omitempty"`  // why the node's list was last late
 }
 
-// Errors of a claim.
+// Errors of Table.Apply.
 var (
-	ErrInvalid   = errors.New("bad claim")
-	ErrStale     = errors.New("a later claim is known")
-	ErrTableFull = errors.New("the table is full")
+	ErrInvalid   = errors.New("invalid report")
+	ErrStale     = errors.New("a later report is known")
+	ErrTableFull = errors.New("the node table is full")
 )
 
 func (r Report) validate(head int64) error {
@@ -52,35 +52,35 @@
 	}
 	switch {
 	case len(r.LagReason) > 2*maxFieldLen:
-		return fmt.Errorf("%w: why has %d bytes", ErrInvalid, len(r.LagReason))
+		return fmt.Errorf("%w: why is too long: %d bytes", ErrInvalid, len(r.LagReason))
 	case r.Incarnation <= 0 || r.Seq <= 0 || r.Revision < 0:
 		return fmt.Errorf("%w: incarnation %d, seq %d, revision %d", ErrInvalid, r.Incarnation, r.Seq, r.Revision)
 	case r.Revision > head:
-		return fmt.Errorf("%w: revision %d is not given yet, the last is %d", ErrInvalid, r.Revision, head)
+		return fmt.Errorf("%w: revision %d does not exist yet, the latest is %d", ErrInvalid, r.Revision, head)
 	}
 	return nil
 }
 
-// Row is a node as the table knows it. Times are the table's clock.
+// NodeStatus is a node as the table knows it. Times are measured by the table's clock.
 type NodeStatus struct {
 	Report
-	LastReportMS int64 `json:"heard_ms"`            // since it was last heard
-	BehindMS     int64 `json:"behind_ms,omitempty"` // since a revision holds that it does not act on; 0 for none
+	LastReportMS int64 `json:"heard_ms"`            // time since its last report
+	BehindMS     int64 `json:"behind_ms,omitempty"` // time since the list passed the node's revision; 0 if it has not
 	Silent       bool  `json:"silent,omitempty"`
 }
 
-// Change is a revision's way through the fleet.
+// RevisionProgress is the progress of a list revision through the fleet.
 type RevisionProgress struct {
 	Revision int64 `json:"revision"`
 	AgeMS    int64 `json:"ago_ms"`
 	Applied  int   `json:"applied"`
-	Nodes    int   `json:"nodes"`   // that were not silent when it was made
-	HalfMS   int64 `json:"half_ms"` // until half of them had it; -1 for not yet
-	P99MS    int64 `json:"most_ms"` // until 99 of 100 had
-	AllMS    int64 `json:"all_ms"`  // until all had
+	Nodes    int   `json:"nodes"`   // nodes that were not silent when it was published
+	HalfMS   int64 `json:"half_ms"` // time until half of them had applied it; -1 for not yet
+	P99MS    int64 `json:"most_ms"` // time until 99 % had applied it
+	AllMS    int64 `json:"all_ms"`  // time until all had applied it
 }
 
-// View is what a table tells.
+// Snapshot is the content of a table.
 type Snapshot struct {
 	Head      int64              `json:"head"`
 	Nodes     []NodeStatus       `json:"nodes"`
@@ -101,22 +101,23 @@
 
 // Table is what one list server knows of the fleet.
 //
-// Invariants: one row a name, of its latest incarnation and claim; no row claims more than head; changes rise.
+// Invariants: there is one row per name, with its latest incarnation and report; no report has a revision above head;
+// the tracked revisions rise.
 type Table struct {
 	head      int64
 	nodes     map[string]*nodeEntry
 	revisions []trackedRevision
-	Rejected  int64 // claims
+	Rejected  int64 // reports
 	version   int64
 }
 
-// Version is another after each claim that was taken, each row that was dropped and each revision.
+// Version changes with each accepted report, each dropped row and each revision.
 func (t *Table) Version() int64 { return t.version }
 
-// NewTable is empty.
+// NewTable returns an empty table.
 func NewTable() *Table { return &Table{nodes: map[string]*nodeEntry{}} }
 
-// Advance notes that a revision holds.
+// Advance records that the list has reached a revision.
 func (t *Table) Advance(now time.Duration, head int64) {
 	if head <= t.head {
 		return
@@ -133,12 +134,12 @@
 	t.revisions = t.revisions[max(0, len(t.revisions)-maxTrackedRevisions):]
 }
 
-// Take takes a claim.
+// Apply updates the table with a node's report.
 func (t *Table) Apply(now time.Duration, report Report) error {
 	err := report.validate(t.head)
 	old := t.nodes[report.Name]
 	if err == nil && old != nil && (report.Incarnation < old.Incarnation || report.Incarnation == old.Incarnation && report.Seq <= old.Seq) {
-		err = fmt.Errorf("%w: incarnation %d, claim %d", ErrStale, old.Incarnation, old.Seq)
+		err = fmt.Errorf("%w: incarnation %d, report %d", ErrStale, old.Incarnation, old.Seq)
 	}
 	if err == nil && old == nil && len(t.nodes) >= MaxNodes && !t.evictSilent(now) {
 		err = ErrTableFull
@@ -161,7 +162,7 @@
 	return nil
 }
 
-// apply counts one more node that has the change.
+// countNode counts one more node that has applied the revision.
 func (r *trackedRevision) countNode(now time.Duration) {
 	r.applied++
 	reached := func(at *time.Duration, percent int) {
@@ -174,7 +175,7 @@
 	reached(&r.all, 100)
 }
 
-// forget gives up the row that has been silent longest, if that is long enough.
+// evictSilent removes the row that has been silent longest, if it has been silent for evictAfter.
 func (t *Table) evictSilent(now time.Duration) bool {
 	var oldest *nodeEntry
 	for _, r := range t.nodes {
@@ -189,7 +190,7 @@
 	return true
 }
 
-// Drop takes a node out that is gone for good, and tells whether it was there.
+// Drop removes a node that is gone for good, and reports whether it was known.
 func (t *Table) Drop(name string) bool {
 	was := t.nodes[name] != nil
 	t.version++
@@ -197,7 +198,7 @@
 	return was
 }
 
-// View tells everything, nodes by name and changes by revision.
+// Snapshot returns everything that the table knows: nodes by name and revisions in order.
 func (t *Table) Snapshot(now time.Duration) Snapshot {
 	s := Snapshot{Head: t.head, Nodes: make([]NodeStatus, 0, len(t.nodes)), Revisions: make([]RevisionProgress, 0, len(t.revisions))}
 	for _, name := range slices.Sorted(maps.Keys(t.nodes)) {
@@ -223,7 +224,7 @@
 	return d.Milliseconds()
 }
 
-// behind tells since when a node lacks a revision that holds.
+// behindSince returns since when the list has had a revision that the node does not act on.
 func (t *Table) behindSince(r *nodeEntry) (time.Duration, bool) {
 	if r.Revision >= t.head {
 		return 0, false
@@ -235,7 +236,8 @@
 	return t.revisions[i].publishedAt, true
 }
 
-// Counts are the nodes, those behind, those silent, and the oldest revision that one which is not silent acts on.
+// Counts returns the number of nodes, of those behind, of those silent, and the oldest revision that a node which is
+// not silent acts on.
 func (t *Table) Counts(now time.Duration) (nodes, behind, silent int, oldest int64) {
 	oldest = t.head
 	for _, r := range t.nodes {
@@ -251,7 +253,8 @@
 	return nodes, behind, silent, oldest
 }
 
-// Unfit names the nodes that are not silent and don't reach a floor, and says of how many.
+// BelowFloor returns the names of the nodes that do not meet a floor, and the number of nodes checked. Silent nodes
+// are left out.
 func (s Snapshot) BelowFloor(revision int64, build, config string) (below []string, total int) {
 	for _, r := range s.Nodes {
 		if r.Silent {
@@ -264,8 +267,8 @@
 	return below, total
 }
 
-// Merge joins what several servers know: of each node the latest claim, by incarnation and number and not by clocks, and
-// the changes of the server that is furthest.
+// Merge merges the tables of several servers: the latest report of each node, by incarnation and sequence number
+// because clocks differ, and the revisions of the server that is furthest ahead.
 func Merge(snapshots []Snapshot) Snapshot {
 	var out Snapshot
 	latest := map[string]NodeStatus{}
@@ -284,7 +287,7 @@
 		r := latest[name]
 		if r.Revision >= out.Head {
 			r.BehindMS = 0
-		} else if r.BehindMS == 0 { // the server that it told is behind as well
+		} else if r.BehindMS == 0 { // the server that it reported to is behind too
 			r.BehindMS = 1
 			for _, c := range out.Revisions {
 				if c.Revision > r.Revision {
