--- a/internal/auditlog/audit.go
+++ b/internal/auditlog/audit.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Change is something that the list service said of an endpoint, with the clock of the server that decided it.
+// Change is a change of an endpoint's phase by the list service, with the clock of the server that made it.
 type Change struct {
 	Revision int64  `json:"revision"`
 	AtMS     int64  `json:"at_ms"`
@@ -16,14 +16,15 @@
 	Phase    string `json:"phase"`
 }
 
-// History is what a list service remembers of its changes: all after Floor.
+// History is the list service's record of its changes: all after revision Floor.
 type History struct {
 	Floor   int64    `json:"floor"`
 	Head    int64    `json:"head"`
-	Changes []Change `json:"changes"` // revisions rise
+	Changes []Change `json:"changes"` // by rising revision
 }
 
-// Fuller is the one of two servers' histories that knows more: the later list, and of the same the more changes.
+// MoreComplete returns the more complete of two servers' histories: the one with the later head, or with more
+// changes.
 func MoreComplete(a, b History) History {
 	if cmp.Or(cmp.Compare(b.Head, a.Head), cmp.Compare(len(b.Changes), len(a.Changes))) > 0 {
 		return b
@@ -33,41 +34,42 @@
 
 const phaseServing = "SERVING"
 
-// Finding is the calls of one process of a node at an endpoint, by one version of the list, after that endpoint had been
-// withdrawn or drained and the grace was over.
+// Finding is the calls of one process of a node to one endpoint, made by one list revision after that endpoint had
+// been withdrawn or drained and the grace period had passed.
 type Finding struct {
 	Node              string `json:"node"`
 	Incarnation       uint32 `json:"life"`
 	Endpoint          string `json:"endpoint"`
-	Revision          int64  `json:"revision"` // that the calls rest on
-	WithdrawnRevision int64  `json:"gone"`     // the revision that withdrew it
-	LateCalls         int    `json:"calls"`    // surely made, and surely late
-	UnsureCalls       int    `json:"unsure"`   // that may not have been made, or not late
-	LastMS            int64  `json:"last_ms"`  // the last of them, after the withdrawal
-	Reason            string `json:"why"`      // the node's list was late, as it said itself
+	Revision          int64  `json:"revision"` // list revision that the calls were based on
+	WithdrawnRevision int64  `json:"gone"`     // revision that withdrew the endpoint
+	LateCalls         int    `json:"calls"`    // calls that were certainly made and certainly late
+	UnsureCalls       int    `json:"unsure"`   // calls that may not have been made, or not late
+	LastMS            int64  `json:"last_ms"`  // time of the last late call after the withdrawal
+	Reason            string `json:"why"`      // why the node's list was out of date, as the node recorded it
 }
 
-// Unknown is something that the audit can't tell.
+// Unknown is something that the audit cannot determine.
 type Unknown struct {
 	Node        string `json:"node"`
 	Incarnation uint32 `json:"life,omitempty"`
 	Text        string `json:"text"`
 }
 
-// Report is what an audit finds.
+// Report is the result of an audit.
 type Report struct {
 	Findings []Finding `json:"findings"`
 	Unknown  []Unknown `json:"unknown"`
-	Calls    int       `json:"calls"` // on record
+	Calls    int       `json:"calls"` // calls in the logs
 	Nodes    int       `json:"nodes"`
 }
 
-// span is a time in which an endpoint was not to be called, by the service's clock; until is 0 for now.
+// withdrawal is a time in which an endpoint was not to be called, by the service's clock. untilMS is 0 if it has not
+// ended.
 type withdrawal struct {
 	revision, fromMS, untilMS int64
 }
 
-// spans are the times in which each endpoint was out.
+// withdrawals returns the withdrawals of each endpoint, by its ID.
 func (h History) withdrawals() map[string][]withdrawal {
 	out := map[string][]withdrawal{}
 	for _, c := range h.Changes {
@@ -83,40 +85,42 @@
 	return out
 }
 
-// Auditor holds records against a history.
+// Auditor checks audit logs against the list service's history.
 //
-// A call is late if its request was written after the endpoint was withdrawn and the grace had passed, and before it was
-// in the list again. Clocks of nodes need not agree with the service's: each life's own is set against the service's by
-// its exchanges with list servers, of which the shortest counts. What lies within the error of that, and of Slack, is
-// told as unsure.
+// A call is late if its request was written after the endpoint was withdrawn and the grace period had passed, and
+// before the endpoint was serving again. The clocks of nodes may differ from the service's: the offset of each
+// process's clock is taken from its shortest exchange with a list server. A call that is late or not only within the
+// error of that offset, plus Slack, is reported as unsure.
 type Auditor struct {
 	History History
-	Grace   time.Duration // in which calls to an endpoint that is withdrawn are in order
-	Slack   time.Duration // what writing, a relay and the endpoint's own clock may add
-	SinceMS int64         // of the service's clock: earlier calls are left out
+	Grace   time.Duration // time after a withdrawal in which calls to the endpoint are still allowed
+	Slack   time.Duration // delay that writing, a relay and the endpoint's own clock may add
+	SinceMS int64         // by the service's clock; earlier calls are left out
 	report  Report
 }
 
-// Missing notes a node whose record can't be had, and why.
+// AddMissing records a node whose log is not available, and why.
 func (a *Auditor) AddMissing(node, reason string) { a.addUnknown(node, 0, "%s", reason) }
 
-// life is one process's part of a record.
+// processLog is one process's part of a node's log.
 type processLog struct {
 	header      Header
 	calls       []call
-	pending     map[int64]int // index of calls by number
-	clockOffset int64         // the service's clock less the node's
-	clockError  int64         // of it, milliseconds; below 0 for not known
+	pending     map[int64]int // index in calls, by sequence number
+	clockOffset int64         // the service's clock minus the node's, in milliseconds
+	clockError  int64         // largest error of clockOffset, in milliseconds; -1 if the offset is unknown
 	staleNotes  []staleNote
 	lostEntries int
-	lastMS      int64 // moment on record
-	endedMS     int64 // by when the process had ended, 0 for not known
+	lastMS      int64 // time of the last entry
+	endedMS     int64 // time by which the process had ended; 0 if unknown
 }
 
 type call struct {
-	endpoint                  string
-	revision                  int64
-	writtenFrom, writtenUntil int64 // written between, node's clock; until 0 while the process may still write it
+	endpoint string
+	revision int64
+	// writtenFrom and writtenUntil bound when the request was written, by the node's clock. writtenUntil is 0 while it
+	// may still be written.
+	writtenFrom, writtenUntil int64
 	outcome                   Outcome
 }
 
@@ -125,7 +129,7 @@
 	reason string
 }
 
-// Add takes a node's record in. A record that can't be read is told among what is unknown.
+// Add audits a node's log. A log that cannot be read is reported among the unknown.
 func (a *Auditor) Add(node string, raw []byte) {
 	entries, damaged, err := Parse(raw)
 	a.report.Nodes++
@@ -134,7 +138,7 @@
 		return
 	}
 	if damaged > 0 {
-		a.addUnknown(node, 0, "%d lines of its record are cut or flipped", damaged)
+		a.addUnknown(node, 0, "%d entries of its audit log are truncated or corrupt", damaged)
 	}
 	processes := map[uint32]*processLog{}
 	var current *processLog
@@ -142,14 +146,14 @@
 		if e.Header != nil {
 			previous := current
 			if current = processes[e.Header.Incarnation]; current == nil && previous != nil && e.AtMS >= previous.lastMS {
-				previous.endedMS = e.AtMS // a folder has one process at a time
+				previous.endedMS = e.AtMS // a state directory has one process at a time
 			}
 			if current == nil {
 				current = &processLog{header: *e.Header, pending: map[int64]int{}, clockError: -1}
 				processes[e.Header.Incarnation] = current
 			}
 		}
-		if current == nil { // its head was damaged
+		if current == nil { // its header was damaged
 			continue
 		}
 		current.add(e)
@@ -178,7 +182,7 @@
 		delete(p.pending, e.Seq)
 	}
 	if s := entry.ClockSync; s != nil {
-		// The server read its clock between the exchange's beginning and its end.
+		// The server read its clock between the beginning and the end of the exchange.
 		if half := (s.TookMS + 1) / 2; p.clockError < 0 || half < p.clockError {
 			p.clockOffset, p.clockError = s.ServerMS-(s.EndedMS-s.TookMS/2), half
 		}
@@ -188,7 +192,7 @@
 	}
 }
 
-// why is the last trouble up to a moment.
+// staleReasonAt returns the last recorded reason for an out-of-date list up to a time.
 func (p *processLog) staleReasonAt(atMS int64) string {
 	reason := "not told"
 	for _, note := range p.staleNotes {
@@ -203,13 +207,13 @@
 	a.report.Unknown = append(a.report.Unknown, Unknown{node, incarnation, fmt.Sprintf(format, args...)})
 }
 
-// hold looks at every call of a life.
+// auditProcess checks every call of a process.
 func (a *Auditor) auditProcess(p *processLog, withdrawals map[string][]withdrawal) {
 	if p.lostEntries > 0 {
-		a.addUnknown(p.header.Node, p.header.Incarnation, "%d lines could not be written", p.lostEntries)
+		a.addUnknown(p.header.Node, p.header.Incarnation, "%d entries could not be written", p.lostEntries)
 	}
 	if p.clockError < 0 && len(p.calls) > 0 {
-		a.addUnknown(p.header.Node, p.header.Incarnation, "its clock was never set against the service's: %d calls", len(p.calls))
+		a.addUnknown(p.header.Node, p.header.Incarnation, "its clock was never compared with the list service's: %d calls not audited", len(p.calls))
 		return
 	}
 	type key struct {
@@ -242,7 +246,7 @@
 					Node: p.header.Node, Incarnation: p.header.Incarnation, Endpoint: c.endpoint, Revision: c.revision, WithdrawnRevision: w.revision, Reason: p.staleReasonAt(c.writtenFrom),
 				}
 				if c.revision >= w.revision {
-					f.Reason = "it knew"
+					f.Reason = "the node already had the newer list"
 				}
 				found[k] = f
 			}
@@ -256,7 +260,7 @@
 		}
 	}
 	if untraceable > 0 {
-		a.addUnknown(p.header.Node, p.header.Incarnation, "%d calls rest on lists that the service no longer remembers", untraceable)
+		a.addUnknown(p.header.Node, p.header.Incarnation, "%d calls used list revisions that the service no longer remembers", untraceable)
 	}
 	for _, f := range found {
 		a.report.Findings = append(a.report.Findings, *f)
@@ -271,10 +275,11 @@
 	unsure
 )
 
-// judge holds a call against a time in which its endpoint was out, and tells how long after the withdrawal it was made.
+// classify checks a call against a withdrawal of its endpoint. For a late call it also returns how long after the
+// withdrawal it was made.
 func (c call) classify(w withdrawal, offset, grace, slack int64) (verdict, int64) {
 	from, until := c.writtenFrom+offset, c.writtenUntil+offset
-	if c.writtenUntil == 0 { // from its beginning on, nobody knows when it was written, if it was
+	if c.writtenUntil == 0 { // it may have been written at any time since its start, or not at all
 		until = 1 << 62
 	}
 	lateFrom, lateUntil := w.fromMS+grace, int64(1<<62)
@@ -290,7 +295,7 @@
 	return unsure, 0
 }
 
-// Report ends the audit: findings in the order of revisions, then nodes.
+// Report returns the result: findings ordered by the withdrawing revision, then by node.
 func (a *Auditor) Report() Report {
 	slices.SortFunc(a.report.Findings, func(x, y Finding) int {
 		return cmp.Or(cmp.Compare(x.WithdrawnRevision, y.WithdrawnRevision), cmp.Compare(x.Node, y.Node), cmp.Compare(x.Incarnation, y.Incarnation),
--- a/internal/auditlog/auditlog_test.go
+++ b/internal/auditlog/auditlog_test.go
@@ -14,7 +14,7 @@
 	"pgregory.net/rapid"
 )
 
-// clock is a clock that a test moves.
+// fakeClock is a clock that a test sets.
 type fakeClock struct{ at time.Time }
 
 func (c *fakeClock) now() time.Time { return c.at }
@@ -41,8 +41,8 @@
 	return lines, damaged
 }
 
-// What was written is read again after a kill: of a process that never closed its record, with a line torn at its end,
-// and what the next process writes behind that.
+// After a kill the log must be readable: a log that was never closed, with an incomplete entry at its end, and with
+// what the next process writes after it.
 func TestLogSurvivesKill(t *testing.T) {
 	dir, c := t.TempDir(), &fakeClock{time.UnixMilli(1_000_000)}
 	r := openLog(t, dir, 1<<20, 1, c)
@@ -69,15 +69,16 @@
 		lines, damaged := readBack(t, dir)
 		kept := lines[1 : len(lines)-1]
 		if cut <= 1 && (damaged != 0 || !reflect.DeepEqual(kept, want)) || cut > 1 && (damaged != 1 || !reflect.DeepEqual(kept, want[:1])) {
-			t.Fatalf("%d bytes cut: %d damaged, %+v", cut, damaged, kept)
+			t.Fatalf("%d bytes missing: %d damaged, %+v", cut, damaged, kept)
 		}
 		if h := lines[len(lines)-1].Header; h == nil || h.Incarnation != 2 {
-			t.Fatalf("%d bytes cut: the next process's head is %+v", cut, lines[len(lines)-1])
+			t.Fatalf("%d bytes missing: the next process's header is %+v", cut, lines[len(lines)-1])
 		}
 	}
 }
 
-// However much is written, the files stay within their bound, each can be read by itself, and the newest lines stand.
+// However much is written, the files must stay within their limit, each must be readable by itself, and the latest
+// entries must be kept.
 func TestLogSizeIsBounded(t *testing.T) {
 	dir, c := t.TempDir(), &fakeClock{time.Now()}
 	const maxBytes = 32 << 10
@@ -100,29 +101,29 @@
 		size += info.Size()
 	}
 	if size > maxBytes+512 || size < maxBytes/2 {
-		t.Errorf("%d bytes, %d at most", size, maxBytes)
+		t.Errorf("%d bytes, limit %d", size, maxBytes)
 	}
 	r.Close()
 	c.at = c.at.Add(MaxAge + time.Hour)
 	openLog(t, dir, maxBytes, 4, c).Close()
 	if _, err := os.Stat(filepath.Join(dir, PreviousName)); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("the older part is still there: %v", err)
+		t.Errorf("the previous file still exists: %v", err)
 	}
 }
 
-// A line that can't be written is missing, and the next one says so.
+// An entry that can't be written is lost, and the next one must say so.
 func TestFailedWritesAreCounted(t *testing.T) {
 	dir, c := t.TempDir(), &fakeClock{time.Now()}
 	r := openLog(t, dir, 1<<20, 1, c)
 	good := r.file
-	bad, err := os.Open(filepath.Join(dir, CurrentName)) // for reading only
+	bad, err := os.Open(filepath.Join(dir, CurrentName)) // read-only
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.file = bad
 	for range 2 {
 		if r.Write(Entry{StaleReason: "x"}) == nil {
-			t.Fatal("it is written")
+			t.Fatal("the write succeeded")
 		}
 	}
 	bad.Close()
@@ -155,7 +156,7 @@
 	}
 }
 
-// world plays a fleet with clocks hours apart in which endpoints come and go, and keeps the truth.
+// simulation is a fleet with clocks hours apart, in which endpoints come and go, and the calls that are really late.
 type simulation struct {
 	history   History
 	lateCalls map[callKey]int
@@ -171,7 +172,7 @@
 func simulateFleet(rng *rand.Rand, nodes, calls int, grace int64) simulation {
 	w := simulation{lateCalls: map[callKey]int{}, records: map[string][]byte{}}
 	type state struct {
-		gone  int64 // when; 0 for there
+		gone  int64 // when it was withdrawn; 0 if it is serving
 		known bool
 	}
 	endpoints := map[string]*state{}
@@ -215,7 +216,7 @@
 		if rng.IntN(20) > 0 {
 			lines[n] = append(lines[n], Entry{AtMS: at + 5, Ends: []CallEnd{{seq, how, at, 2}}})
 		} else if how = OutcomeUnknown; rng.IntN(2) == 0 {
-			how = OutcomeAnswered // a kill came between
+			how = OutcomeAnswered // the process was killed in between
 		}
 		if gone := endpoints[id].gone; how != OutcomeUnsent && gone != 0 && now > gone+grace {
 			w.lateCalls[callKey{n, id, knownRevision[n]}]++
@@ -229,7 +230,8 @@
 	return w
 }
 
-// Whatever the clocks say, the audit finds no call that was not late, and misses none but what it tells as unsure.
+// Whatever the clocks say, the audit must find no call that was not late, and must miss no late call except those
+// that it reports as unsure.
 func TestAuditMatchesSimulatedCalls(t *testing.T) {
 	const grace, nodes = 1000, 6
 	found, unsure := 0, 0
@@ -253,12 +255,12 @@
 		}
 		for k, n := range w.lateCalls {
 			if g := got[k]; !unknown[k.node] && (g[0] > n || g[0]+g[1] < n) {
-				t.Fatalf("%+v: %d late, the audit has %d and is unsure of %d", k, n, g[0], g[1])
+				t.Fatalf("%+v: %d late calls, the audit found %d and is unsure of %d", k, n, g[0], g[1])
 			}
 		}
 		for k, g := range got {
 			if g[0] > w.lateCalls[k] {
-				t.Fatalf("%+v: %d late, the audit has %d", k, w.lateCalls[k], g[0])
+				t.Fatalf("%+v: %d late calls, the audit found %d", k, w.lateCalls[k], g[0])
 			}
 		}
 	})
@@ -267,7 +269,7 @@
 	}
 }
 
-// FuzzParse: no text panics, and what is read of a spoilt record stands in the good one.
+// FuzzParse checks that no input panics, and that a damaged log never reads as an undamaged one.
 func FuzzParse(f *testing.F) {
 	good, err := Entry{Header: &Header{Format: Format, Node: "n", Incarnation: 1}, AtMS: 5}.appendEncoded(nil)
 	if err != nil {
@@ -284,12 +286,12 @@
 		damagedLog[(at%len(good)+len(good))%len(good)] ^= flip
 		lines, damaged, err := Parse(damagedLog)
 		if err == nil && len(lines) == 2 && damaged == 0 {
-			t.Errorf("a flipped byte is not told: %q", damagedLog)
+			t.Errorf("a flipped byte is not detected: %q", damagedLog)
 		}
 	})
 }
 
-// BenchmarkWrite is what a call costs: a line before it and a line after it.
+// BenchmarkWrite measures the cost of a call: an entry before it and an entry after it.
 func BenchmarkWrite(b *testing.B) {
 	r := openLog(b, b.TempDir(), 1<<20, 1, &fakeClock{time.Now()})
 	defer r.Close()
