--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -125,21 +125,21 @@
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(1, 1000).Draw(t, "rate")
 		g := NewLimiter(rate, 1)
-		now, served, out := time.Duration(0), 0.0, map[uint64]bool{}
+		now, served, issued := time.Duration(0), 0.0, map[uint64]bool{}
 		for range rapid.IntRange(1, 400).Draw(t, "asks") {
 			now += time.Duration(rapid.Int64Range(0, int64(50*time.Millisecond)).Draw(t, "pause"))
-			c := Priority(rapid.IntRange(0, 2).Draw(t, "class"))
-			held := uint64(rapid.IntRange(0, 60).Draw(t, "turn")) // includes reservations that were never given out
-			ok, wait, turn := g.Admit(now, c, held)
+			p := Priority(rapid.IntRange(0, 2).Draw(t, "class"))
+			presented := uint64(rapid.IntRange(0, 60).Draw(t, "turn")) // includes reservations that were never given out
+			ok, wait, reservation := g.Admit(now, p, presented)
 			switch {
 			case ok:
-				served += requestCost[c]
+				served += requestCost[p]
 			case wait < minWait || wait > time.Minute+time.Duration(400/rate*float64(time.Second)):
 				t.Fatalf("deferred by %v", wait)
-			case turn != 0 && turn != held && out[turn]:
-				t.Fatalf("reservation %d is given out twice", turn)
+			case reservation != 0 && reservation != presented && issued[reservation]:
+				t.Fatalf("reservation %d is given out twice", reservation)
 			}
-			out[turn] = true
+			issued[reservation] = true
 			if most := rate*now.Seconds() + g.burst()*(1+renewalBorrowBursts) + 1; served > most {
 				t.Fatalf("%v served after %v, at most %v allowed", served, now, most)
 			}
@@ -185,17 +185,17 @@
 // A wait within its bounds must be obeyed, and one out of range must be replaced by the node's own cycle.
 func TestPacerDelaysStayInBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		turn := NewPacer(rapid.IntRange(-5, 20_000).Draw(t, "fleet"), rapid.IntRange(-5, 20_000).Draw(t, "number"), rand.New(rand.NewPCG(1, 2)))
+		pacer := NewPacer(rapid.IntRange(-5, 20_000).Draw(t, "fleet"), rapid.IntRange(-5, 20_000).Draw(t, "number"), rand.New(rand.NewPCG(1, 2)))
 		wait := time.Duration(rapid.Int64().Draw(t, "wait"))
-		d, ok := turn.RetryAfter(wait)
-		if sense := wait > 0 && wait <= MaxRetryAfter; ok != sense || sense && (d < wait || d > 2*wait) || d <= 0 || d > 2*max(MaxRetryAfter, turn.Cycle()) {
+		d, ok := pacer.RetryAfter(wait)
+		if valid := wait > 0 && wait <= MaxRetryAfter; ok != valid || valid && (d < wait || d > 2*wait) || d <= 0 || d > 2*max(MaxRetryAfter, pacer.Cycle()) {
 			t.Fatalf("RetryAfter(%v) is %v, %v", wait, d, ok)
 		}
-		if first := turn.InitialDelay(); first < 0 || first > turn.Cycle() {
-			t.Fatalf("initial delay %v, cycle %v", first, turn.Cycle())
+		if first := pacer.InitialDelay(); first < 0 || first > pacer.Cycle() {
+			t.Fatalf("initial delay %v, cycle %v", first, pacer.Cycle())
 		}
-		if again := turn.RetryDelay(wait); again <= 0 || again > turn.Cycle()*3/2 {
-			t.Fatalf("retry delay %v, cycle %v", again, turn.Cycle())
+		if retry := pacer.RetryDelay(wait); retry <= 0 || retry > pacer.Cycle()*3/2 {
+			t.Fatalf("retry delay %v, cycle %v", retry, pacer.Cycle())
 		}
 	})
 }
--- a/internal/listwatch/failover_test.go
+++ b/internal/listwatch/failover_test.go
@@ -52,28 +52,28 @@
 }
 
 func TestFailoverActions(t *testing.T) {
-	beats := func(now time.Duration) (bool, bool) { return now%testHeartbeat == 0, false }
+	heartbeats := func(now time.Duration) (bool, bool) { return now%testHeartbeat == 0, false }
 	never := func(time.Duration) (bool, bool) { return false, false }
-	knows := func(now time.Duration) (bool, bool) { return now%testHeartbeat == 0, true }
+	ahead := func(now time.Duration) (bool, bool) { return now%testHeartbeat == 0, true }
 	until := func(end time.Duration) func(time.Duration) (bool, bool) {
 		return func(now time.Duration) (bool, bool) { return now%testHeartbeat == 0 && now <= end, false }
 	}
 	gap := func(now time.Duration) (bool, bool) {
 		return now%testHeartbeat == 0 && (now <= time.Second || now >= 1500*time.Millisecond), false
 	}
-	late := func(now time.Duration) (bool, bool) { // from one second on, each heartbeat comes 50 ms late
+	delayed := func(now time.Duration) (bool, bool) { // from one second on, each heartbeat comes 50 ms late
 		return now <= time.Second && now%testHeartbeat == 0 || now > time.Second && now%testHeartbeat == 50*time.Millisecond, false
 	}
 	for name, c := range map[string]struct {
 		first, other func(time.Duration) (bool, bool)
 		want         string
 	}{
-		"heartbeats arrive":                   {beats, knows, "[]"},
-		"heartbeats become late":              {late, knows, "[]"},
-		"silent, candidate has a later list":  {until(time.Second), knows, "[open 1.31s leave 1.4s]"},
-		"silent, candidate has the same list": {until(time.Second), beats, "[open 1.31s leave 2.21s]"},
+		"heartbeats arrive":                   {heartbeats, ahead, "[]"},
+		"heartbeats become late":              {delayed, ahead, "[]"},
+		"silent, candidate has a later list":  {until(time.Second), ahead, "[open 1.31s leave 1.4s]"},
+		"silent, candidate has the same list": {until(time.Second), heartbeats, "[open 1.31s leave 2.21s]"},
 		"silent, and so is the candidate":     {until(time.Second), never, "[open 1.31s renew 2.52s renew 3.73s renew 4.94s]"},
-		"silent for a while":                  {gap, beats, "[open 1.31s drop 2.3s]"},
+		"silent for a while":                  {gap, heartbeats, "[open 1.31s drop 2.3s]"},
 	} {
 		if got := fmt.Sprint(runFailover(5*time.Second, c.first, c.other)); got != c.want {
 			t.Errorf("%s: %s, want %s", name, got, c.want)
@@ -137,13 +137,13 @@
 		b.requests++
 		b.mu.Unlock()
 		w.Header().Set(HeartbeatHeader, r.FormValue("beat"))
-		for told := int64(-1); r.Context().Err() == nil; time.Sleep(realHeartbeat / 2) {
+		for sent := int64(-1); r.Context().Err() == nil; time.Sleep(realHeartbeat / 2) {
 			if b.stalled.Load() {
 				continue
 			}
 			b.mu.Lock()
-			if l := b.list; l.Revision != told {
-				told = l.Revision
+			if l := b.list; l.Revision != sent {
+				sent = l.Revision
 				json.NewEncoder(w).Encode(l)
 			} else {
 				fmt.Fprintln(w)
--- a/internal/listwatch/follow_test.go
+++ b/internal/listwatch/follow_test.go
@@ -65,10 +65,10 @@
 }
 
 // inVirtualTime runs a test in virtual time, and leaves time for all pending timers and connections to end.
-func inVirtualTime(t *testing.T, play func(t *testing.T)) {
+func inVirtualTime(t *testing.T, run func(t *testing.T)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		play(t)
+		run(t)
 		time.Sleep(time.Hour)
 	})
 }
@@ -119,7 +119,7 @@
 // A stream is silent since its last complete message or empty line, even if part of a message still arrives; before
 // the first one, since the request was made.
 func TestFollowTimesOutWithoutCompleteMessage(t *testing.T) {
-	const patience = 750 * time.Millisecond
+	const timeout = 750 * time.Millisecond
 	whole := `{"revision":1,"complete":true,"members":[]}` + "\n"
 	half := `{"revision":2,"complete":false,` + "\n"
 	drip := slices.Repeat([]string{"x"}, 1000)
@@ -127,21 +127,21 @@
 		serve func(net.Conn)
 		want  time.Duration
 	}{
-		"the dial hangs":               {nil, patience},
-		"no response header":           {writePieces(0), patience},
-		"partial response header":      {writePieces(100*time.Millisecond, strings.Split(responseHead, "")...), patience},
-		"header and no line":           {writePieces(0, responseHead), patience},
-		"header and half a line":       {writePieces(0, responseHead, `{"revision":`), patience},
+		"the dial hangs":               {nil, timeout},
+		"no response header":           {writePieces(0), timeout},
+		"partial response header":      {writePieces(100*time.Millisecond, strings.Split(responseHead, "")...), timeout},
+		"header and no line":           {writePieces(0, responseHead), timeout},
+		"header and half a line":       {writePieces(0, responseHead, `{"revision":`), timeout},
 		"a line, then nothing":         {writePieces(0, responseHead, whole), IdleTimeout},
-		"a line, and half of the next": {writePieces(time.Second, responseHead[:20], responseHead[20:]+whole), patience},
-		"empty lines, then nothing":    {writePieces(2*time.Second, append([]string{}, emptyLines(3)...)...), patience},
+		"a line, and half of the next": {writePieces(time.Second, responseHead[:20], responseHead[20:]+whole), timeout},
+		"empty lines, then nothing":    {writePieces(2*time.Second, append([]string{}, emptyLines(3)...)...), timeout},
 		"a message without end":        {writePieces(0, append([]string{responseHead, whole, `{"revision":2,"x":"`}, drip...)...), IdleTimeout},
-		"empty lines within a message": {writePieces(time.Second, append([]string{responseHead}, emptyLines(50)...)...), patience},
+		"empty lines within a message": {writePieces(time.Second, append([]string{responseHead}, emptyLines(50)...)...), timeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			inVirtualTime(t, func(t *testing.T) {
 				began := time.Now()
-				err := Follow(t.Context(), fakeAgent(c.serve), "http://agent/", FollowOptions{ResponseTimeout: patience}, func([]byte) error { return nil })
+				err := Follow(t.Context(), fakeAgent(c.serve), "http://agent/", FollowOptions{ResponseTimeout: timeout}, func([]byte) error { return nil })
 				if took := time.Since(began); err == nil || took != c.want {
 					t.Errorf("given up after %v, want %v: %v", took, c.want, err)
 				}
@@ -165,7 +165,7 @@
 		t.Run(name, func(t *testing.T) {
 			inVirtualTime(t, func(t *testing.T) {
 				began := time.Now()
-				err := Follow(t.Context(), fakeAgent(c.serve), "http://agent/", FollowOptions{ResponseTimeout: patience}, func([]byte) error { return nil })
+				err := Follow(t.Context(), fakeAgent(c.serve), "http://agent/", FollowOptions{ResponseTimeout: timeout}, func([]byte) error { return nil })
 				if took := time.Since(began); err == nil || took != c.want {
 					t.Errorf("given up after %v, want %v: %v", took, c.want, err)
 				}
--- a/internal/listwatch/listwatch.go
+++ b/internal/listwatch/listwatch.go
@@ -67,8 +67,8 @@
 }
 
 // Headers that tell a client when to retry: Retry-After holds whole seconds, as any HTTP client understands it, and
-// retryAfterMSHeader the same time in milliseconds. The client repeats reservationHeader's value in its next request, as
-// the parameter "turn", to claim the reserved place.
+// retryAfterMSHeader the same time in milliseconds. The client repeats reservationHeader's value in its next request,
+// as the parameter "turn", to claim the reserved place.
 const (
 	retryAfterMSHeader = "Retry-After-Ms"
 	reservationHeader  = "Registry-Turn"
