--- a/internal/listwatch/cache.go
+++ b/internal/listwatch/cache.go
@@ -14,7 +14,8 @@
 )
 
 const (
-	cacheFileName      = "list.json"
+	cacheFileName = "list.json"
+	// MaxCachedList is the largest size of the cache file and of a fetched list, in bytes.
 	MaxCachedList      = 4 << 20
 	cacheWriteInterval = time.Second // minimum time between writes: a list that changes often is not worth the disk I/O
 )
--- a/internal/listwatch/listwatch.go
+++ b/internal/listwatch/listwatch.go
@@ -1,6 +1,7 @@
-// Package listwatch follows the list of endpoints: it reads the stream of a list server or of the platform's
-// discovery, a chunked HTTP response that stays open and holds a sequence of JSON objects. Nodes use it to follow
-// their endpoints, and list servers to follow their primary.
+// Package listwatch follows the list of endpoints: it reads the stream of a list server or of the platform's discovery,
+// a chunked HTTP response that stays open and holds a sequence of JSON objects. Nodes use it to follow their endpoints,
+// and list servers to follow their primary. For nodes it also checks the lists, changes to another server when one falls
+// silent, and keeps the last list on disk.
 package listwatch
 
 import (
@@ -19,7 +20,7 @@
 )
 
 const (
-	maxMessage = 4 << 20
+	maxMessage = 4 << 20 // bytes of a message
 	// IdleTimeout is how long a stream of the platform's discovery may go without a complete message or an empty
 	// line; discovery sends an empty line every 2 s. A change that a silent stream missed must be known 6 s after the
 	// stream fell silent. So the timeout tolerates two missing empty lines, and the rest of the 6 s is for opening a
--- a/internal/rollout/table.go
+++ b/internal/rollout/table.go
@@ -19,7 +19,7 @@
 	maxTrackedRevisions = 128                // revisions whose progress through the fleet is kept
 	SilentAfter         = 3 * ReportInterval // a node that has not reported for this long is silent
 	evictAfter          = 24 * time.Hour     // a node silent for this long may lose its row to a new name
-	ReportInterval      = 60 * time.Second
+	ReportInterval      = 60 * time.Second   // between reports of a node at rest
 )
 
 // Report is what a node reports about itself.
@@ -31,7 +31,7 @@
 	Build       string `json:"build"`
 	Config      string `json:"config"` // digest of the node's configuration
 	Ready       bool   `json:"ready"`
-	Fenced      bool   `json:"out,omitempty"`  // the node begins nothing new, because its list is out of date
+	Fenced      bool   `json:"out,omitempty"`  // the node begins nothing new: its list is out of date, or it is below the floor
 	AdminAddr   string `json:"door,omitempty"` // address of the node's admin API
 	LagReason   string `json:"why,omitempty"`  // why the node's list was last late
 }
