--- a/internal/listwatch/listwatch.go
+++ b/internal/listwatch/listwatch.go
@@ -1,7 +1,7 @@
 // Package listwatch follows the list of endpoints: it reads the stream of a list server or of the platform's discovery,
 // a chunked HTTP response that stays open and holds a sequence of JSON objects. Nodes use it to follow their endpoints,
-// and list servers to follow their primary. For nodes it also checks the lists, changes to another server when one falls
-// silent, and keeps the last list on disk.
+// and list servers to follow their primary. For nodes it also checks the lists, changes to another server when one
+// falls silent, and keeps the last list on disk.
 package listwatch
 
 import (
--- a/internal/rollout/table.go
+++ b/internal/rollout/table.go
@@ -31,7 +31,7 @@
 	Build       string `json:"build"`
 	Config      string `json:"config"` // digest of the node's configuration
 	Ready       bool   `json:"ready"`
-	Fenced      bool   `json:"out,omitempty"`  // the node begins nothing new: its list is out of date, or it is below the floor
+	Fenced      bool   `json:"out,omitempty"`  // it begins nothing new: its list is out of date, or it is below the floor
 	AdminAddr   string `json:"door,omitempty"` // address of the node's admin API
 	LagReason   string `json:"why,omitempty"`  // why the node's list was last late
 }
