--- a/internal/staleness/detector.go
+++ b/internal/staleness/detector.go
@@ -43,12 +43,12 @@
 	// minConfirmations is how many peers must act on a later list, or all of them in a smaller fleet. So a single
 	// peer that is wrong, or lies, cannot get a node fenced.
 	minConfirmations       = 2
-	maxSilenceQueryBackoff = 400 * time.Millisecond
-	changeFanout           = 2                     // peers told of a change at once
-	queryFanout            = 3                     // peers queried for confirmation
-	minQueryBackoff        = 50 * time.Millisecond // before peers are queried again, doubled each time: datagrams get lost
-	maxUnfenceJitter       = time.Second           // nodes that were fenced resume at random times within this span
-	unfenceJitterAfter     = 2 * time.Second       // a node that was fenced for less resumes at once
+	maxSilenceQueryBackoff = 400 * time.Millisecond // between queries while the list server is silent
+	changeFanout           = 2                      // peers told of a change at once
+	queryFanout            = 3                      // peers queried for confirmation
+	minQueryBackoff        = 50 * time.Millisecond  // before peers are queried again, doubled each time: datagrams get lost
+	maxUnfenceJitter       = time.Second            // nodes that were fenced resume at random times within this span
+	unfenceJitterAfter     = 2 * time.Second        // a node that was fenced for less resumes at once
 )
 
 // Magic is the first byte of a datagram. No datagram of the choice and membership packages starts with it.
