--- a/internal/auditlog/audit.go
+++ b/internal/auditlog/audit.go
@@ -89,8 +89,8 @@
 //
 // A call is late if its request was written after the endpoint was withdrawn and the grace period had passed, and
 // before the endpoint was serving again. The clocks of nodes may differ from the service's: the offset of each
-// process's clock is taken from its shortest exchange with a list server. A call that is late or not only within the
-// error of that offset, plus Slack, is reported as unsure.
+// process's clock is taken from its shortest exchange with a list server. If the error of that offset plus Slack leaves
+// it open whether a call was late, the call is reported as unsure.
 type Auditor struct {
 	History History
 	Grace   time.Duration // time after a withdrawal in which calls to the endpoint are still allowed
--- a/internal/staleness/detector.go
+++ b/internal/staleness/detector.go
@@ -46,7 +46,7 @@
 	maxSilenceQueryBackoff = 400 * time.Millisecond // between queries while the list server is silent
 	changeFanout           = 2                      // peers told of a change at once
 	queryFanout            = 3                      // peers queried for confirmation
-	minQueryBackoff        = 50 * time.Millisecond  // before peers are queried again, doubled each time: datagrams get lost
+	minQueryBackoff        = 50 * time.Millisecond  // before querying again, doubled each time: datagrams get lost
 	maxUnfenceJitter       = time.Second            // nodes that were fenced resume at random times within this span
 	unfenceJitterAfter     = 2 * time.Second        // a node that was fenced for less resumes at once
 )
