--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -1,9 +1,9 @@
-// Package coldstart is what the start of a node waits for before it may take messages: a list of endpoints, told by a
-// server or kept from before. It is stepped with explicit time and does no input or output; whoever owns the node's state
-// owns a Start as well.
+// Package coldstart decides when a starting node may accept messages: it needs a list of endpoints, from a list
+// server or from the cache of an earlier process. It gets the time as an argument and does no input or output.
+// A Start is not safe for concurrent use.
 //
-// Invariants: a Start that is ready stays so. Until a server has told the list, an unknown destination may still be named,
-// so that nobody is failed for want of one.
+// Invariants: a Start that is ready stays ready. Until a list server has sent a complete list, an unknown
+// destination may still be listed later, so no message may fail because its destination is unknown.
 package coldstart
 
 import (
@@ -11,57 +11,59 @@
 	"time"
 )
 
-// Bounds of what a client is told to wait while there is no list.
+// Bounds of the time that clients are told to wait while there is no list.
 const (
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 3 * time.Second
 )
 
-// Config is what a Start goes by.
+// Config holds the parameters of a Start.
 type Config struct {
-	// KeptAfter is how long a kept list waits for a server's: 0 for not at all.
+	// CachedAfter is how long the start waits for a list server before the cached list comes into force; 0 for
+	// not at all.
 	CachedAfter time.Duration
-	// KeptMost is the oldest kept list that is of use; 0 for any age.
+	// CachedMaxAge is the greatest age of a cached list that may be used; 0 for any age.
 	CachedMaxAge time.Duration
-	// Cycle is the time within which the node has asked for the list, if a server is there.
+	// QueryCycle is the time within which the node has queried the list service, if a list server is reachable.
 	QueryCycle time.Duration
 }
 
-// Kept is the list from before the start. The zero value is none.
+// CachedList describes the list that an earlier process left in the cache. The zero value means that there is
+// none.
 type CachedList struct {
 	Present bool
-	Age     time.Duration // at the start; negative for not known, which is taken as old
+	Age     time.Duration // at the start; negative if unknown, which counts as too old if there is a limit
 }
 
-// Start is the state of one start.
+// Start is the state of one start of a node.
 type Start struct {
 	cfg            Config
 	startedAt      time.Duration
-	cacheUsable    bool // there is a kept list that may come into force
+	cacheUsable    bool // there is a cached list that may come into force
 	waitReason     string
 	ready          bool
-	serverAnswered bool // a server has told a list
-	complete       bool // and said that it is whole
+	serverAnswered bool // a list server has sent a usable list
+	complete       bool // a list server has sent a list that does not settle any more
 	readyAt        time.Duration
 }
 
-// New begins a start at a moment.
+// New returns a Start that begins at time now.
 func New(cfg Config, now time.Duration, cached CachedList) *Start {
-	s := &Start{cfg: cfg, startedAt: now, waitReason: "no list is kept"}
+	s := &Start{cfg: cfg, startedAt: now, waitReason: "no list is cached"}
 	switch {
 	case !cached.Present:
 	case cfg.CachedMaxAge > 0 && cached.Age < 0:
-		s.waitReason = "the kept list is of unknown age"
+		s.waitReason = "the age of the cached list is unknown"
 	case cfg.CachedMaxAge > 0 && cached.Age > cfg.CachedMaxAge:
-		s.waitReason = fmt.Sprintf("the kept list is %v old, and %v at most is taken", cached.Age.Round(time.Second), cfg.CachedMaxAge)
+		s.waitReason = fmt.Sprintf("the cached list is %v old, and the limit is %v", cached.Age.Round(time.Second), cfg.CachedMaxAge)
 	default:
 		s.cacheUsable = true
-		s.waitReason = fmt.Sprintf("a kept list comes into force %v after the start", cfg.CachedAfter)
+		s.waitReason = fmt.Sprintf("the cached list comes into force %v after the start", cfg.CachedAfter)
 	}
 	return s
 }
 
-// KeptDue tells, once, that the kept list comes into force now.
+// CachedListDue returns true once, when the cached list comes into force.
 func (s *Start) CachedListDue(now time.Duration) bool {
 	if !s.cacheUsable || s.serverAnswered || now-s.startedAt < s.cfg.CachedAfter {
 		return false
@@ -70,7 +72,7 @@
 	return true
 }
 
-// Wake is when KeptDue has to be asked; 0 for never.
+// WakeAt returns the time at which CachedListDue has to be called; 0 for never.
 func (s *Start) WakeAt() time.Duration {
 	if !s.cacheUsable || s.serverAnswered {
 		return 0
@@ -78,13 +80,15 @@
 	return s.startedAt + s.cfg.CachedAfter
 }
 
-// Listed notes a list of a server's with so many endpoints, and tells whether it is the first. One that settles may lack
-// endpoints that are there, and so does not say which destinations are unknown; an empty one that settles says nothing.
+// ObserveList records that a list server has sent a list with this number of endpoints, and returns whether it
+// is the first usable one. A list is settling while the list service has just started and endpoints still
+// register: it may lack endpoints, so a destination that it does not name is not known to be unknown, and an
+// empty one is not usable.
 func (s *Start) ObserveList(now time.Duration, settling bool, endpoints int) (first bool) {
 	s.complete = s.complete || !settling
 	if settling && endpoints == 0 {
 		if !s.serverAnswered {
-			s.waitReason = "the list service has just begun, and no endpoint has registered yet"
+			s.waitReason = "the list service has just started, and no endpoint has registered yet"
 		}
 		return false
 	}
@@ -95,24 +99,26 @@
 	return first
 }
 
-// Ready tells whether messages may be taken.
+// Ready reports whether the node may accept messages.
 func (s *Start) Ready() bool { return s.ready }
 
-// Whole tells whether a server has told the whole list, so that what it does not name is unknown.
+// Complete reports whether a list server has sent a complete list, so that a destination that it does not name
+// is unknown.
 func (s *Start) Complete() bool { return s.complete }
 
-// Took is how long it was until the node was ready; false before that.
+// ReadyAfter returns how long the start took until the node was ready. The second result is false before that.
 func (s *Start) ReadyAfter() (time.Duration, bool) { return s.readyAt - s.startedAt, s.ready }
 
-// Reason says what the start waits for; empty once it is ready.
+// Reason returns what the start waits for. It is empty once the node is ready.
 func (s *Start) Reason() string {
 	if s.ready {
 		return ""
 	}
-	return "no list server has told a list that can be served on yet, and " + s.waitReason
+	return "no list server has sent a usable list yet, and " + s.waitReason
 }
 
-// Come is how long a client is told to stay away while there is no list. chance from 0 to 1 spreads the clients.
+// RetryAfter returns how long a client is told to wait while there is no list. jitter, from 0 to 1, spreads the
+// clients.
 func (s *Start) RetryAfter(jitter float64) time.Duration {
 	wait := min(max(s.cfg.QueryCycle, minRetryAfter), maxRetryAfter)
 	return wait/2 + time.Duration(jitter*float64(wait))
--- a/internal/coldstart/coldstart_test.go
+++ b/internal/coldstart/coldstart_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// A story of each way to begin.
+// One case for each source of the first list.
 func TestReadinessByListSource(t *testing.T) {
 	const s = time.Second
 	for name, c := range map[string]struct {
@@ -18,15 +18,15 @@
 		readyAt time.Duration // 0 for never
 		why     string        // before that
 	}{
-		"a server tells":                 {Config{}, CachedList{}, 3 * s, 3 * s, "no list is kept"},
-		"nobody ever does":               {Config{}, CachedList{}, 0, 0, "no list is kept"},
-		"a kept list serves at once":     {Config{}, CachedList{true, -1}, 0, s, ""},
-		"a kept list waits":              {Config{CachedAfter: 2 * s}, CachedList{true, s}, 0, 3 * s, "comes into force 2s"},
-		"a server is before it":          {Config{CachedAfter: 4 * s}, CachedList{true, s}, 2 * s, 2 * s, "comes into force"},
-		"it is too old":                  {Config{CachedMaxAge: s}, CachedList{true, 2 * s}, 0, 0, "2s old"},
-		"it is too old, a server tells":  {Config{CachedMaxAge: s}, CachedList{true, 2 * s}, 4 * s, 4 * s, "2s old"},
-		"it is of unknown age":           {Config{CachedMaxAge: s}, CachedList{true, -1}, 0, 0, "unknown age"},
-		"its age is no matter if unsaid": {Config{CachedMaxAge: 0}, CachedList{true, 1000 * time.Hour}, 0, s, ""},
+		"a server tells":                    {Config{}, CachedList{}, 3 * s, 3 * s, "no list is cached"},
+		"nobody ever does":                  {Config{}, CachedList{}, 0, 0, "no list is cached"},
+		"a cached list serves at once":      {Config{}, CachedList{true, -1}, 0, s, ""},
+		"a cached list waits":               {Config{CachedAfter: 2 * s}, CachedList{true, s}, 0, 3 * s, "comes into force 2s"},
+		"a server is earlier":               {Config{CachedAfter: 4 * s}, CachedList{true, s}, 2 * s, 2 * s, "comes into force"},
+		"it is too old":                     {Config{CachedMaxAge: s}, CachedList{true, 2 * s}, 0, 0, "2s old"},
+		"it is too old, a server tells":     {Config{CachedMaxAge: s}, CachedList{true, 2 * s}, 4 * s, 4 * s, "2s old"},
+		"it is of unknown age":              {Config{CachedMaxAge: s}, CachedList{true, -1}, 0, 0, "unknown age"},
+		"any age is accepted without limit": {Config{CachedMaxAge: 0}, CachedList{true, 1000 * time.Hour}, 0, s, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			x := New(c.cfg, s, c.kept)
@@ -39,18 +39,18 @@
 					t.Fatalf("at %v: ready %v", now, x.Ready())
 				}
 				if why := x.Reason(); x.Ready() != (why == "") || !x.Ready() && !strings.Contains(why, c.why) {
-					t.Fatalf("at %v it says %q", now, why)
+					t.Fatalf("at %v the reason is %q", now, why)
 				}
 				if x.Complete() != (c.listed > 0 && now >= c.listed) {
-					t.Fatalf("at %v: whole %v", now, x.Complete())
+					t.Fatalf("at %v: complete %v", now, x.Complete())
 				}
 			}
 		})
 	}
 }
 
-// Whatever comes in whatever order: ready stays ready, the kept list comes into force once at most and never after a
-// server's, and what clients are told is bounded.
+// For any sequence of lists: ready stays ready, the cached list comes into force at most once and never after a
+// complete list of a server, and the time that clients are told to wait is bounded.
 func TestReadinessNeverReverts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		span := rapid.Custom(func(t *rapid.T) time.Duration {
@@ -66,33 +66,33 @@
 			}
 			if x.CachedListDue(now) {
 				if due++; x.Complete() {
-					t.Fatal("the kept list comes into force after a server's")
+					t.Fatal("the cached list comes into force after a server's complete list")
 				}
 			}
 			if was && !x.Ready() {
-				t.Fatal("it is no longer ready")
+				t.Fatal("ready has been revoked")
 			}
 			if was = x.Ready(); due > 1 || firsts > 1 {
-				t.Fatalf("in force %d times, first %d times", due, firsts)
+				t.Fatalf("the cached list came into force %d times, and %d lists were the first", due, firsts)
 			}
 			if wait := x.RetryAfter(rapid.Float64Range(0, 1).Draw(t, "chance")); wait < minRetryAfter/2 || wait > 2*maxRetryAfter {
-				t.Fatalf("clients are told %v", wait)
+				t.Fatalf("clients are told to wait %v", wait)
 			}
 		}
 	})
 }
 
-// A list service that has just begun: its empty list says nothing, one that grows serves and names nobody unknown, and
-// only when it has settled is what it lacks unknown.
+// A list service that has just started: its empty list is not usable, a list that still grows is usable but
+// leaves no destination unknown, and only once it has settled are missing destinations unknown.
 func TestSettlingListLeavesNoDestinationUnknown(t *testing.T) {
 	x := New(Config{}, 0, CachedList{})
-	if x.ObserveList(1, true, 0) || x.Ready() || x.Complete() || !strings.Contains(x.Reason(), "just begun") {
-		t.Errorf("an empty list that settles: ready %v, whole %v, %q", x.Ready(), x.Complete(), x.Reason())
+	if x.ObserveList(1, true, 0) || x.Ready() || x.Complete() || !strings.Contains(x.Reason(), "just started") {
+		t.Errorf("an empty settling list: ready %v, complete %v, %q", x.Ready(), x.Complete(), x.Reason())
 	}
 	if !x.ObserveList(2, true, 3) || !x.Ready() || x.Complete() {
-		t.Errorf("one that grows: ready %v, whole %v", x.Ready(), x.Complete())
+		t.Errorf("a growing list: ready %v, complete %v", x.Ready(), x.Complete())
 	}
 	if x.ObserveList(3, false, 0) || !x.Complete() {
-		t.Error("one that has settled is not whole")
+		t.Error("a settled list is not complete")
 	}
 }
--- a/internal/node/listcache.go
+++ b/internal/node/listcache.go
@@ -13,9 +13,11 @@
 	"harrierramp/internal/listwatch"
 )
 
-const listCacheDiskDivisor = 8 // the kept list may take this part of the disk, and as much again while it is replaced
+// The cached list may take 1/listCacheDiskDivisor of the disk limit, and as much again while it is being
+// replaced.
+const listCacheDiskDivisor = 8
 
-// keptRoom is the room of the kept list, 0 if there is none.
+// listCacheBytes returns the maximum size of the cached list, or 0 if no list is cached.
 func listCacheBytes(c config.Config) int64 {
 	if c.Registry == nil || !c.Registry.KeepList {
 		return 0
@@ -23,7 +25,7 @@
 	return min(int64(diskMB(c)*(1<<20))/listCacheDiskDivisor, listwatch.MaxCachedList)
 }
 
-// diskMB is the limit of the lasting folder.
+// diskMB returns the size limit of the state folder in MiB.
 func diskMB(c config.Config) float64 {
 	if c.Limits.Disk <= 0 {
 		return journal.DefaultDiskMB
@@ -31,7 +33,7 @@
 	return float64(c.Limits.Disk)
 }
 
-// journalMB is what the disk's limit leaves for the journal.
+// journalMB returns what the size limit of the state folder leaves for the journal, in MiB.
 func journalMB(c config.Config) float64 {
 	mb := diskMB(c) - 2*float64(listCacheBytes(c)+estimatesBytes(c))/(1<<20)
 	if c.Audit != nil {
@@ -40,6 +42,7 @@
 	return mb
 }
 
+// newListCache returns the cache of the list, or nil if no list is cached.
 func newListCache(c config.Config) *listwatch.Cache {
 	if listCacheBytes(c) == 0 {
 		return nil
@@ -47,8 +50,9 @@
 	return listwatch.NewCache(c.StateDir, listCacheBytes(c))
 }
 
-// startWith begins to wait for a list, and returns what may be served on at once: what the configuration names, or the
-// list that is kept, whichever is later. One that may come into force later is left in n.stale.
+// initialList returns the list that may be used at once: that of the configuration or the cached one, whichever
+// has the later revision. If it may not be used at once, initialList returns an empty list, begins to wait for
+// a list server, and leaves the cached list, which may come into force later, in n.pendingCachedList.
 func (n *Node) initialList() listwatch.List {
 	known, savedAt := n.cfg.KnownList, time.Time{}
 	if n.listCache != nil {
@@ -63,10 +67,10 @@
 	}
 	cached := coldstart.CachedList{Present: known.Revision > 0, Age: -1}
 	if !savedAt.IsZero() {
-		cached.Age = max(time.Since(savedAt), 0) // the clock may have been set back
+		cached.Age = max(time.Since(savedAt), 0) // the wall clock may have been set back
 	}
-	// The whole fleet may be starting. Where list servers answer, their lists come to one node after the other; so do the
-	// kept ones come into force.
+	// The whole fleet may be starting. List servers are queried by one node after the other, so the cached
+	// lists come into force one after the other as well.
 	pacer := n.newPacer()
 	n.startup = coldstart.New(coldstart.Config{
 		CachedAfter: n.cfg.Registry.KeptListWait.Duration() + pacer.InitialDelay(), CachedMaxAge: n.cfg.Registry.KeptListMaxAge.Duration(), QueryCycle: pacer.Cycle(),
@@ -81,13 +85,14 @@
 	return listwatch.List{}
 }
 
-// awaited is what the start waits for, for readers that must not wait for the loop.
+// waitReason is why the node does not accept messages, and since when, for readers that must not wait for the
+// loop.
 type waitReason struct {
 	since  time.Time
 	reason string
 }
 
-// await tells clients and operators whether the node waits for a list.
+// updateStartupWait publishes to clients and operators whether the node waits for a list, and why.
 func (n *Node) updateStartupWait() {
 	if n.startup == nil || n.startup.Ready() {
 		n.startupWait.Store(nil)
@@ -99,7 +104,8 @@
 	}
 }
 
-// awaiting says what the start waits for, and since when; empty once it is ready. It may be called from any goroutine.
+// unavailableReason returns why the node waits for a list or is fenced, and since when; it is empty if neither
+// is the case. It may be called from any goroutine.
 func (n *Node) unavailableReason() string {
 	if a := n.startupWait.Load(); a != nil {
 		return fmt.Sprintf("waiting for the list since %.1f s: %s", time.Since(a.since).Seconds(), a.reason)
@@ -110,7 +116,7 @@
 	return ""
 }
 
-// begun notes the first list of a server's, which ends the wait for one.
+// startupListed processes a list of a list server. The first usable one ends the wait for a list.
 func (n *Node) startupListed(l listwatch.List) {
 	if n.startup == nil {
 		return
@@ -126,7 +132,7 @@
 		"told_later", n.metrics.ListRequestsDeferred.Load())
 }
 
-// keptDue brings the kept list into force where no server has told one for too long.
+// activateCachedList brings the cached list into force if no list server has sent a list in time.
 func (n *Node) activateCachedList() (events []choice.Event) {
 	if n.startup == nil || !n.startup.CachedListDue(n.now()) {
 		return nil
@@ -139,7 +145,7 @@
 	return []choice.Event{n.applyList(known)}
 }
 
-// keepList writes the list down if it is due. An empty one is never worth more than what was kept.
+// saveList writes the current list to the cache if that is due. An empty list never replaces a cached one.
 func (n *Node) saveList() {
 	if n.listCache == nil || n.listCache.UntilDue(time.Now()) > 0 {
 		return
--- a/internal/node/startup_test.go
+++ b/internal/node/startup_test.go
@@ -16,7 +16,7 @@
 	"harrierramp/internal/testkit"
 )
 
-// beginNode starts a node with a section registry, without waiting for anything.
+// launchNode starts a node with a registry section in its configuration, without waiting until it is ready.
 func launchNode(t *testing.T, state, section string) (addr, adminAddr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -65,21 +65,21 @@
 
 const unreachableAddr = "127.0.0.1:1"
 
-// What a node does while no list server answers: with a list that it has kept it serves, and fails nobody for what that
-// does not name; without one of use it takes nothing and says why.
+// While no list server answers, a node with a usable cached list serves, and fails no message because the list
+// does not name its destination. Without one it accepts nothing and states why.
 func TestStartWithoutListServer(t *testing.T) {
 	for name, c := range map[string]struct {
 		keep, section, spoil string
-		why                  string // empty where it serves
+		why                  string // empty if the node serves
 	}{
-		"nothing kept":     {"", `"keep":true`, "", "no list is kept"},
+		"nothing kept":     {"", `"keep":true`, "", "no list is cached"},
 		"kept":             {"yes", `"keep":true`, "", ""},
-		"kept, not read":   {"yes", `"keep":false`, "", "no list is kept"},
+		"kept, not read":   {"yes", `"keep":false`, "", "no list is cached"},
 		"kept too long":    {"yes", `"keep":true,"kept_most_ms":1`, "", "old"},
 		"kept for a while": {"yes", `"keep":true,"kept_after_ms":3600000`, "", "comes into force 1h"},
 		"comes into force": {"yes", `"keep":true,"kept_after_ms":50`, "", ""},
-		"cut":              {"yes", `"keep":true`, "cut", "no list is kept"},
-		"flipped":          {"yes", `"keep":true`, "flip", "no list is kept"},
+		"cut":              {"yes", `"keep":true`, "cut", "no list is cached"},
+		"flipped":          {"yes", `"keep":true`, "flip", "no list is cached"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -103,7 +103,7 @@
 			}
 			addr, adminAddr := launchNode(t, dir, `{"addresses":["`+unreachableAddr+`"],`+c.section+`}`)
 			if c.why != "" {
-				time.Sleep(100 * time.Millisecond) // longer than a list that is kept for 50 ms takes
+				time.Sleep(100 * time.Millisecond) // longer than the 50 ms after which a cached list comes into force
 				code, body := testkit.CallAdmin(t, adminAddr, "GET", "/ops/readiness")
 				if code != 503 || !strings.Contains(body, c.why) || !strings.Contains(body, "since") {
 					t.Errorf("readiness: %d %s", code, body)
@@ -142,8 +142,8 @@
 	return string(raw)
 }
 
-// With a server's list, what it does not name is unknown, and the figures tell how the start went. A kept list that is
-// ahead of every server is given up.
+// With the list of a list server, a destination that it does not name is unknown, and the metrics show how long
+// the start took. A cached list with a later revision than that of any server is dropped.
 func TestStartWithListServer(t *testing.T) {
 	p := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse))
 	r := newFakeDiscovery(t)
@@ -151,14 +151,14 @@
 	cacheListAt(t, dir, unreachableAddr, 1<<40)
 	addr, adminAddr := launchNode(t, dir, fmt.Sprintf(`{"addresses":[%q],"keep":true}`, r.addr()))
 	r.publish(listJSON(5, true, memberJSON("q", p.Addr(), 7, "SERVING")))
-	testkit.Eventually(t, "the server's list holds", func() bool {
+	testkit.Eventually(t, "the server's list is in force", func() bool {
 		_, text := testkit.CallAdmin(t, adminAddr, "GET", "/ops/stats")
 		return strings.Contains(text, "router.list_revision:5|")
 	})
 	mustAnswer(t, addr, testkit.EnqueueRequest("m1", statusFields, "x"), "+OK")
 	p.Next(t)
 	mustAnswer(t, addr, testkit.EnqueueRequest("m2", "c=status,d=50000,dest=8", "x"), "-ERR unknown destination")
-	testkit.Eventually(t, "the start is told", func() bool {
+	testkit.Eventually(t, "the metrics show the start", func() bool {
 		_, text := testkit.CallAdmin(t, adminAddr, "GET", "/ops/stats")
 		return !strings.Contains(text, "router.start_list_ms:-1|") && !strings.Contains(text, "router.start_delivery_ms:-1|")
 	})
