--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -1,5 +1,6 @@
-// Package handover joins the two processes that are one node during an upgrade: who owns the folder, how the owner is
-// asked for it, and the frames that pass between them. What is handed over is the node's to say.
+// Package handover connects the two processes of a node during an upgrade. It determines which process owns the
+// state folder, lets a new process ask the owner to hand over, and defines the frames that the two exchange.
+// The content of the state that is handed over is up to package node.
 package handover
 
 import (
@@ -20,27 +21,29 @@
 )
 
 const (
-	writeTimeout  = 2 * time.Second // to write a frame: the other process only has to read
+	writeTimeout  = 2 * time.Second // for writing a frame: the other process only has to read it
 	maxFrameBytes = 64 << 20
 )
 
-var ErrBadFrame = errors.New("handover: a frame that can't be read")
+// ErrBadFrame is returned for a frame that is too long, malformed or incomplete.
+var ErrBadFrame = errors.New("handover: malformed frame")
 
-// Link joins two processes of one node. A frame is its length, four bytes, and JSON, so that versions may differ; a
-// descriptor goes with its first byte.
+// Link is the connection between two processes of a node. A frame is its length as four bytes, big-endian, and
+// JSON, because the processes may be of different builds. A file descriptor is sent along with the frame's
+// first byte.
 type Link struct {
 	Conn *net.UnixConn
-	mu   sync.Mutex // one frame at a time
+	mu   sync.Mutex // serializes frames
 }
 
-// Frame holds one of these.
+// Frame is one message on a Link. Exactly one of its fields is set.
 type Frame struct {
-	// To the owner of the lock, from the process that comes, and the answer.
+	// The new process's request to the owner of the lock, and the answer.
 	Ask   bool   `json:",omitempty"`
-	State *State `json:",omitempty"` // with the lock
+	State *State `json:",omitempty"` // sent with the descriptor of the lock
 
 	// From the old process to its successor.
-	Client     *ingress.ConnHandover `json:",omitempty"` // with its connection
+	Client     *ingress.ConnHandover `json:",omitempty"` // sent with the descriptor of the connection
 	CallResult *CallResult           `json:"Ended,omitempty"`
 	Command    *Command              `json:"Order,omitempty"`
 
@@ -50,21 +53,23 @@
 }
 
 type (
-	// carriedNode is what the node knows beside the journal and the orders.
+	// State is what the node knows beside the journal and the operators' overrides.
 	State struct {
-		Clock          time.Duration // of the module,
-		ClockReadAt    int64         `json:"At"` // at this Unix time in nanoseconds
+		Clock          time.Duration // reading of the sender's clock
+		ClockReadAt    int64         `json:"At"` // Unix time in nanoseconds at which Clock was read
 		Sender         json.RawMessage
 		Revision       int64
 		Members        []listwatch.Member
 		KnownDests     []int     `json:"Dests"`
 		KnownEndpoints []string  `json:"Named"`
-		InFlight       []Attempt `json:"Out"` // attempts that are out at the old process
+		InFlight       []Attempt `json:"Out"` // attempts whose calls go on in the old process
 	}
+	// Attempt identifies one attempt to deliver a message.
 	Attempt struct {
 		MessageID string `json:"ID"`
 		Number    int    `json:"N"`
 	}
+	// CallResult is the outcome of a call that the old process made.
 	CallResult struct {
 		Attempt
 		Endpoint    string
@@ -76,19 +81,21 @@
 		Reused      bool
 		Report      choice.LimitReport
 	}
+	// Command is an operator's command that reached the old process. Endpoint is empty for a drain.
 	Command struct {
 		Number   int
 		Endpoint string
 		On       bool
 	}
+	// CommandResult is the answer to the command of the same number.
 	CommandResult struct {
 		Number  int
-		Unknown bool   // there is no such endpoint
-		Error   string `json:"No"` // why not; empty for yes
+		Unknown bool   // the endpoint does not exist
+		Error   string `json:"No"` // empty if the command is in effect
 	}
 )
 
-// Send writes a frame, with a descriptor unless that is negative.
+// Send writes a frame, along with a file descriptor unless descriptor is negative.
 func (l *Link) Send(f Frame, descriptor int) error {
 	payload, err := json.Marshal(f)
 	if err != nil {
@@ -114,7 +121,7 @@
 	return nil
 }
 
-// Receive reads a frame and the descriptor that came with it, if one did.
+// Receive reads a frame and the file descriptor that was sent with it. file is nil if there was none.
 func (l *Link) Receive() (f Frame, file *os.File, err error) {
 	defer func() {
 		if err != nil && file != nil {
@@ -150,7 +157,7 @@
 	return f, file, nil
 }
 
-// passed is the descriptor in a control message.
+// parseDescriptor returns the file descriptor in a control message.
 func parseDescriptor(rights []byte) (*os.File, error) {
 	messages, err := syscall.ParseSocketControlMessage(rights)
 	if err != nil || len(messages) != 1 {
@@ -163,5 +170,5 @@
 	return os.NewFile(uintptr(fds[0]), "passed"), nil
 }
 
-// Close ends the link; the other process sees its end.
+// Close closes the link. The other process sees the end of the stream.
 func (l *Link) Close() error { return l.Conn.Close() }
--- a/internal/handover/ownership.go
+++ b/internal/handover/ownership.go
@@ -13,27 +13,31 @@
 	"harrierramp/internal/backoff"
 )
 
-// During an upgrade two processes are one node. The journal, the decisions and each message belong to the one that
-// holds a lock on a file in the lasting folder. The kernel gives it up when its holder dies, however that happens;
-// on a handover its descriptor is passed, so that it is never free in between.
+// During an upgrade a node consists of two processes. Only the one that holds a lock on a file in the state
+// folder may write the journal, make decisions and handle messages. The kernel releases the lock when its
+// holder dies, however that happens. On a hand-over the file descriptor of the lock is passed on, so that the
+// lock is never free in between.
 
 const (
-	lockName          = "lock"
-	socketName        = "handover"
-	LockRetryInterval = 20 * time.Millisecond // between tries for a lock that another process holds
-	RequestTimeout    = 3 * time.Second       // for the owner's state, once it has been asked
-	maxSocketPath     = 100                   // a longer path does not fit into a socket's address
+	lockName   = "lock"
+	socketName = "handover"
+	// LockRetryInterval is the time between attempts to take a lock that another process holds.
+	LockRetryInterval = 20 * time.Millisecond
+	// RequestTimeout limits connecting to the owner, and waiting for its state.
+	RequestTimeout = 3 * time.Second
+	maxSocketPath  = 100 // bytes; a longer path does not fit into a socket address
 )
 
-// Claim is the right to own the node's state, and what came with it.
+// Ownership is the right to use the node's state, and what the previous owner handed over with it.
 type Ownership struct {
 	Lock        *os.File
-	Upgrade     bool   // another process owned the node when this one came
-	Predecessor *Link  // to that process, if it has handed over
-	State       *State // likewise
+	Upgrade     bool   // another process owned the node when this one started
+	Predecessor *Link  // link to that process; nil unless it has handed over
+	State       *State // the state that it has handed over; nil unless it has
 }
 
-// Acquire waits for the lock. If ask is set it asks the owner to hand over; otherwise it is a stand-by.
+// Acquire waits for the lock on the state folder dir. If request is set, it also asks the owner to hand over;
+// otherwise it stands by until the owner is gone.
 func Acquire(ctx context.Context, dir string, request bool) (Ownership, error) {
 	f, err := os.OpenFile(filepath.Join(dir, lockName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -46,7 +50,7 @@
 			return Ownership{Lock: f, Upgrade: upgrade}, nil
 		}
 		if errors.Is(err, syscall.EINTR) {
-			continue // nobody was found to own it
+			continue // interrupted before it was known whether the lock is held
 		}
 		if !errors.Is(err, syscall.EWOULDBLOCK) {
 			return Ownership{}, errors.Join(fmt.Errorf("ownership: %w", err), f.Close())
@@ -54,7 +58,7 @@
 		upgrade = true
 		if request {
 			if c, err := requestOwnership(ctx, dir); err == nil {
-				return c, f.Close() // the lock is that of the descriptor that came
+				return c, f.Close() // the received descriptor holds the lock
 			}
 		}
 		if !backoff.Sleep(ctx, LockRetryInterval) {
@@ -63,7 +67,7 @@
 	}
 }
 
-// askOwner asks the owner to hand over.
+// requestOwnership asks the owner to hand over.
 func requestOwnership(ctx context.Context, dir string) (Ownership, error) {
 	path, closeDir, err := SocketPath(dir)
 	if err != nil {
@@ -97,8 +101,8 @@
 	return Ownership{Lock: lock, Upgrade: true, Predecessor: l, State: f.State}, nil
 }
 
-// Listen opens the socket at which a later process asks. The lock is held, so a file that stands there
-// is nobody's.
+// Listen opens the socket on which later processes ask for a hand-over. The caller holds the lock, so that a
+// socket file which is there already belongs to no running process.
 func Listen(dir string) (*net.UnixListener, error) {
 	path, closeDir, err := SocketPath(dir)
 	if err != nil {
@@ -112,11 +116,12 @@
 	if err != nil {
 		return nil, err
 	}
-	ln.SetUnlinkOnClose(false) // by then a successor's may stand there
+	ln.SetUnlinkOnClose(false) // by then the file may be that of a successor
 	return ln, nil
 }
 
-// SocketPath is the socket's path, by way of the folder's descriptor where it is too long for an address.
+// SocketPath returns the path of the socket in dir. If the path is too long for a socket address, it returns
+// one by way of a descriptor of the folder, which is valid until done is called.
 func SocketPath(dir string) (path string, done func(), err error) {
 	if path = filepath.Join(dir, socketName); len(path) <= maxSocketPath {
 		return path, func() {}, nil
@@ -128,7 +133,7 @@
 	return fmt.Sprintf("/proc/self/fd/%d/%s", f.Fd(), socketName), func() { f.Close() }, nil
 }
 
-// Held tells whether a process owns the folder now. It changes nothing.
+// IsLocked reports whether a process owns the state folder now. It changes nothing.
 func IsLocked(dir string) (bool, error) {
 	f, err := os.Open(filepath.Join(dir, lockName))
 	if errors.Is(err, os.ErrNotExist) {
@@ -137,7 +142,7 @@
 	if err != nil {
 		return false, fmt.Errorf("ownership: %w", err)
 	}
-	defer f.Close() // gives back the lock that a free folder lets us have
+	defer f.Close() // releases the lock, if taking it succeeded
 	for {
 		err = syscall.Flock(int(f.Fd()), syscall.LOCK_SH|syscall.LOCK_NB)
 		if !errors.Is(err, syscall.EINTR) {
--- a/internal/outbox/outbox.go
+++ b/internal/outbox/outbox.go
@@ -1,4 +1,5 @@
-// Package outbox hands notices of final answers to the platform until they are taken.
+// Package outbox delivers notices of messages' final answers to the platform, and repeats each until it is
+// accepted.
 package outbox
 
 import (
@@ -16,33 +17,33 @@
 )
 
 const (
-	maxPostBytes      = 64 << 10 // of a post, which maxNotices keeps to
-	maxNoticesPerPost = 32       // in one post: with the longest ids, every byte escaped, its body stays under 64 KiB
+	maxPostBytes      = 64 << 10 // bytes of a post's body; maxNoticesPerPost ensures it
+	maxNoticesPerPost = 32       // with the longest IDs and every byte escaped, a body stays under maxPostBytes
 
-	agentTimeout  = 200 * time.Millisecond // a notice is overdue 300 ms after its message's time: there is time for two posts
+	agentTimeout  = 200 * time.Millisecond // a notice is overdue 300 ms after its message's deadline: two posts fit
 	agentMaxPause = 50 * time.Millisecond
 
 	serviceTimeout = 500 * time.Millisecond
-	// A list service that took longer than serviceTimeout for every post would never be heard to take any, and be given
-	// each again and again.
+	// If a list service took longer than serviceTimeout for every post and the timeout never grew, each post
+	// would time out and be repeated for ever.
 	serviceMaxTimeout = 4 * time.Second
 )
 
-// Pace is how posts are repeated that are not taken.
+// RetryPolicy determines how posts are repeated that were not accepted.
 type RetryPolicy struct {
-	Timeout, MaxTimeout time.Duration // a post is given up after Timeout, later ones after up to Patience
-	MaxPause            time.Duration // pauses between posts grow up to this
+	Timeout, MaxTimeout time.Duration // of a post: it grows from Timeout up to MaxTimeout while posts time out
+	MaxPause            time.Duration // pauses between posts grow up to MaxPause
 }
 
-// AgentPace is for an agent on the node's own machine, which answers at once and at no cost.
+// AgentRetryPolicy is for an agent on the node's own machine, which answers immediately and at no cost.
 func AgentRetryPolicy() RetryPolicy { return RetryPolicy{agentTimeout, agentTimeout, agentMaxPause} }
 
-// ServicePace is for a list service that a fleet shares and that may be slow.
+// ServiceRetryPolicy is for a list service that the fleet shares and that may be slow.
 func ServiceRetryPolicy() RetryPolicy {
 	return RetryPolicy{serviceTimeout, serviceMaxTimeout, backoff.MaxDelay}
 }
 
-// Notice tells the platform how a message ended that was taken on and not delivered.
+// Notice tells the platform how a message ended that was accepted and not delivered.
 type Notice struct {
 	Message *journal.Message `json:"-"`
 	ID      string           `json:"id"`
@@ -50,7 +51,7 @@
 	AfterMS int64            `json:"after_ms,omitempty"`
 }
 
-// NewNotice is the notice of a message that has its final answer.
+// NewNotice returns the notice for a message that has its final answer.
 func NewNotice(p *journal.Message) Notice {
 	if p.Ended.Failed {
 		return Notice{Message: p, ID: p.ID, State: "failed"}
@@ -58,10 +59,10 @@
 	return Notice{Message: p, ID: p.ID, State: "returned", AfterMS: p.Ended.RetryAfter.Milliseconds()}
 }
 
-// Run posts the notices that come, in order, until ctx ends. A post that is not taken is made again, for a
-// notice that comes twice does no harm and one that never comes loses its message. What was taken goes to
-// done; the journal keeps the rest for the next start. After each post that was given up for its time, one waits twice as
-// long for the next, as far as the pace allows.
+// Run posts the notices from the channel, in order, until ctx ends. A post that is not accepted is repeated,
+// because a duplicate notice does no harm, while a missing one loses its message. Accepted notices are passed
+// to accepted; the journal keeps the others for the next start. After each post that timed out, the timeout of
+// the next one doubles, up to the policy's limit; after each accepted one it halves.
 func Run(
 	ctx context.Context, log *slog.Logger, client *http.Client, addrs *listwatch.Addresses, policy RetryPolicy, notices <-chan []Notice,
 	accepted func([]Notice),
@@ -86,7 +87,7 @@
 				timeout = max(timeout/2, policy.Timeout)
 				accepted(chunk)
 			case addrCtx.Err() != nil:
-				pause.Reset() // it has moved, or the node ends
+				pause.Reset() // the address has changed, or the node stops
 			default:
 				serverIndex++
 				if errors.Is(err, context.DeadlineExceeded) {
@@ -103,7 +104,7 @@
 	}
 }
 
-// post makes one post of notices, an object a line.
+// post sends notices in one request, one JSON object per line.
 func post(ctx context.Context, client *http.Client, addr string, batch []Notice, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/outbox/outbox_test.go
+++ b/internal/outbox/outbox_test.go
@@ -14,8 +14,8 @@
 	"harrierramp/internal/listwatch"
 )
 
-// A backlog of notices, as after a long outage of the platform, goes out whole in bodies that the protocol
-// allows, and each is settled once.
+// A backlog of notices, as after a long outage of the platform, is delivered completely in bodies within the
+// protocol's size limit, and each notice is reported as accepted once.
 func TestNoticeBacklogStaysWithinBodyLimit(t *testing.T) {
 	const count = 100
 	sizes := make(chan int, count)
@@ -44,17 +44,18 @@
 		}
 	})
 	if accepted != count {
-		t.Errorf("%d of %d notices settled", accepted, count)
+		t.Errorf("%d of %d notices accepted", accepted, count)
 	}
 	close(sizes)
 	for n := range sizes {
 		if n > maxPostBytes {
-			t.Errorf("a body of %d bytes", n)
+			t.Errorf("a body of %d bytes is over the limit", n)
 		}
 	}
 }
 
-// A list service that takes longer than usual for every post hears of a notice a few times at most, and not for ever.
+// A list service that takes longer than the first timeout for every post gets a notice twice at most, not for
+// ever.
 func TestSlowListServiceGetsLongerTimeout(t *testing.T) {
 	posts := make(chan struct{}, 100)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -73,6 +74,6 @@
 		cancel()
 	})
 	if accepted != 1 || len(posts) > 2 {
-		t.Errorf("%d settled after %d posts", accepted, len(posts))
+		t.Errorf("%d accepted after %d posts", accepted, len(posts))
 	}
 }
--- a/internal/pausemonitor/pausemonitor.go
+++ b/internal/pausemonitor/pausemonitor.go
@@ -1,37 +1,43 @@
-// Package gap tells a process that it did not run for a while: it was stopped, swapped out, or its machine was. What it
-// knew may be long out of date then, though its own clock and connections look as ever, so it looks before it acts. It is
-// stepped with explicit time and does no input or output.
+// Package pausemonitor detects that the process did not run for a while, because it was stopped or swapped out,
+// or its machine was suspended. What the process knows may be long out of date then, although its own clock and
+// connections look normal, so it has to hear from the outside again before it acts. The package gets the time
+// as an argument and does no input or output.
 package pausemonitor
 
 import "time"
 
 const (
-	// After is how late a tick may come. A process that has its share of a core is never so late.
+	// MinPause is the time between two steps above which the process counts as paused. A process that gets its
+	// share of a core never takes that long.
 	MinPause = time.Second
-	// Tick is how often Step has to be asked, and Soon how often while it is blind.
+	// StepInterval is how often Step has to be called, and StaleStepInterval how often while the monitor is
+	// stale.
 	StepInterval      = 250 * time.Millisecond
 	StaleStepInterval = 50 * time.Millisecond
-	// Settle is how long after a gap something that is heard may have been sent before its end: it lay in a buffer.
+	// ReceiveDelay is how long after the end of a pause received data may have been sent before it: the data
+	// was in a buffer.
 	ReceiveDelay = 100 * time.Millisecond
-	// Bound is the longest that a process waits to hear something: an outage of whoever it listens to stops nothing.
+	// MaxStale is the longest that a process waits for newer data, so that an outage of the sender of that data
+	// does not stop it.
 	MaxStale = 1500 * time.Millisecond
 )
 
-// Gap watches the ticks of one process. The zero value has seen none.
+// Monitor detects pauses from the times at which Step is called. The zero value is ready for use.
 //
-// Invariant: it is blind only between the end of a gap and the first thing heard that was said after it, and for Bound at
-// most.
+// Invariant: a monitor is stale only between the end of a pause and the first data received that was sent after
+// it, and for MaxStale at most.
 type Monitor struct {
 	lastStep    time.Duration
 	stepped     bool
 	stale       bool
-	pauseEnd    time.Duration // the end of the gap
-	pauseLength time.Duration // how long it was
-	Pauses      int64         // gaps
+	pauseEnd    time.Duration // end of the last pause
+	pauseLength time.Duration // length of the last pause
+	Pauses      int64         // number of pauses
 }
 
-// Step notes that the process runs at a moment, and when it last heard of what it acts on. changed is whether it has just
-// become blind, or no longer is; missed is how long the gap was in the former case.
+// Step records that the process runs at time now, and that it last received data about what it acts on at
+// lastHeard. changed reports whether the monitor has just become stale or has just ceased to be. paused is the
+// length of the pause that this step has detected, or 0.
 func (m *Monitor) Step(now, lastHeard time.Duration) (changed bool, paused time.Duration) {
 	if m.stepped && now-m.lastStep > MinPause {
 		paused = now - m.lastStep
@@ -45,8 +51,8 @@
 	return changed, paused
 }
 
-// Lain is how long something that was read at a moment may have lain unread, since the process did not run: what is read
-// soon after a gap may have come at its beginning.
+// UnreadFor returns how long data that was read at readAt may have been unread in a buffer because the process
+// did not run: data that is read during or soon after a pause may have arrived at its beginning.
 func (m *Monitor) UnreadFor(readAt time.Duration) time.Duration {
 	if readAt <= m.pauseEnd-m.pauseLength || readAt > m.pauseEnd+ReceiveDelay {
 		return 0
@@ -54,10 +60,10 @@
 	return m.pauseLength
 }
 
-// Blind tells whether nothing new may be begun on what was known.
+// Stale reports whether the process must not start anything new on the basis of what it knew before the pause.
 func (m *Monitor) Stale() bool { return m.stale }
 
-// Wait is when Step has to be asked again at the latest.
+// UntilNextStep returns the time until Step has to be called again at the latest.
 func (m *Monitor) UntilNextStep(now time.Duration) time.Duration {
 	next := StepInterval
 	if m.stale {
--- a/internal/pausemonitor/pausemonitor_test.go
+++ b/internal/pausemonitor/pausemonitor_test.go
@@ -11,22 +11,25 @@
 
 func TestPauseDetection(t *testing.T) {
 	for name, c := range map[string]struct {
-		gap   time.Duration   // after a second of ticks
-		heard []time.Duration // after its end
-		blind time.Duration   // for so long after it, in steps of 50 ms
+		// Pause after one second of regular steps.
+		gap time.Duration
+		// Times after the end of the pause at which data is received.
+		heard []time.Duration
+		// How long the monitor stays stale after the pause, in steps of 50 ms.
+		blind time.Duration
 	}{
-		"none":                       {0, nil, 0},
-		"a late tick":                {900 * ms, nil, 0},
-		"nobody is heard":            {10 * time.Second, nil, MaxStale},
-		"something lay in a buffer":  {10 * time.Second, []time.Duration{10 * ms}, MaxStale},
-		"something is said after it": {10 * time.Second, []time.Duration{10 * ms, 240 * ms}, 250 * ms},
-		"a minute":                   {time.Minute, []time.Duration{150 * ms}, 150 * ms},
+		"none":                   {0, nil, 0},
+		"a late step":            {900 * ms, nil, 0},
+		"nothing is received":    {10 * time.Second, nil, MaxStale},
+		"data was in a buffer":   {10 * time.Second, []time.Duration{10 * ms}, MaxStale},
+		"data was sent after it": {10 * time.Second, []time.Duration{10 * ms, 240 * ms}, 250 * ms},
+		"a minute":               {time.Minute, []time.Duration{150 * ms}, 150 * ms},
 	} {
 		var m Monitor
 		now := time.Duration(0)
 		for ; now <= time.Second; now += 50 * ms {
 			if changed, _ := m.Step(now, now); changed || m.Stale() {
-				t.Fatalf("%s: blind at %v", name, now)
+				t.Fatalf("%s: stale at %v", name, now)
 			}
 		}
 		now += c.gap - 50*ms
@@ -49,16 +52,17 @@
 		}
 		for at, want := range map[time.Duration]time.Duration{before - ms: 0, end - ms: wantUnread, end + ReceiveDelay: wantUnread, end + ReceiveDelay + ms: 0} {
 			if got := m.UnreadFor(at); got != want {
-				t.Errorf("%s: what is read %v after its end may have lain for %v, want %v", name, at-end, got, want)
+				t.Errorf("%s: data read %v after the end may have been unread for %v, want %v", name, at-end, got, want)
 			}
 		}
 		if staleFor != c.blind {
-			t.Errorf("%s: blind for %v, want %v", name, staleFor, c.blind)
+			t.Errorf("%s: stale for %v, want %v", name, staleFor, c.blind)
 		}
 	}
 }
 
-// Whatever the ticks and whatever is heard: never blind for longer than the bound while it runs, never without a gap.
+// For any sequence of steps and received data, a running monitor is never stale for longer than MaxStale, and
+// never without a pause.
 func TestStalePeriodIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var m Monitor
@@ -75,10 +79,10 @@
 			}
 			m.Step(now, heard)
 			if m.Pauses != pauses || m.Stale() && (pauses == 0 || now-since >= MaxStale) || pause > MinPause && i > 0 && !m.Stale() {
-				t.Fatalf("%d gaps of %d, blind %v, %v after the last", m.Pauses, pauses, m.Stale(), now-since)
+				t.Fatalf("%d pauses of %d, stale %v, %v after the last", m.Pauses, pauses, m.Stale(), now-since)
 			}
 			if wait := m.UntilNextStep(now); wait <= 0 || wait > StepInterval {
-				t.Fatalf("it wants to be asked after %v", wait)
+				t.Fatalf("the next step is due in %v", wait)
 			}
 		}
 	})
--- a/internal/statedir/statedir.go
+++ b/internal/statedir/statedir.go
@@ -1,4 +1,5 @@
-// Package statedir says whose a lasting folder is, so that a node does not take another's messages for its own.
+// Package statedir records which node a state folder belongs to, so that no node takes another node's messages
+// for its own.
 package statedir
 
 import (
@@ -14,30 +15,31 @@
 
 const (
 	identityFile = "node.json"
-	// Format is that of everything in the folder. It rises when an older build could not read what a newer one writes.
+	// Format is the version of the format of all files in the folder. It is raised when older builds cannot
+	// read what a newer build writes.
 	Format           = 1
 	maxIdentityBytes = 4 << 10
 )
 
-// identity is the folder's mark.
+// identity is the content of the file that marks the folder.
 type identity struct {
 	Format int    `json:"format"`
 	Node   string `json:"node"`
 }
 
-// Check tells whether a node of this name may use the folder. It changes nothing. A folder without a mark, as builds
-// before it left them, is anybody's.
+// Check returns an error unless a node of this name may use the folder. It changes nothing. Any node may use a
+// folder without a mark, as builds left it that did not write marks yet.
 func Check(dir, node string) error {
 	info, err := os.Stat(dir)
 	switch {
 	case dir == "":
-		return errors.New("no state folder is named: set state, or ROUTER_STATE")
+		return errors.New("no state folder is configured: set state, or ROUTER_STATE")
 	case errors.Is(err, os.ErrNotExist):
-		return fmt.Errorf("state folder %s does not exist; make it, or mend state in the configuration", dir)
+		return fmt.Errorf("state folder %s does not exist; create it, or correct state in the configuration", dir)
 	case err != nil:
 		return fmt.Errorf("state folder: %w", err)
 	case !info.IsDir():
-		return fmt.Errorf("state folder %s is a file", dir)
+		return fmt.Errorf("state folder %s is not a directory", dir)
 	}
 	f, err := os.Open(filepath.Join(dir, identityFile))
 	if errors.Is(err, os.ErrNotExist) {
@@ -53,10 +55,10 @@
 	}
 	var id identity
 	if err := json.Unmarshal(raw, &id); err != nil {
-		return fmt.Errorf("state folder %s: %s can't be read (%w); if the folder is this node's, remove that file", dir, identityFile, err)
+		return fmt.Errorf("state folder %s: %s is malformed (%w); if the folder belongs to this node, remove that file", dir, identityFile, err)
 	}
 	if id.Format > Format {
-		return fmt.Errorf("state folder %s has format %d of a newer version, and this one reads %d; start the newer version", dir, id.Format, Format)
+		return fmt.Errorf("state folder %s has format %d of a newer version, and this version reads up to %d; start the newer version", dir, id.Format, Format)
 	}
 	if id.Node != node {
 		return fmt.Errorf("state folder %s belongs to node %q, not to %q; give each node a folder of its own", dir, id.Node, node)
@@ -64,7 +66,7 @@
 	return nil
 }
 
-// Mark makes the folder the node's, after Check.
+// Mark records that the folder belongs to the node. Check must have succeeded before.
 func Mark(dir, node string) error {
 	raw, err := json.Marshal(identity{Format, node})
 	if err != nil {
