--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -12,7 +12,7 @@
 	"harrierramp/internal/testkit"
 )
 
-// figureOf reads one figure at a door.
+// metricValue returns the value of a metric from a node's admin API, or "" if it is not there.
 func metricValue(t *testing.T, adminAddr, name string) string {
 	t.Helper()
 	_, body := testkit.CallAdmin(t, adminAddr, "GET", "/ops/stats")
@@ -35,7 +35,7 @@
 	t.Errorf("%s: got %q, want %q", name, got, want)
 }
 
-// The figures say what the clients, the endpoint and the platform saw.
+// The metrics agree with what the clients, the endpoint and the platform observed.
 func TestMetricsMatchWhatPeersSaw(t *testing.T) {
 	t.Parallel()
 	answers := make(chan string, 3)
@@ -49,15 +49,16 @@
 	mustAnswer(t, addr, testkit.EnqueueRequest("a", statusFields, ""), "+OK")
 	p.Next(t)
 	mustMetric(t, adminAddr, "router.active", "1|g")
-	answers <- "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n" // and once more
+	answers <- "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n" // then the retry
 	answers <- testkit.DeliveredResponse
 	p.Next(t)
 	mustMetric(t, adminAddr, "router.ok.status", "1|c")
 	mustAnswer(t, addr, testkit.EnqueueRequest("b", payoutFields, ""), "+OK")
-	answers <- "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n" // it may have run and must not again
-	testkit.Eventually(t, "the failure is told", func() bool { return r.noticeState("b") == "failed" })
+	// The message may have been delivered and must not be sent again.
+	answers <- "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n"
+	testkit.Eventually(t, "the notice of the failure arrives", func() bool { return r.noticeState("b") == "failed" })
 	mustAnswer(t, addr, testkit.EnqueueRequest("c", "c=order,d=50000,dest=99", ""), "-ERR unknown destination")
-	for i := range 5 { // four fit, at an endpoint that takes nothing
+	for i := range 5 { // four fit; their endpoint is draining and gets no calls
 		want := "+OK"
 		if i == 4 {
 			want = "-BUSY"
@@ -76,6 +77,6 @@
 	fmt.Sscanf(metricValue(t, adminAddr, "router.shed.status"), "%d|c", &shed)
 	fmt.Sscanf(metricValue(t, adminAddr, "router.active"), "%d|g", &active)
 	if shed+active != 5 || active == 0 || shed == 0 {
-		t.Errorf("of five messages %d were shed and %d are held", shed, active)
+		t.Errorf("of five messages %d were shed and %d are open", shed, active)
 	}
 }
--- a/internal/node/duplicate_test.go
+++ b/internal/node/duplicate_test.go
@@ -9,8 +9,8 @@
 	"harrierramp/internal/ingress"
 )
 
-// A message that is handed in twice within one step is told the same twice: before, the second was told that it is taken on
-// while the first was refused, and nobody had it.
+// All submissions of a message within one step get the same answer. Once, the second was answered as accepted
+// while the first was refused, and the message was lost.
 func TestDuplicatesInOneStepGetSameAnswer(t *testing.T) {
 	for name, c := range map[string]struct {
 		life    time.Duration
@@ -41,7 +41,7 @@
 			n.processBatch(t.Context(), batch)
 			for i, r := range replies {
 				if got := <-r; got.Refused != c.refused {
-					t.Errorf("hand-in %d of 3 is told %+v", i+1, got)
+					t.Errorf("submission %d of 3 got %+v", i+1, got)
 				}
 			}
 			if held := n.messages["x"] != nil; held == c.refused {
--- a/internal/node/estimates_test.go
+++ b/internal/node/estimates_test.go
@@ -11,12 +11,12 @@
 	"harrierramp/internal/config"
 )
 
-// What was learnt comes back as it was, with its age; what is cut, flipped, old or from the future does not, and nothing
-// is larger than its room.
+// Estimates are restored unchanged, with their age. A file that is truncated, corrupt, too old or from the
+// future is not used, and no file exceeds the size limit.
 func TestEstimatesAreRestoredUnlessCorruptOrOld(t *testing.T) {
 	l, now := newEstimateStore(config.Config{StateDir: t.TempDir()}), time.UnixMilli(time.Now().UnixMilli())
 	if _, ok, err := l.read(now); ok || err != nil {
-		t.Fatalf("nothing was written: %v, %v", ok, err)
+		t.Fatalf("nothing was written, got %v, %v", ok, err)
 	}
 	want := choice.Memory{Dests: []choice.RememberedDest{{ID: 7, Average: 1.5, Baseline: 0.25, Routes: []choice.RememberedRoute{
 		{Endpoint: "e", PenalizedLatency: 2, SmoothedLatency: 0.5, LimitShare: 0.75, ColdFor: time.Second},
@@ -30,7 +30,7 @@
 	}
 	for _, at := range []time.Time{now.Add(-time.Second), now.Add(time.Hour)} {
 		if _, ok, _ := l.read(at); ok {
-			t.Errorf("used at %v of its writing", at.Sub(now))
+			t.Errorf("used %v after it was written", at.Sub(now))
 		}
 	}
 	whole, err := os.ReadFile(l.path)
@@ -44,25 +44,25 @@
 			t.Fatal(err)
 		}
 		if got, ok, err := l.read(now); ok && err == nil && fmt.Sprint(got.Memory) != fmt.Sprint(want) {
-			t.Fatalf("byte %d flipped: %+v is used", i, got)
+			t.Fatalf("byte %d flipped, and %+v is used", i, got)
 		}
 		if err := os.WriteFile(l.path, whole[:i], 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if _, ok, err := l.read(now); ok || err == nil {
-			t.Fatalf("cut at %d, and used", i)
+			t.Fatalf("truncated to %d bytes, and used", i)
 		}
 	}
 	for i := range int(l.maxBytes/100) + 1 {
 		want.Dests = append(want.Dests, choice.RememberedDest{ID: i, Routes: []choice.RememberedRoute{{Endpoint: strings.Repeat("x", 100)}}})
 	}
 	if err := l.write(want, now); err == nil {
-		t.Error("more than its room is written")
+		t.Error("a file above the size limit was written")
 	}
 }
 
-// What a sender has learnt of 1,024 destinations with an endpoint each, of long names and with every value there, has room on
-// the disk that the platform gives, and comes back.
+// The estimates of 1,024 destinations with one endpoint each, with long names and all values set, fit on the
+// disk that the platform provides, and are restored.
 func TestEstimatesOf1024DestinationsFitOnDisk(t *testing.T) {
 	cfg := choice.Settings{Classes: []choice.Class{{Deadline: time.Minute}}, Slots: 2000, MaxOpenMessages: 4000, WeightIsRate: true}
 	s := choice.New(cfg, 1)
--- a/internal/node/largest_journal_test.go
+++ b/internal/node/largest_journal_test.go
@@ -9,8 +9,8 @@
 	"harrierramp/internal/testkit"
 )
 
-// A process that finds the largest journal that its disk allows, of small messages or of large ones, is ready in a small part
-// of the 10 s that the platform gives it, and all that it found untried goes out.
+// A process that starts with the largest journal that its disk allows, of small or of large messages, is ready
+// within the 10 s that the platform allows, and attempts all messages that were never attempted.
 func TestLargestJournalIsReplayedWithinStartLimit(t *testing.T) {
 	t.Parallel()
 	for name, size := range map[string]int{"small": 1, "large": 60 << 10} {
@@ -22,7 +22,7 @@
 				ID: fmt.Sprint("m", found), Class: 0, Tenant: -1, Dest: 7, Body: make([]byte, size), Deadline: time.Now().Add(time.Minute),
 			})
 			if err != nil {
-				break // there is no more room
+				break // the journal is full
 			}
 			flushJournal(t, j)
 		}
@@ -31,14 +31,14 @@
 		}
 		p, r := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newFakeDiscovery(t)
 		began := time.Now()
-		startChild(t, r, state, memberJSON("e", p.Addr(), 7, "SERVING")) // answers PING with PONG
+		startChild(t, r, state, memberJSON("e", p.Addr(), 7, "SERVING")) // returns once the node answers PING with PONG
 		took := time.Since(began)
 		t.Logf("%s: %d messages found, ready after %v", name, found, took)
 		if took > 10*time.Second || found < 20 {
 			t.Errorf("%s: ready after %v, %d messages found", name, took, found)
 		}
 		seen := map[string]bool{}
-		testkit.Eventually(t, "all that was found untried is tried", func() bool {
+		testkit.Eventually(t, "all messages are attempted", func() bool {
 			select {
 			case req := <-p.Received:
 				seen[req.Header.Get("X-Trace-Id")] = true
--- a/internal/node/listservice_test.go
+++ b/internal/node/listservice_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// Whichever server ends, lags or is gone, the node goes to the next.
+// When a list server ends the watch, lags or is unreachable, the node goes on to the next one.
 func TestWatchFailsOverToNextServer(t *testing.T) {
 	stale := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprintln(w, `{"revision":3,"complete":true,"members":[]}`)
@@ -58,7 +58,7 @@
 		gone, stale.Listener.Addr().String(), good.Listener.Addr().String(),
 	}}}, slog.New(slog.NewTextHandler(t.Output(), nil)))
 	n.listRevision = 10
-	for first := ""; first != gone; { // a node begins with any of them
+	for first := ""; first != gone; { // a node begins with a random one
 		n.discovery = listwatch.NewAddresses(n.cfg.Registry.Addresses)
 		var done context.CancelFunc
 		first, _, done = n.discovery.Pick(ctx, 0)
@@ -71,7 +71,7 @@
 		w.Run(ctx, n.listRevision)
 	}()
 	if l := <-told; l.Revision != 110 {
-		t.Errorf("revision %d is told", l.Revision)
+		t.Errorf("got revision %d", l.Revision)
 	}
 	cancel()
 	<-done
@@ -90,7 +90,8 @@
 	}
 }
 
-// The kept list, what was learnt, their copies while they are replaced, and the journal have room within the limit.
+// The cached list, the estimates, their copies while they are being replaced, and the journal fit into the disk
+// limit.
 func TestDiskLimitIsDividedWithoutOverlap(t *testing.T) {
 	for _, mb := range []float64{0, 1, 3, 100} {
 		for _, service := range []*config.ListService{nil, {}, {KeepList: true}} {
@@ -102,7 +103,7 @@
 			}
 			keeps := service != nil && service.KeepList
 			if sum := journalMB(c) + 2*float64(listCacheBytes(c)+estimatesBytes(c))/(1<<20); sum != all || keeps != (listCacheBytes(c) > 0) || keeps != (newListCache(c) != nil) {
-				t.Errorf("%v MB: %v for the journal and twice %d and %d bytes", mb, journalMB(c), listCacheBytes(c), estimatesBytes(c))
+				t.Errorf("%v MB: %v MB for the journal, and twice %d and %d bytes", mb, journalMB(c), listCacheBytes(c), estimatesBytes(c))
 			}
 		}
 	}
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -17,15 +17,15 @@
 	"harrierramp/internal/testkit"
 )
 
-// fleetOf are nodes of a test that know each other's addresses.
+// testFleet is a set of nodes in this process that know each other's addresses.
 type testFleet struct {
 	t          *testing.T
 	discovery  *fakeDiscovery
 	peers      []string
 	stateDirs  []string
 	adminAddrs []string
-	kill       []func() // as SIGKILL would: nobody is told
-	stop       []func() // as SIGTERM does
+	kill       []func() // as SIGKILL would: no other node is notified
+	stop       []func() // as SIGTERM would
 }
 
 func newTestFleet(t *testing.T, size int) *testFleet {
@@ -33,7 +33,7 @@
 	f := &testFleet{
 		t: t, discovery: newFakeDiscovery(t), adminAddrs: make([]string, size), kill: make([]func(), size), stop: make([]func(), size),
 	}
-	t.Cleanup(func() { // together, for each takes its time to leave
+	t.Cleanup(func() { // in parallel, because each takes some time to stop
 		var stopping sync.WaitGroup
 		for _, stop := range f.stop {
 			if stop != nil {
@@ -54,7 +54,7 @@
 	return f
 }
 
-// config is that of a node, with some sections beside the usual ones.
+// config writes a configuration of node i with additional sections, and returns its path.
 func (f *testFleet) config(i int, sections string) string {
 	f.t.Helper()
 	settings := strings.Replace(testSettings, `"fleetSize":1`, fmt.Sprintf(`"fleetSize":%d,"myNumber":%d`, len(f.peers), i), 1)
@@ -101,12 +101,12 @@
 		stopAdmin()
 	})
 	testkit.Eventually(f.t, "the node serves", func() bool { return n.NotReadyReason() == "" })
-	f.kill[i] = func() { // the others hear no more of it, nor it of them
+	f.kill[i] = func() { // it no longer exchanges datagrams with the others
 		n.peers.close()
 	}
 }
 
-// view is what a node's door shows.
+// view returns node i's view of the fleet from its admin API.
 func (f *testFleet) view(i int) (v admin.MembershipView) {
 	f.t.Helper()
 	code, body := testkit.CallAdmin(f.t, f.adminAddrs[i], "GET", "/ops/members")
@@ -127,7 +127,7 @@
 		f.start(i)
 	}
 	for i := range 4 {
-		testkit.Eventually(t, "all hear of all, and agree", func() bool {
+		testkit.Eventually(t, "all nodes see all others alive, and agree", func() bool {
 			v := f.view(i)
 			for k, m := range v.Members {
 				if m.State != "alive" || m.Incarnation == 0 || m.Addr != f.peers[k] || (k != i && m.HeardMS == nil) {
@@ -160,14 +160,14 @@
 	}
 	f.start(2)
 	for i := range 2 {
-		testkit.Eventually(t, "it is back without its folder", func() bool {
+		testkit.Eventually(t, "it is back after its incarnation file was lost", func() bool {
 			m := f.view(i).Members[2]
 			return m.State == "alive" && m.Incarnation > before
 		})
 	}
 	code, body := testkit.CallAdmin(t, f.adminAddrs[0], "GET", "/ops/stats")
 	if code != 200 || !strings.Contains(body, "router.members_present:3|g") || !strings.Contains(body, "router.members_strangers:0|c") {
-		t.Errorf("figures: %d %s", code, body)
+		t.Errorf("metrics: %d %s", code, body)
 	}
 }
 
@@ -180,7 +180,7 @@
 		t.Fatal(err)
 	}
 	defer stranger.Close()
-	testkit.Eventually(t, "a stranger is counted", func() bool {
+	testkit.Eventually(t, "the datagram is counted", func() bool {
 		if _, err := stranger.Write([]byte("M")); err != nil {
 			t.Fatal(err)
 		}
@@ -196,7 +196,7 @@
 		t.Errorf("members: %d %s", code, body)
 	}
 	if _, body := testkit.CallAdmin(t, adminAddr, "GET", "/ops/stats"); strings.Contains(body, "members_") {
-		t.Errorf("figures: %s", body)
+		t.Errorf("metrics: %s", body)
 	}
 }
 
@@ -220,31 +220,32 @@
 	}
 	f.peers = f.peers[:2]
 	if _, err := loadConfig(f.config(1, `,"membership":{},"settings":{"myNumber":2,"limits":{"mayTell":true}}`), t.TempDir()); err == nil {
-		t.Error("a number that is none of the peers")
+		t.Error("a node number without an entry in peers was accepted")
 	}
 }
 
-// During an upgrade two processes have one address: for the others it is a restart, and nobody is gone.
+// During an upgrade two processes share one address. To the other nodes it must look like a restart, not like a
+// death.
 func TestUpgradeIsNotReportedAsDeath(t *testing.T) {
 	t.Parallel()
 	f := newTestFleet(t, 3)
 	for i := range 3 {
 		f.start(i)
 	}
-	testkit.Eventually(t, "all hear of all", func() bool { return f.view(1).Members[0].HeardMS != nil })
+	testkit.Eventually(t, "node 1 has heard from node 0", func() bool { return f.view(1).Members[0].HeardMS != nil })
 	stop, before := f.stop[0], f.view(0).Incarnation
-	f.start(0) // beside the other, on its folder
+	f.start(0) // a second process on the same state folder
 	stop()
 	for i := 1; i < 3; i++ {
 		testkit.Eventually(t, "the new process is known", func() bool {
 			m := f.view(i).Members[0]
 			if m.State == "dead" || m.State == "left" {
-				t.Errorf("it is held for %s", m.State)
+				t.Errorf("it is seen as %s", m.State)
 			}
 			return m.Incarnation > before
 		})
 		if got := f.view(i); got.Members[0].State != "alive" {
-			t.Errorf("it is held for %s", got.Members[0].State)
+			t.Errorf("it is seen as %s", got.Members[0].State)
 		}
 	}
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// registry is discovery on a loopback socket: lists go to whoever watches, notices are kept.
+// fakeDiscovery is discovery on a loopback socket. It sends lists to all watchers and stores notices.
 type fakeDiscovery struct {
 	srv *httptest.Server
 
@@ -53,9 +53,9 @@
 	listAdded     chan struct{} // closed when lists grows
 	watches       int
 	posts         int
-	refusePosts   int // so many posts of notices are answered 503
+	refusePosts   int // number of posts of notices to answer with 503
 	notices       []map[string]any
-	watchCtx      context.Context // ends the watches that are open
+	watchCtx      context.Context // ends the open watches when cancelled
 	cancelWatches context.CancelFunc
 }
 
@@ -125,7 +125,7 @@
 	r.listAdded = make(chan struct{})
 }
 
-// state is what the notices said of a message, "" while there was none.
+// noticeState returns the state of a message according to its notice, or "" if there was no notice yet.
 func (r *fakeDiscovery) noticeState(id string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -155,7 +155,7 @@
 	"limits":{"cancel":true,"connIdle":5000,"dialTimeout":1000,"maxAttempts":12,"maxOpen":4,"maxRetryAfter":3000,"mayDuplicate":true,"retryAfter":true},
 	"tick":5,"weights":"rough"}`
 
-// loadConfig reads a configuration as the platform starts a node.
+// loadConfig reads a configuration as a node does that the platform starts.
 func loadConfig(path, state string) (config.Config, error) {
 	l, err := config.Load(config.Sources{File: path, Env: func(name string) string {
 		if name == "ROUTER_STATE" {
@@ -189,7 +189,7 @@
 	return addr, stop
 }
 
-// startOperated does, and tells where its door is.
+// startNodeWithAdmin does the same and also returns the address of the admin API.
 func startNodeWithAdmin(t *testing.T, r *fakeDiscovery, state string, known ...string) (addr, adminAddr string, stop func()) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -231,7 +231,8 @@
 	}
 }
 
-// Worth beyond a tenant's share counts little: the module has to know whose a message is, after a restart too.
+// The sender lowers the worth of messages beyond a tenant's share, so it must know the tenant, also after a
+// restart.
 func TestTenantReachesSenderAlsoAfterRestart(t *testing.T) {
 	q := ingress.Request{ID: "a", Tenant: 1, Dest: 7, TTL: 50 * time.Second, ReceivedAt: time.Now()}
 	state := t.TempDir()
@@ -265,11 +266,11 @@
 	}
 	stop()
 	if j := openJournalAt(t, state); len(j.Unsettled()) != 0 {
-		t.Errorf("%d live after delivery", len(j.Unsettled()))
+		t.Errorf("%d in the journal after delivery", len(j.Unsettled()))
 	}
 }
 
-// held is the list of a destination that is known and has no endpoint to send to.
+// drainingMember is a list member that makes destination 7 known without an endpoint that gets calls.
 func drainingMember() string { return memberJSON("e0", "127.0.0.1:9", 7, "DRAINING") }
 
 func TestDuplicateIsAcceptedOnceAndOpenMessagesAreBounded(t *testing.T) {
@@ -277,12 +278,12 @@
 	p, r := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newFakeDiscovery(t)
 	addr, _ := startNode(t, r, t.TempDir(), drainingMember())
 	mustAnswer(t, addr, testkit.EnqueueRequest("a", statusFields, "x"), "+OK")
-	mustAnswer(t, addr, testkit.EnqueueRequest("a", statusFields, "x"), "+OK") // the same one again
+	mustAnswer(t, addr, testkit.EnqueueRequest("a", statusFields, "x"), "+OK") // a duplicate of the same message
 	answers := map[string]int{}
 	for i := range 6 {
 		answers[strings.Fields(testkit.Exchange(t, addr, testkit.EnqueueRequest("m"+strconv.Itoa(i), statusFields, "x")))[0]]++
 	}
-	if answers["-BUSY"] < 3 || answers["+OK"] < 1 { // four may be held in all
+	if answers["-BUSY"] < 3 || answers["+OK"] < 1 { // at most four messages may be open
 		t.Errorf("got %v", answers)
 	}
 	r.publish(listJSON(2, false, memberJSON("e", p.Addr(), 7, "SERVING")))
@@ -303,13 +304,14 @@
 	first.Next(t)
 	for i, l := range []string{
 		listJSON(2, false, memberJSON("e1", first.Addr(), 7, "DRAINING"), memberJSON("e2", second.Addr(), 7, "SERVING")),
-		listJSON(3, true, memberJSON("e1", first.Addr(), 7, "SERVING")), // e2 is not in it, and so gone
+		listJSON(3, true, memberJSON("e1", first.Addr(), 7, "SERVING")), // e2 is not in it, and so removed
 	} {
 		from, other := []*testkit.Partner{second, first}[i], []*testkit.Partner{first, second}[i]
 		before, _ := other.Counts()
 		r.publish(l)
 		sentOn := func() bool {
-			// Until the list has come the other one is right; from the first call on the new one only it is.
+			// Calls to the old endpoint are right until the new list is in force. After the first call to the
+			// new endpoint there must be no more.
 			mustAnswer(t, addr, testkit.EnqueueRequest(fmt.Sprintf("m%d", time.Now().UnixNano()), statusFields, ""), "+OK")
 			select {
 			case <-from.Received:
@@ -321,15 +323,15 @@
 				return false
 			}
 		}
-		testkit.Eventually(t, "the new list is followed", sentOn)
+		testkit.Eventually(t, "the new list is in force", sentOn)
 		after, _ := other.Counts()
 		for range 5 {
 			if !sentOn() {
-				t.Error("a call went to the endpoint that is drained or gone")
+				t.Error("a call went to an endpoint that is draining or removed")
 			}
 		}
 		if now, _ := other.Counts(); now != after || before > after {
-			t.Errorf("%d calls more", now-after)
+			t.Errorf("%d calls to the old endpoint", now-after)
 		}
 	}
 }
@@ -348,7 +350,7 @@
 			return true
 		}
 		if early := wait - time.Since(told); early > 0 {
-			t.Errorf("a call came %v early", early)
+			t.Errorf("a call arrived %v before the end of Retry-After", early)
 		}
 		return testkit.RespondWith(testkit.DeliveredResponse)(nc, nil)
 	})
@@ -356,7 +358,7 @@
 	addr, _ := startNode(t, r, t.TempDir(), memberJSON("e", p.Addr(), 7, "SERVING"))
 	mustAnswer(t, addr, testkit.EnqueueRequest("a", payoutFields, ""), "+OK")
 	p.Next(t)
-	time.Sleep(100 * time.Millisecond) // what crosses the answer is let through for so long
+	time.Sleep(100 * time.Millisecond) // calls that cross the response are tolerated for this long
 	mustAnswer(t, addr, testkit.EnqueueRequest("b", statusFields, ""), "+OK")
 	p.Next(t)
 	p.Next(t)
@@ -374,12 +376,12 @@
 		}
 	}
 	testkit.Eventually(t, "a watch", watching(1))
-	mustAnswer(t, addr, testkit.EnqueueRequest("a", statusFields, ""), "+OK") // without discovery all goes on
+	mustAnswer(t, addr, testkit.EnqueueRequest("a", statusFields, ""), "+OK") // the node works without discovery
 	r.mu.Lock()
 	r.cancelWatches()
 	r.watchCtx, r.cancelWatches = context.WithCancel(context.Background())
 	r.mu.Unlock()
-	testkit.Eventually(t, "the watch is taken up again", watching(2))
+	testkit.Eventually(t, "a new watch is opened", watching(2))
 	r.publish(listJSON(2, true, memberJSON("e", p.Addr(), 7, "SERVING")))
 	p.Next(t)
 }
@@ -390,7 +392,7 @@
 	r.refusePosts = 2
 	state := t.TempDir()
 	addr, stop := startNode(t, r, state, memberJSON("e", p.Addr(), 7, "SERVING"), memberJSON("h", "127.0.0.1:9", 8, "DRAINING"))
-	mustAnswer(t, addr, testkit.EnqueueRequest("unsafe", payoutFields, ""), "+OK") // it may have run: failed
+	mustAnswer(t, addr, testkit.EnqueueRequest("unsafe", payoutFields, ""), "+OK") // it may have been executed: failed
 	mustAnswer(t, addr, testkit.EnqueueRequest("short", "c=status,d=300,dest=8", ""), "+OK")
 	testkit.Eventually(t, "the notice of a failure", func() bool { return r.noticeState("unsafe") == "failed" })
 	testkit.Eventually(t, "the notice of a refusal", func() bool { return r.noticeState("short") == "returned" })
@@ -399,11 +401,11 @@
 		t.Errorf("%d calls", calls)
 	}
 	if j := openJournalAt(t, state); len(j.Unsettled()) != 0 {
-		t.Errorf("%d live after their notices", len(j.Unsettled()))
+		t.Errorf("%d in the journal after their notices", len(j.Unsettled()))
 	}
 }
 
-// TestMain is the node itself when a test starts this binary as a child.
+// TestMain runs a node if a test has started this binary as a child process, and the tests otherwise.
 func TestMain(m *testing.M) {
 	child := childMain
 	switch os.Getenv("CORALYARD_TEST_CHILD") {
@@ -428,7 +430,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Println(ln.Addr()) // the parent reads where to connect
+	fmt.Println(ln.Addr()) // the parent reads the address from stdout
 	ctx, cancel := context.WithCancel(context.Background())
 	term := make(chan os.Signal, 1)
 	signal.Notify(term, syscall.SIGTERM)
@@ -472,11 +474,11 @@
 	if err := c.cmd.Process.Kill(); err != nil {
 		t.Fatal(err)
 	}
-	c.cmd.Wait() // its error says that it was killed
+	c.cmd.Wait() // the error is that it was killed
 }
 
-// Killed with a call of each effect out: what may be repeated is delivered by the next life, what may not fails
-// without another call.
+// The process is killed with one call of each effect in flight. The next process delivers the messages that may
+// be repeated, and fails the one that may not without another call.
 func TestKillWithCallsInFlight(t *testing.T) {
 	t.Parallel()
 	p, r, state := testkit.NewPartner(t, testkit.NeverRespond), newFakeDiscovery(t), t.TempDir()
@@ -506,7 +508,7 @@
 	}
 }
 
-// Killed before anything was sent: all three effects are delivered, once each, in their order.
+// The process is killed before any call: messages of all three effects are then delivered once each.
 func TestKillBeforeFirstAttempt(t *testing.T) {
 	t.Parallel()
 	p, r, state := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newFakeDiscovery(t), t.TempDir()
@@ -517,7 +519,8 @@
 	}
 	c.kill(t)
 	c = startChild(t, r, state, drainingMember())
-	mustAnswer(t, c.addr, testkit.EnqueueRequest("safe", statusFields, ""), "+OK") // handed in again: no second effect
+	// A repeated submission has no effect.
+	mustAnswer(t, c.addr, testkit.EnqueueRequest("safe", statusFields, ""), "+OK")
 	c.kill(t)
 	startChild(t, r, state, memberJSON("e", p.Addr(), 7, "SERVING"))
 	seen := map[string]int{}
@@ -532,7 +535,7 @@
 	}
 }
 
-// A journal as a kill between two records leaves it, for each effect and each record.
+// The node starts on a journal as a kill leaves it after each kind of record, for each effect.
 func TestRestartAfterEachJournalRecord(t *testing.T) {
 	t.Parallel()
 	for class, name := range []string{"safe", "keyed", "unsafe"} {
@@ -557,7 +560,7 @@
 				startNode(t, r, state, memberJSON("e", p.Addr(), 7, "SERVING"))
 				switch {
 				case records == "ended":
-					testkit.Eventually(t, "the owed notice", func() bool { return r.noticeState("a") == "returned" })
+					testkit.Eventually(t, "the outstanding notice", func() bool { return r.noticeState("a") == "returned" })
 				case name == "unsafe" && records == "attempt":
 					testkit.Eventually(t, "the failure", func() bool { return r.noticeState("a") == "failed" })
 				default:
@@ -572,8 +575,9 @@
 	}
 }
 
-// The module must hear after a restart that a destination failed before it, or it would meet one that is coming
-// back cold with the whole backlog. A call that was merely out when the process died is no such sign.
+// After a restart the sender must learn that a destination had failed before. Otherwise it would send the whole
+// backlog to a destination that has just come back and is cold. A call that was merely in flight at the kill
+// does not count as a failure.
 func TestFailedAttemptsAreKnownAfterRestart(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -617,17 +621,19 @@
 		t.Fatal(err)
 	}
 	j.RecordAttempt(late, journal.Attempt{At: time.Now().Add(-time.Minute)})
-	j.RecordAttempt(forgotten, journal.Attempt{At: time.Now().Add(-2 * time.Minute)}) // its key is remembered for one
+	// The deduplication window is one minute.
+	j.RecordAttempt(forgotten, journal.Attempt{At: time.Now().Add(-2 * time.Minute)})
 	flushJournal(t, j)
 	startNode(t, r, state, memberJSON("e", p.Addr(), 7, "SERVING"))
-	testkit.Eventually(t, "the overdue one's end", func() bool { return r.noticeState("late") == "returned" })
-	testkit.Eventually(t, "the forgotten key's end", func() bool { return r.noticeState("forgotten") == "failed" })
+	testkit.Eventually(t, "the message past its deadline ends", func() bool { return r.noticeState("late") == "returned" })
+	testkit.Eventually(t, "the message past its deduplication window ends", func() bool { return r.noticeState("forgotten") == "failed" })
 	if calls, _ := p.Counts(); calls != 0 {
 		t.Errorf("%d calls", calls)
 	}
 }
 
-// After SIGTERM clients are answered as ever, the process ends well by itself, and the next one has what was held.
+// After SIGTERM clients are still answered, the process exits without error by itself, and the next process
+// delivers the messages that were open.
 func TestSIGTERMAnswersClientsAndKeepsMessages(t *testing.T) {
 	t.Parallel()
 	p, r, state := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newFakeDiscovery(t), t.TempDir()
@@ -636,7 +642,8 @@
 	if err := c.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	for _, m := range []string{testkit.EnqueueRequest("a", statusFields, ""), testkit.EnqueueRequest("b", payoutFields, "")} { // on an old connection
+	// On a connection from before the signal.
+	for _, m := range []string{testkit.EnqueueRequest("a", statusFields, ""), testkit.EnqueueRequest("b", payoutFields, "")} {
 		if _, err := io.WriteString(nc, m); err != nil {
 			t.Fatal(err)
 		}
@@ -644,7 +651,7 @@
 			t.Fatalf("got %q, %v", line, err)
 		}
 	}
-	mustAnswer(t, c.addr, testkit.EnqueueRequest("c", orderFields, ""), "+OK") // and on a new one
+	mustAnswer(t, c.addr, testkit.EnqueueRequest("c", orderFields, ""), "+OK") // on a new connection
 	if err := c.cmd.Wait(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/overrides_test.go
+++ b/internal/node/overrides_test.go
@@ -12,8 +12,8 @@
 	"harrierramp/internal/testkit"
 )
 
-// An endpoint out by hand gets nothing: not by a list that drops and returns it, not after a restart; two calls out
-// need one call back.
+// A disabled endpoint gets no calls, even after a list drops and returns it and after a restart. Disabling it
+// twice takes only one call to enable it again.
 func TestDisabledEndpointGetsNoCalls(t *testing.T) {
 	t.Parallel()
 	p, r, state := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newFakeDiscovery(t), t.TempDir()
@@ -36,7 +36,7 @@
 	mustMetric(t, adminAddr, "router.pool_ejected", "1|g")
 	mustAnswer(t, addr, testkit.EnqueueRequest("b", statusFields, ""), "+OK")
 	if calls, _ := p.Counts(); calls != 0 {
-		t.Fatalf("%d calls at an endpoint that is out", calls)
+		t.Fatalf("%d calls to a disabled endpoint", calls)
 	}
 	testkit.MustCallAdmin(t, adminAddr, "PUT", "/ops/endpoints/up?id=e", 204)
 	p.Next(t)
@@ -45,12 +45,13 @@
 	testkit.MustCallAdmin(t, adminAddr, "PUT", "/ops/endpoints/up?id=e", 204)
 }
 
-// A change that can't be made to last gets a no, and is not in force.
+// A command that cannot be stored is refused and does not take effect.
 func TestCommandThatCannotBeStoredIsRefused(t *testing.T) {
 	t.Parallel()
 	p, r, state := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newFakeDiscovery(t), t.TempDir()
 	addr, adminAddr, _ := startNodeWithAdmin(t, r, state, memberJSON("e", p.Addr(), 7, "SERVING"))
-	if err := os.MkdirAll(filepath.Join(state, overridesFileName+".new", "x"), 0o700); err != nil { // nothing can be written there
+	// Makes writing the file fail.
+	if err := os.MkdirAll(filepath.Join(state, overridesFileName+".new", "x"), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	testkit.MustCallAdmin(t, adminAddr, "PUT", "/ops/endpoints/down?id=e", 503)
@@ -60,8 +61,8 @@
 	p.Next(t)
 }
 
-// While drained, PING says no and connections end between requests, never over one; what was taken on is
-// delivered. The end of the drain undoes all of it.
+// While the node is drained, PING is refused and connections are closed between requests, never during one.
+// Accepted messages are delivered. Ending the drain undoes all of that.
 func TestDrainClosesConnectionsBetweenRequests(t *testing.T) {
 	t.Parallel()
 	answer := make(chan struct{})
@@ -84,18 +85,18 @@
 
 	testkit.MustCallAdmin(t, adminAddr, "PUT", "/ops/drain/start", 204)
 	if got := testkit.Exchange(t, addr, testkit.EncodeRESP("PING")); got == "+PONG" {
-		t.Fatal("a drained node says yes")
+		t.Fatal("a drained node answers PING with PONG")
 	}
-	testkit.MustExchange(t, half, halfR, text[20:], "+OK") // under way at the call
+	testkit.MustExchange(t, half, halfR, text[20:], "+OK") // the request was in progress when the drain began
 	for _, br := range []*bufio.Reader{idleR, halfR} {
 		if b, err := br.ReadByte(); err != io.EOF {
-			t.Errorf("got %q, %v and no close", b, err)
+			t.Errorf("got %q, %v instead of the end of the connection", b, err)
 		}
 	}
-	late, lateR := testkit.Dial(t, addr) // one that came all the same is served, and ends
+	late, lateR := testkit.Dial(t, addr) // a connection that is opened nevertheless is served once and closed
 	testkit.MustExchange(t, late, lateR, testkit.EnqueueRequest("c", statusFields, ""), "+OK")
 	if b, err := lateR.ReadByte(); err != io.EOF {
-		t.Errorf("got %q, %v and no close", b, err)
+		t.Errorf("got %q, %v instead of the end of the connection", b, err)
 	}
 	close(answer)
 	mustMetric(t, adminAddr, "router.ok.status", "3|c")
@@ -108,7 +109,7 @@
 	mustMetric(t, adminAddr, "router.ok.status", "4|c")
 }
 
-// A drain is over with the node that was told of it; what was taken out is not.
+// A drain ends when the node restarts, unlike the disabling of an endpoint.
 func TestRestartEndsDrain(t *testing.T) {
 	t.Parallel()
 	r, state := newFakeDiscovery(t), t.TempDir()
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -15,7 +15,7 @@
 	"harrierramp/internal/config"
 )
 
-// peerSockets are two nodes that know each other's addresses, and one that nobody knows.
+// newPeerSockets returns the sockets of two nodes that know each other, and one that neither knows.
 func newPeerSockets(t *testing.T) (a, b, stranger *peers) {
 	t.Helper()
 	var all []*peers
@@ -62,17 +62,17 @@
 				t.Errorf("got %q, want %q", e, want)
 			}
 		case <-time.After(5 * time.Second):
-			t.Fatalf("never came: %q", want)
+			t.Fatalf("did not arrive: %q", want)
 		}
 	}
 	if got := strangers.Load(); got != 1 {
-		t.Errorf("%d datagrams of strangers", got)
+		t.Errorf("%d datagrams of unknown senders", got)
 	}
 	b.close()
 	select {
 	case <-ended:
 	case <-time.After(5 * time.Second):
-		t.Error("the reader outlives its socket")
+		t.Error("receive did not return after close")
 	}
 }
 
@@ -93,7 +93,7 @@
 	p.close()
 	cfg.Peers[1] = "nowhere"
 	if _, err := listenPeers(t.Context(), cfg); err == nil {
-		t.Error("a list that can't be read was taken")
+		t.Error("a malformed address was accepted")
 	}
 }
 
@@ -107,7 +107,7 @@
 	cfg.PeerListen, cfg.Peers = before.LocalAddr().String(), []string{"127.0.0.1:1", "127.0.0.1:2"}
 	if p, err := listenPeers(t.Context(), cfg); err == nil {
 		p.close()
-		t.Error("the socket is had twice")
+		t.Error("the address was bound twice")
 	}
 	time.AfterFunc(3*peerBindRetryInterval, func() { before.Close() })
 	p, err := listenPeers(t.Context(), cfg)
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -14,7 +14,8 @@
 	"harrierramp/internal/testkit"
 )
 
-// variants are the settings with one value changed at a time: taken out, 0, negative, huge or of another type.
+// settingsVariants returns the settings with one value changed at a time: missing, 0, negative, huge or of
+// another type.
 func settingsVariants(t *testing.T) map[string]string {
 	t.Helper()
 	out := map[string]string{}
@@ -56,7 +57,8 @@
 	return out
 }
 
-// Settings that can't be served are told in one line at the start; any others are served.
+// Settings that the node cannot work with are rejected at the start with one line of text. With all others it
+// serves.
 func TestInvalidSettingsAreRejectedInOneLine(t *testing.T) {
 	t.Parallel()
 	r := newFakeDiscovery(t)
@@ -104,6 +106,6 @@
 	}
 	t.Logf("%d served, %d refused in one line", served, refused)
 	if served < 20 || refused < 20 {
-		t.Errorf("%d served, %d refused: the test tells little", served, refused)
+		t.Errorf("%d served, %d refused: too few for the test to mean anything", served, refused)
 	}
 }
--- a/internal/node/silent_endpoint_test.go
+++ b/internal/node/silent_endpoint_test.go
@@ -7,8 +7,8 @@
 	"harrierramp/internal/testkit"
 )
 
-// An endpoint that takes calls and says nothing costs each its time-out and no more: slots, connections and
-// goroutines come back, and the messages get their ends.
+// An endpoint that accepts calls and never responds costs each call its timeout and no more: slots, connections
+// and goroutines are released, and the messages end.
 func TestSilentEndpointLeaksNothing(t *testing.T) {
 	p, r := testkit.NewPartner(t, testkit.NeverRespond), newFakeDiscovery(t)
 	before := runtime.NumGoroutine()
@@ -21,6 +21,6 @@
 	}
 	mustMetric(t, adminAddr, "router.active", "0|g")
 	stop()
-	// The partner's and the registry's own end when their connections do.
+	// The goroutines of the partner and of the fake discovery end with their connections.
 	testkit.Eventually(t, "no goroutine is left", func() bool { return runtime.NumGoroutine() <= before+2 })
 }
--- a/internal/node/upgrade_test.go
+++ b/internal/node/upgrade_test.go
@@ -24,7 +24,8 @@
 	"harrierramp/internal/testkit"
 )
 
-// platform holds the clients' socket, as it does in service, and starts processes of one node on it.
+// platform stands in for the platform: it holds the clients' listening socket and starts processes of one node
+// on it.
 type platform struct {
 	t          *testing.T
 	discovery  *fakeDiscovery
@@ -50,7 +51,7 @@
 
 func (p *platform) addr() string { return p.listener.Addr().String() }
 
-// process is one process of the node.
+// process is one process of the node under test.
 type process struct {
 	*exec.Cmd
 	adminAddr string
@@ -58,7 +59,7 @@
 	err       error
 }
 
-// start starts a process with more of an environment; its door is open when start returns.
+// start starts a process with additional environment variables. Its admin API listens when start returns.
 func (p *platform) start(env ...string) *process {
 	p.t.Helper()
 	cmd := exec.Command(os.Args[0])
@@ -87,11 +88,11 @@
 	return c
 }
 
-// serve starts a process and waits until it says that it is ready.
+// serve starts a process and waits until it is ready.
 func (p *platform) serve(env ...string) *process {
 	p.t.Helper()
 	c := p.start(env...)
-	testkit.Eventually(p.t, "it is ready", func() bool { return c.ready(p.t) })
+	testkit.Eventually(p.t, "the process is ready", func() bool { return c.ready(p.t) })
 	return c
 }
 
@@ -111,7 +112,7 @@
 	}
 }
 
-// term ends it as the platform does, and wants it to end well.
+// terminate sends SIGTERM, as the platform does, and fails the test unless the process exits without an error.
 func (c *process) terminate(t *testing.T) {
 	t.Helper()
 	if err := c.Process.Signal(syscall.SIGTERM); err != nil {
@@ -120,14 +121,14 @@
 	select {
 	case <-c.exited:
 	case <-time.After(testkit.WaitTimeout):
-		t.Fatal("it does not end")
+		t.Fatal("the process does not exit")
 	}
 	if c.err != nil {
 		t.Fatal(c.err)
 	}
 }
 
-// upgradeMain is a process of a node that is being upgraded.
+// upgradeMain is the main function of a child process of an upgrade test.
 func upgradeMain() error {
 	cfg, err := loadConfig(os.Getenv("ROUTER_CONFIG"), os.Getenv("ROUTER_STATE"))
 	if err != nil {
@@ -149,8 +150,9 @@
 	return n.Run(ctx, ln)
 }
 
-// One call is out and messages are held when the successor comes: the call ends at the old process and counts at
-// the new, nothing is sent or taken on twice, and connections go on, whatever has been read of a request.
+// A call is in flight and messages are open when the successor starts. The call ends in the old process and is
+// counted by the new one, nothing is sent or accepted twice, and connections survive, even with a half-read
+// request.
 func TestUpgradeWithCallInFlight(t *testing.T) {
 	t.Parallel()
 	answer := make(chan struct{})
@@ -174,10 +176,11 @@
 
 	next := node.serve()
 	if old.ready(t) {
-		t.Error("both say that they serve")
+		t.Error("both processes are ready")
 	}
 	testkit.MustExchange(t, half, halfR, text[30:], "+OK")
-	testkit.MustExchange(t, idle, idleR, testkit.EnqueueRequest("out", payoutFields, ""), "+OK") // taken on before: no second effect
+	// The message was accepted before: there is no second effect.
+	testkit.MustExchange(t, idle, idleR, testkit.EnqueueRequest("out", payoutFields, ""), "+OK")
 	testkit.MustExchange(t, idle, idleR, testkit.EnqueueRequest("held", "c=payout,d=50000,dest=8", ""), "+OK")
 	mustMetric(t, next.adminAddr, "router.active", "3|g")
 	mustMetric(t, old.adminAddr, "router.active", "0|g")
@@ -202,14 +205,15 @@
 	mustMetric(t, next.adminAddr, "router.active", "0|g")
 }
 
-// Clients go on handing in messages over several upgrades: none is turned away or unheard, each is delivered once.
+// Clients submit messages during several upgrades: no connection breaks, no request goes unanswered, and each
+// message is delivered once.
 func TestUpgradesUnderLoad(t *testing.T) {
 	t.Parallel()
 	p, r := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newFakeDiscovery(t)
 	node := newPlatform(t, r, memberJSON("e", p.Addr(), 7, "SERVING"))
 	process := node.serve()
 	stop := make(chan struct{})
-	go func() { // the endpoint waits for whoever takes note of its calls
+	go func() { // the partner blocks until its calls are received here
 		for {
 			select {
 			case <-p.Received:
@@ -239,7 +243,7 @@
 					return
 				case line == "+OK\r\n":
 					sent[w]++
-				case !strings.HasPrefix(line, "-BUSY"): // no room for more: it comes again under the same id
+				case !strings.HasPrefix(line, "-BUSY"): // no room: the message is submitted again under the same ID
 					t.Errorf("got %q", line)
 				}
 			}
@@ -257,7 +261,7 @@
 		total += n
 	}
 	mustMetric(t, process.adminAddr, "router.active", "0|g")
-	testkit.Eventually(t, "all is delivered", func() bool { calls, _ := p.Counts(); return calls >= total })
+	testkit.Eventually(t, "all messages are delivered", func() bool { calls, _ := p.Counts(); return calls >= total })
 	seen := map[string]bool{}
 	p.Mu.Lock()
 	defer p.Mu.Unlock()
@@ -273,7 +277,8 @@
 	}
 }
 
-// What operators have told outlasts an upgrade, a drain too; orders reach the node at either door.
+// Operators' overrides survive an upgrade, also a drain. Commands take effect through the admin API of either
+// process.
 func TestOperatorOverridesSurviveUpgrade(t *testing.T) {
 	t.Parallel()
 	p, r := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newFakeDiscovery(t)
@@ -284,22 +289,22 @@
 	next := node.serve()
 	mustMetric(t, next.adminAddr, "router.pool_ejected", "1|g")
 	if got := testkit.Exchange(t, node.addr(), testkit.EncodeRESP("PING")); got == "+PONG" {
-		t.Error("the drain is lost")
+		t.Error("the drain did not survive")
 	}
 	testkit.MustCallAdmin(t, old.adminAddr, "PUT", "/ops/endpoints/up?id=nobody", 404)
 	testkit.MustCallAdmin(t, old.adminAddr, "PUT", "/ops/drain/stop", 204)
 	mustAnswer(t, node.addr(), testkit.EncodeRESP("PING"), "+PONG")
 	mustAnswer(t, node.addr(), testkit.EnqueueRequest("a", statusFields, ""), "+OK")
 	if calls, _ := p.Counts(); calls != 0 {
-		t.Errorf("%d calls at an endpoint that is out", calls)
+		t.Errorf("%d calls to a disabled endpoint", calls)
 	}
 	testkit.MustCallAdmin(t, old.adminAddr, "PUT", "/ops/endpoints/up?id=e", 204)
 	p.Next(t)
 	old.terminate(t)
 }
 
-// The old process is killed, with a call out, before or after the handover: the message that may not be repeated
-// fails, the one that may is sent again, and the drain holds.
+// The old process is killed with calls in flight, before or after the hand-over. The message that may not be
+// repeated fails, the one that may is sent again, and the drain stays in effect.
 func TestPredecessorKilledDuringUpgrade(t *testing.T) {
 	t.Parallel()
 	for _, after := range []bool{false, true} {
@@ -318,29 +323,30 @@
 				next = node.serve()
 				old.kill(t)
 			} else {
-				if err := old.Process.Signal(syscall.SIGSTOP); err != nil { // it can't hand over any more
+				if err := old.Process.Signal(syscall.SIGSTOP); err != nil { // a stopped process cannot hand over
 					t.Fatal(err)
 				}
 				next = node.start()
 				if next.ready(t) {
-					t.Fatal("ready while another process owns the node")
+					t.Fatal("the process is ready while another one owns the node")
 				}
 				old.kill(t)
-				testkit.Eventually(t, "it is ready", func() bool { return next.ready(t) })
+				testkit.Eventually(t, "the new process is ready", func() bool { return next.ready(t) })
 			}
-			testkit.Eventually(t, "the failure is told", func() bool { return r.noticeState("unsafe") == "failed" })
+			testkit.Eventually(t, "the notice of the failure arrives", func() bool { return r.noticeState("unsafe") == "failed" })
 			if got := p.Next(t).Header.Get("X-Trace-Id"); got != "safe" {
 				t.Errorf("got a call for %q", got)
 			}
 			if got := testkit.Exchange(t, node.addr(), testkit.EncodeRESP("PING")); got == "+PONG" {
-				t.Error("the drain is lost")
+				t.Error("the drain did not survive")
 			}
 			mustMetric(t, next.adminAddr, "router.errors.payout", "1|c")
 		})
 	}
 }
 
-// The new process ends, having served for a while or in the middle of the handover: the old one goes on.
+// The new process dies in the middle of the hand-over, or after it has served for a while: the old one serves
+// again.
 func TestPredecessorResumesWhenSuccessorFails(t *testing.T) {
 	t.Parallel()
 	p, r := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), newFakeDiscovery(t)
@@ -348,7 +354,7 @@
 	old := node.serve()
 	mustAnswer(t, node.addr(), testkit.EnqueueRequest("a", "c=payout,d=50000,dest=8", ""), "+OK")
 
-	// One that takes the state and is gone.
+	// A process that takes over the state and dies at once.
 	c, err := handover.Acquire(t.Context(), node.stateDir, true)
 	if err != nil {
 		t.Fatal(err)
@@ -356,7 +362,7 @@
 	if err := errors.Join(c.Predecessor.Close(), c.Lock.Close()); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Eventually(t, "the old one serves again", func() bool { return old.ready(t) })
+	testkit.Eventually(t, "the old process serves again", func() bool { return old.ready(t) })
 	mustAnswer(t, node.addr(), testkit.EnqueueRequest("b", "c=payout,d=50000,dest=8", ""), "+OK")
 
 	next := node.serve()
@@ -364,9 +370,9 @@
 	p.Next(t)
 	testkit.MustCallAdmin(t, next.adminAddr, "PUT", "/ops/endpoints/down?id=e", 204)
 	next.kill(t)
-	testkit.Eventually(t, "the old one serves again", func() bool { return old.ready(t) })
-	mustAnswer(t, node.addr(), testkit.EnqueueRequest("a", "c=payout,d=50000,dest=8", ""), "+OK") // still known
-	mustAnswer(t, node.addr(), testkit.EnqueueRequest("d", payoutFields, ""), "+OK")              // for an endpoint that is out
+	testkit.Eventually(t, "the old process serves again", func() bool { return old.ready(t) })
+	mustAnswer(t, node.addr(), testkit.EnqueueRequest("a", "c=payout,d=50000,dest=8", ""), "+OK") // known
+	mustAnswer(t, node.addr(), testkit.EnqueueRequest("d", payoutFields, ""), "+OK")              // endpoint disabled
 	mustMetric(t, old.adminAddr, "router.active", "3|g")
 	r.publish(listJSON(2, false, memberJSON("f", p.Addr(), 8, "SERVING")))
 	seen := map[string]bool{}
@@ -376,12 +382,12 @@
 	testkit.MustCallAdmin(t, old.adminAddr, "PUT", "/ops/endpoints/up?id=e", 204)
 	seen[p.Next(t).Header.Get("X-Trace-Id")] = true
 	if calls, _ := p.Counts(); len(seen) != 3 || seen["c"] || calls != 4 {
-		t.Errorf("sent afterwards: %v, of %d calls", seen, calls)
+		t.Errorf("delivered afterwards: %v, with %d calls", seen, calls)
 	}
 	old.terminate(t)
 }
 
-// A plain start on a folder whose path is too long for a socket's address is able to hand over as well.
+// The hand-over socket works in a state folder whose path is too long for a socket address.
 func TestHandoverSocketWithLongStatePath(t *testing.T) {
 	t.Parallel()
 	dir := filepath.Join(t.TempDir(), strings.Repeat("long", 40))
@@ -405,15 +411,15 @@
 	nc.Close()
 }
 
-// Another process that has the socket may make it a blocking one at any moment: an accept still heeds a pause and a
-// close, and closing it here does not end it there.
+// Another process that shares the listening socket may set it to blocking mode at any time. Accept must still
+// obey deadlines and Close, and closing the listener here must not close the other process's.
 func TestInheritedListenerObeysDeadlineAndClose(t *testing.T) {
 	node := newPlatform(t, newFakeDiscovery(t))
 	number, err := syscall.Dup(int(node.socketFile.Fd()))
 	if err != nil {
 		t.Fatal(err)
 	}
-	setBlocking := func() { // as the start of another process may
+	setBlocking := func() { // as starting another process may do
 		t.Helper()
 		if err := syscall.SetNonblock(int(node.socketFile.Fd()), false); err != nil {
 			t.Fatal(err)
@@ -446,7 +452,7 @@
 			_, err := ln.Accept()
 			failed <- err
 		}()
-		time.Sleep(50 * time.Millisecond) // lets it wait; were it too little, the test would only see less
+		time.Sleep(50 * time.Millisecond) // time for Accept to block; if it is too short, the test only checks less
 	}
 	setBlocking()
 	accept()
@@ -466,5 +472,5 @@
 	if err := <-failed; !errors.Is(err, net.ErrClosed) {
 		t.Errorf("got %v", err)
 	}
-	dial() // the platform still has it
+	dial() // the platform's socket is still open
 }
