--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -11,9 +11,10 @@
 	"harrierramp/internal/logging"
 )
 
-// The node as the door sees it; all of these are called from any goroutine.
+// The methods that package admin uses. They may be called from any goroutine.
 
-// NotReady says why this process does not take messages; empty if it owns the node, serves, and has a list.
+// NotReadyReason returns why this process does not accept messages. It is empty if the process owns the node,
+// serves, has a list and is not fenced.
 func (n *Node) NotReadyReason() string {
 	if !n.serving.Load() {
 		return admin.ErrNotServing.Error()
@@ -21,13 +22,13 @@
 	return n.unavailableReason()
 }
 
-// Stats are the figures as StatsD lines.
+// Stats returns the metrics as StatsD lines.
 func (n *Node) Stats() []byte { return n.metrics.StatsD() }
 
-// WriteMetrics writes the figures in the Prometheus text format.
+// WriteMetrics writes the metrics to w in the Prometheus text format.
 func (n *Node) WriteMetrics(w io.Writer) error { return n.metrics.WriteMetrics(w) }
 
-// SetLogLevel sets the least level that is logged, from debug to error, until the process ends.
+// SetLogLevel sets the minimum level that is logged, from debug to error, until the process ends.
 func (n *Node) SetLogLevel(name string) error {
 	if n.Level == nil || name == "" {
 		return admin.ErrUnknownLogLevel
@@ -39,7 +40,7 @@
 	return nil
 }
 
-// Members asks the loop who is there.
+// Members returns the node's view of the fleet.
 func (n *Node) Members(ctx context.Context) (*admin.MembershipView, error) {
 	if n.cfg.Membership == nil {
 		return nil, admin.ErrMembershipDisabled
@@ -60,22 +61,22 @@
 	}
 }
 
-// Disable takes an endpoint out until Enable, and returns once that holds.
+// DisableEndpoint stops calls to an endpoint until EnableEndpoint is called. It returns once that is in effect.
 func (n *Node) DisableEndpoint(ctx context.Context, endpoint string) error {
 	return n.submitCommand(ctx, operatorCommand{endpoint: endpoint, on: true})
 }
 
-// Enable puts an endpoint back.
+// EnableEndpoint allows calls to an endpoint again.
 func (n *Node) EnableEndpoint(ctx context.Context, endpoint string) error {
 	return n.submitCommand(ctx, operatorCommand{endpoint: endpoint})
 }
 
-// Drain sends clients away, or takes them again.
+// SetDraining turns clients away, or accepts them again.
 func (n *Node) SetDraining(ctx context.Context, on bool) error {
 	return n.submitCommand(ctx, operatorCommand{on: on})
 }
 
-// tellOrder hands an order to the loop and waits until it holds.
+// submitCommand passes a command to the loop and waits until it is in effect.
 func (n *Node) submitCommand(ctx context.Context, o operatorCommand) error {
 	if !n.serving.Load() && !n.handedOver.Load() {
 		return admin.ErrNotServing
@@ -90,7 +91,7 @@
 	}
 }
 
-// ServeOperators answers operators on ln until the function that it returns is called.
+// ServeAdmin serves the admin API on ln until the returned function is called.
 func (n *Node) ServeAdmin(ln net.Listener) (stop func()) {
 	d := admin.NewServer(ln, n, n.log)
 	var serving sync.WaitGroup
--- a/internal/node/audit.go
+++ b/internal/node/audit.go
@@ -27,23 +27,24 @@
 	statusReportTimeout    = 2 * time.Second
 )
 
-// audit is how the node tells the list service what it acts on. The loop owns it.
+// audit reports to the list service which list revision the node acts on, and detects pauses of the process.
+// The loop owns it.
 type audit struct {
 	reporter    *rollout.Reporter
-	incarnation uint32 // of this process: one more than of the process before
-	serverIndex int    // of the list servers
+	incarnation uint32 // of this process: one more than that of the previous process
+	serverIndex int    // of the list server to report to
 	pauses      pausemonitor.Monitor
 
-	ownerCtx context.Context // ends when this process no longer owns the node
+	ownerCtx context.Context // done when this process no longer owns the node
 	posts    sync.WaitGroup
-	record   *auditLog // nil where none is kept
+	record   *auditLog // nil if no audit log is written
 }
 
-// late notes why the node's list may be late from now on. It may be called from any goroutine.
+// noteListLate records why the node's list may be out of date from now on. It may be called from any goroutine.
 func (n *Node) noteListLate(reason string) { n.lateReason.Store(&reason) }
 
-// look has the node look before it acts where it did not run for a while: it sends nothing new until a list server has been
-// heard, or for gap.Bound.
+// checkForPause checks whether the process did not run for a while. After such a pause the node starts no new
+// calls until it has heard from a list server, but for pausemonitor.MaxStale at most.
 func (n *Node) checkForPause() {
 	if n.audit == nil {
 		return
@@ -60,7 +61,8 @@
 	}
 }
 
-// lain is how long a message may have lain unread since the process did not run; its time has gone on meanwhile.
+// unreadFor returns how long a message that was read at readAt may have been in a buffer while the process did
+// not run. Its time to live went on during that time.
 func (n *Node) unreadFor(readAt time.Time) time.Duration {
 	if n.audit == nil {
 		return 0
@@ -68,15 +70,15 @@
 	return n.audit.pauses.UnreadFor(n.clockAt(readAt))
 }
 
-// claimed is the end of a claim that was posted.
+// statusReportResult is the outcome of a status report to the list service.
 type statusReportResult struct {
 	err           error
-	serverClockMS int64 // the server's, in milliseconds; 0 for not told
+	serverClockMS int64 // Unix time; 0 if the server did not send its clock
 	ended         time.Time
 	took          time.Duration
 }
 
-// newAudit begins to tell, or is nil where that is off.
+// newAudit starts to report, or returns nil if audit is not configured.
 func (n *Node) newAudit(ownerCtx context.Context) *audit {
 	if n.cfg.Audit == nil || n.cfg.Registry == nil {
 		return nil
@@ -85,7 +87,7 @@
 	last, err := readIncarnation(path)
 	if err != nil {
 		n.log.Warn("lives_unreadable", "err", err)
-		last = uint32(time.Now().Unix()) // later than any count of starts
+		last = uint32(time.Now().Unix()) // larger than any number of starts could be
 	}
 	a := &audit{incarnation: last + 1, ownerCtx: ownerCtx}
 	if err := atomicfile.Replace(path, fmt.Appendln(nil, a.incarnation)); err != nil {
@@ -99,7 +101,7 @@
 	return a
 }
 
-// build names what this program was built from.
+// buildRevision returns the first 12 digits of the VCS revision that this program was built from, or "unknown".
 func buildRevision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -113,7 +115,8 @@
 	return "unknown"
 }
 
-// configDigest is the same for all nodes that are told the same of the deployment.
+// configDigest returns a digest of the configuration that all nodes of the fleet share. It leaves out the
+// node's own number.
 func configDigest(c config.Config) string {
 	c.Delivery.Number = 0
 	raw, err := json.Marshal([]any{c.Delivery, c.Limits, c.Registry, c.Membership, c.Audit})
@@ -124,12 +127,14 @@
 	return hex.EncodeToString(sum[:6])
 }
 
-// ready tells whether the node takes messages, as far as what it knows goes.
+// ready reports whether the node accepts messages: it has a list, is not fenced, and has the required build and
+// configuration.
 func (n *Node) ready() bool {
 	return (n.startup == nil || n.startup.Ready()) && !n.staleness.fenced() && !n.belowFloor
 }
 
-// version is what a call rests on, for a header; empty where that is not told.
+// listVersion returns the list revision and the process incarnation that a call is based on, for a request
+// header. It is empty if audit is off.
 func (n *Node) listVersion() string {
 	if n.audit == nil {
 		return ""
@@ -137,7 +142,7 @@
 	return fmt.Sprintf("%d.%d", n.listRevision, n.audit.incarnation)
 }
 
-// wait is how long it is until something is to be told, or looked at.
+// untilDue returns the time until the next status report or check for a pause.
 func (a *audit) untilDue(now time.Duration) time.Duration {
 	if a == nil {
 		return time.Hour
@@ -149,7 +154,7 @@
 	return wait
 }
 
-// account tells the list service what the node acts on, if that is due.
+// reportStatus sends a status report to the list service if one is due.
 func (n *Node) reportStatus() {
 	a := n.audit
 	if a == nil {
@@ -178,7 +183,7 @@
 	})
 }
 
-// close waits for what is being told; term has ended.
+// close waits for status reports in progress, which end because ownerCtx is done, and closes the audit log.
 func (a *audit) close(log *slog.Logger) {
 	if a == nil {
 		return
@@ -189,7 +194,8 @@
 	}
 }
 
-// accounted takes the end of a claim; one that was not taken goes to the next server.
+// statusReported processes the outcome of a status report. After a failure the next report goes to the next
+// server.
 func (n *Node) statusReported(e statusReportResult) {
 	if n.audit == nil {
 		return
@@ -202,7 +208,8 @@
 	n.audit.reporter.Done(n.now(), e.err == nil)
 }
 
-// postClaim makes a claim, and returns what the server's clock showed when it took it.
+// postStatus sends a status report and returns the Unix time in milliseconds that the server's clock showed
+// when it answered, or 0 if the server did not say.
 func postStatus(ctx context.Context, client *http.Client, addr string, status rollout.Report) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, statusReportTimeout)
 	defer cancel()
@@ -216,7 +223,7 @@
 	}
 	clock, err := strconv.ParseInt(header.Get(listwatch.ClockHeader), 10, 64)
 	if err != nil || clock < 0 {
-		clock = 0 // an earlier build
+		clock = 0 // the server runs a build that does not send its clock
 	}
 	return clock, nil
 }
--- a/internal/node/auditlog.go
+++ b/internal/node/auditlog.go
@@ -11,25 +11,27 @@
 	"harrierramp/internal/metrics"
 )
 
-// actsRecord writes down what the node does by which list: calls before they are made, and how they have ended. The loop
-// owns it; nil where none is kept.
+// auditLog records which calls the node makes on the basis of which list revision, before they are made, and
+// how they ended. The loop owns it. All methods accept a nil receiver, which records nothing.
 type auditLog struct {
 	file       *auditlog.Log
 	log        *slog.Logger
 	metrics    *metrics.Set
 	now        func() time.Time
 	seq        int64
-	entry      auditlog.Entry // of the step
-	lastReason *string        // that was last written
+	entry      auditlog.Entry // of the current step
+	lastReason *string        // the last one that was written
 }
 
-// newActs goes on with the record in the folder. Without one that can be written the node goes on all the same.
+// newAuditLog opens the audit log in the state folder and appends to it. If that fails the node works without
+// one.
 func (n *Node) newAuditLog(incarnation uint32) *auditLog {
 	maxBytes := n.cfg.Audit.RecordSize.Bytes()
 	if maxBytes == 0 {
 		return nil
 	}
-	now := func() time.Time { return n.processStart.Add(time.Since(n.processStart)) } // the wall clock may be set, this can't
+	// Advances with the monotonic clock, so that setting the wall clock does not move it.
+	now := func() time.Time { return n.processStart.Add(time.Since(n.processStart)) }
 	r, err := auditlog.Open(n.cfg.StateDir, maxBytes, auditlog.Header{Node: n.cfg.Name, Incarnation: incarnation, Build: buildRevision()}, now)
 	if err != nil {
 		n.log.Warn("acts_not_kept", "err", err)
@@ -38,7 +40,7 @@
 	return &auditLog{file: r, log: n.log, metrics: n.metrics, now: now}
 }
 
-// begun notes a call that is about to be made, and returns its number.
+// callStarted records a call that is about to be made and returns its sequence number.
 func (a *auditLog) callStarted(endpoint string) int64 {
 	if a == nil {
 		return 0
@@ -48,7 +50,7 @@
 	return a.seq
 }
 
-// ended notes how a call has ended.
+// callEnded records how a call ended.
 func (a *auditLog) callEnded(seq int64, r egress.Result) {
 	if a == nil || seq == 0 {
 		return
@@ -63,18 +65,18 @@
 	a.entry.Ends = append(a.entry.Ends, e)
 }
 
-// clock notes what a list server's clock showed in an exchange.
+// noteServerClock records the reading of a list server's clock from a status report.
 func (a *auditLog) noteServerClock(e statusReportResult) {
 	if a != nil {
 		a.entry.ClockSync = &auditlog.ClockSync{ServerMS: e.serverClockMS, EndedMS: a.wallMillis(e.ended), TookMS: e.took.Milliseconds()}
 	}
 }
 
-// wall is a moment by the record's clock, in milliseconds.
+// wallMillis converts a time to the clock of the audit log, as Unix time in milliseconds.
 func (a *auditLog) wallMillis(at time.Time) int64 { return a.now().Add(-time.Since(at)).UnixMilli() }
 
-// flush writes the step's line down, before any of its calls is made. A record that can't be written costs no message: it
-// says later how much of it is missing.
+// flush writes the entry of the step, before any of the step's calls is made. A failed write delays no message;
+// it is counted, and the log states later how many entries are missing.
 func (a *auditLog) flush(revision int64, reason *string) {
 	if a == nil {
 		return
@@ -101,14 +103,14 @@
 	return a.file.Close()
 }
 
-// Acts writes the record of acts as it stands. It may be called from any goroutine.
+// WriteAuditRecord writes the audit log as it is on disk to w. It may be called from any goroutine.
 func (n *Node) WriteAuditRecord(w io.Writer) error {
 	raw, err := auditlog.ReadDir(n.cfg.StateDir)
 	if err != nil {
 		return err
 	}
 	if _, err := w.Write(raw); err != nil {
-		return fmt.Errorf("acts: %w", err)
+		return fmt.Errorf("audit log: %w", err)
 	}
 	return nil
 }
--- a/internal/node/clockstep.go
+++ b/internal/node/clockstep.go
@@ -5,18 +5,19 @@
 )
 
 const (
-	minClockStep       = 200 * time.Millisecond // of the wall clock against the monotonic one
-	clockCheckInterval = 250 * time.Millisecond // between looks at the clocks while messages are held
+	minClockStep       = 200 * time.Millisecond // smallest step of the wall clock against the monotonic one that counts
+	clockCheckInterval = 250 * time.Millisecond // between comparisons of the clocks while there are messages
 )
 
-// wallClock notices when the wall clock is set while the process runs. The journal's times outlast the process, and so
-// can't be on the monotonic clock.
+// wallClock detects that the wall clock is set while the process runs. The journal's times outlive the process
+// and so cannot be on the monotonic clock.
 type wallClock struct {
-	startedAt     time.Time     // with both readings
-	appliedOffset time.Duration // of the wall clock since then, as far as the journal knows
+	startedAt     time.Time     // with wall clock and monotonic readings
+	appliedOffset time.Duration // steps of the wall clock since then that the journal's times include
 }
 
-// stepped is how far the wall clock has been set since the journal's times were written, 0 for not to speak of.
+// stepped returns by how much the wall clock was set since the journal's times were written, or 0 if by less
+// than minClockStep.
 func (w *wallClock) stepped(now time.Time) time.Duration {
 	by := now.Round(0).Sub(w.startedAt.Round(0)) - now.Sub(w.startedAt) - w.appliedOffset
 	if by.Abs() < minClockStep {
@@ -25,8 +26,9 @@
 	return by
 }
 
-// restamp has the journal hold its times by the wall clock that is shown now, so that the next process reads deadlines and
-// windows as this one does. Where they can't be written it is tried again at the next step.
+// restamp converts the times in the journal to the wall clock's current setting, so that the next process reads
+// deadlines and deduplication windows as this one does. If the journal cannot be written, the next step tries
+// again.
 func (n *Node) restamp(now time.Time) {
 	by := n.wallClock.stepped(now)
 	if by == 0 {
@@ -39,7 +41,7 @@
 	}
 }
 
-// untilClockLook is the time until the next look at the clocks.
+// untilClockCheck returns the time until the next comparison of the clocks.
 func (n *Node) untilClockCheck() time.Duration {
 	if len(n.messages) == 0 {
 		return time.Hour
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -8,16 +8,18 @@
 	"harrierramp/internal/listwatch"
 )
 
+// newPool returns the pool of connections to endpoints.
 func (n *Node) newPool() *egress.Pool {
 	s, maxSockets := n.cfg.Settings, n.cfg.Limits.Sockets
 	return egress.NewPool(n.cfg.SourceAddr(), s.DialTimeout, s.IdleConnTimeout, max(maxSockets/4, 8), callDescriptors(maxSockets), &n.metrics.Attempts)
 }
 
-// callPlaces is how many descriptors calls may take: clients have a third, and the rest is set aside for the door,
-// discovery, notices, files and the listeners.
+// callDescriptors returns how many file descriptors calls may use out of the limit of sockets. Clients get a
+// third, and reservedDescriptors are left for the admin API, discovery, notices, files and the listeners.
 func callDescriptors(sockets int) int { return max(sockets-sockets/3-reservedDescriptors, 8) }
 
-// listed brings the endpoints up to date. Calls that have not written their first byte hear of it by shut.
+// applyList updates the endpoints from a list and returns the sender's event for it. Endpoints that no longer
+// serve are marked as withdrawn, which stops calls that have not written their first byte.
 func (n *Node) applyList(l listwatch.List) choice.ListUpdate {
 	if n.listCache != nil {
 		n.listCache.MarkDirty(l.Revision)
@@ -55,6 +57,7 @@
 	return choice.ListUpdate{Whole: l.Complete, Entries: entries}
 }
 
+// retireEndpoint removes an endpoint that may get no more calls, and closes its idle connections. e may be nil.
 func (n *Node) retireEndpoint(e *egress.Endpoint) {
 	if e != nil {
 		e.Withdrawn.Store(true)
@@ -63,7 +66,8 @@
 	}
 }
 
-// waitOf is where the waits are kept that bind an endpoint: its own if it is a route apart.
+// endpointCooldown returns the cooldown that applies to an endpoint: its own if endpoints of its kind have
+// separate routes, and otherwise that of its destination.
 func (n *Node) endpointCooldown(e choice.Entry) *egress.Cooldown {
 	if kinds := n.cfg.Settings.Kinds; e.Kind >= 0 && e.Kind < len(kinds) && kinds[e.Kind].SeparateRoutes {
 		return new(egress.Cooldown)
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -20,12 +20,12 @@
 	"harrierramp/internal/transient"
 )
 
-// handOver gives the node to a successor, between two steps of the loop. It tells whether that owns it now; if not,
-// nothing has changed.
+// handOver hands the node over to the successor at the other end of l, between two steps of the loop. It
+// returns whether the successor owns the node now; if not, nothing has changed.
 func (n *Node) handOver(l *handover.Link) bool {
 	err := n.journal.Flush()
 	if err == nil && (!n.pending.empty() || len(n.withdrawnCalls) > 0 || n.remoteCalls > 0) {
-		err = errors.New("not at rest") // what waits for the journal, or calls of a process before this one
+		err = errors.New("effects wait for the journal, or calls of the predecessor are in flight")
 	}
 	var state *handover.State
 	if err == nil {
@@ -38,11 +38,12 @@
 		n.log.Error("handover_failed", "err", errors.Join(err, l.Close()))
 		return false
 	}
-	// What is out there goes on; what has not been written is the successor's to send.
+	// Calls in flight go on here. Calls whose request has not been written are left to the successor.
 	n.pool.Close()
 	return true
 }
 
+// exportState returns the state that a successor needs beside the journal and the operators' overrides.
 func (n *Node) exportState() (*handover.State, error) {
 	sender, err := n.sender.Snapshot()
 	if err != nil {
@@ -61,9 +62,9 @@
 	return state, nil
 }
 
-// begin takes the node's state into this process: from the journal, from what a predecessor has handed over, and
-// from what this process has known since it owned the node itself. Calls that have ended since then are
-// unheard. It returns the module's first events.
+// loadState loads the node's state into this process: from the journal, from what a predecessor has handed
+// over, and from what this process still knows if it owned the node before. unreported are the outcomes of
+// calls that ended since then. It returns the first events for the sender.
 func (n *Node) loadState(ctx context.Context, ownership handover.Ownership, unreported []callResult) ([]choice.Event, error) {
 	err := n.retryStartup(ctx, func() (err error) {
 		n.journal, err = journal.Open(n.cfg.StateDir, journalMB(n.cfg))
@@ -79,7 +80,7 @@
 	before := n.overrides
 	err = n.retryStartup(ctx, func() (err error) {
 		if n.overrides, err = readOverrides(n.cfg.StateDir); err == nil && !ownership.Upgrade {
-			err = n.overrides.setDrained(false) // a drain is the running node's: it ends with a restart
+			err = n.overrides.setDrained(false) // a drain lasts only as long as the node runs: a restart ends it
 		}
 		return err
 	})
@@ -88,7 +89,7 @@
 	}
 	n.listCache = newListCache(n.cfg)
 	var known listwatch.List
-	switch { // a process that has known a list, or takes one over, does not begin
+	switch { // a process that has a list, or takes one over, does not wait for one
 	case ownership.State != nil && ownership.State.Revision > 0:
 		known = listwatch.List{Revision: ownership.State.Revision, Members: ownership.State.Members}
 	case n.listMembers != nil && n.listRevision > 0:
@@ -98,7 +99,7 @@
 	}
 	if s := ownership.State; s != nil {
 		if n.sender, err = choice.Restore(n.cfg.Settings, seed(n.cfg.Seed), s.Sender); err != nil {
-			return nil, errors.Join(err, n.journal.Close()) // the predecessor goes on
+			return nil, errors.Join(err, n.journal.Close()) // the predecessor resumes service
 		}
 		n.clockStart = time.Now().Add(-(s.Clock - clockOrigin) - min(max(time.Since(time.Unix(0, s.ClockReadAt)), 0), handover.RequestTimeout))
 		n.wakeAt = n.sender.NextWakeAt()
@@ -116,7 +117,8 @@
 	n.pending, n.withdrawnCalls = pendingEffects{}, nil
 	clear(n.endpoints)
 	events := []choice.Event{n.applyList(known)}
-	if ownership.State == nil && before == nil { // a sender that was carried over, or goes on, knows better
+	// A sender that was handed over, or that served before in this process, has newer estimates.
+	if ownership.State == nil && before == nil {
 		events = append(events, n.restoredEstimates()...)
 	}
 	for _, id := range slices.Sorted(maps.Keys(n.overrides.disabled)) {
@@ -132,16 +134,18 @@
 	return append(events, n.replayJournal(ownership, unreported)...), nil
 }
 
-// startPatience is how long a start goes on trying to read or write its folder. The platform gives a node 30 s to be ready.
+// startupRetryTimeout is how long a start retries operations on the state folder and the peer socket. The
+// platform gives a node 30 s to become ready.
 const startupRetryTimeout = 20 * time.Second
 
-// patiently does what a start needs, again as long as it fails for a reason that may pass.
+// retryStartup runs an operation that a start depends on, and repeats it while it fails with a transient error.
 func (n *Node) retryStartup(ctx context.Context, operation func() error) error {
 	onFailure := func(err error) { n.log.Warn("start_waits", "err", err) }
 	return transient.Retry(ctx, startupRetryTimeout, onFailure, operation)
 }
 
-// replayed makes the events of what the journal says is still owed, in the order in which it was taken on.
+// replayJournal returns the sender's events for all that the journal has not settled, in the order in which the
+// messages were accepted, and restores the calls that are still in flight at a predecessor.
 func (n *Node) replayJournal(ownership handover.Ownership, unreported []callResult) (events []choice.Event) {
 	for _, p := range n.journal.Unsettled() {
 		n.messages[p.ID] = p
@@ -168,7 +172,8 @@
 		}
 	}
 	for _, id := range n.sender.OpenMessageIDs() {
-		// One that this process knew when it handed over may have met its end meanwhile: the journal tells.
+		// A message that the sender still has may have ended while another process owned the node: the journal
+		// decides.
 		if p := n.messages[id]; ownership.State != nil && p != nil && p.Ended == nil {
 			carried[id] = true
 		} else {
@@ -192,7 +197,8 @@
 	return events
 }
 
-// pastOf is what the journal knows of a message, or an empty past of one that is over but whose call is out.
+// journaledMessage returns the journal's record of a message. For a message that has ended and left the journal
+// while a call of it is still in flight, it returns an ended message without a history.
 func (n *Node) journaledMessage(id string) *journal.Message {
 	if p := n.messages[id]; p != nil {
 		return p
@@ -200,10 +206,11 @@
 	return &journal.Message{ID: id, Tenant: -1, Class: -1, Ended: &journal.Ending{}}
 }
 
-// orphaned says that the predecessor is gone, and its calls with it.
+// predecessorGone is the event that the predecessor process has gone, and its calls with it.
 type predecessorGone struct{}
 
-// predecessor takes what the old process sends until it has gone.
+// receiveFromPredecessor processes the frames of the old process until its end of the link closes: client
+// connections, outcomes of calls, and operators' commands.
 func (n *Node) receiveFromPredecessor(ctx context.Context, l *handover.Link) {
 	defer n.enqueue(ctx, predecessorGone{})
 	for {
@@ -225,7 +232,7 @@
 		case f.Command != nil:
 			o := operatorCommand{endpoint: f.Command.Endpoint, on: f.Command.On, done: make(chan error, 1)}
 			n.enqueue(ctx, o)
-			go func() { // ends with the order, or with the node
+			go func() { // ends when the command is answered or the node stops
 				result := handover.CommandResult{Number: f.Command.Number}
 				select {
 				case err := <-o.done:
@@ -241,12 +248,12 @@
 			}()
 		}
 		if file != nil {
-			file.Close() // a connection has a descriptor of its own by now
+			file.Close() // the connection uses a duplicate of this descriptor
 		}
 	}
 }
 
-// remoteEnded turns the outcome of a predecessor's call into one of ours.
+// remoteResult converts the outcome of a predecessor's call to the form of this process's own calls.
 func (n *Node) remoteResult(e handover.CallResult) callResult {
 	endpoint := n.endpoints[e.Endpoint]
 	if endpoint == nil {
@@ -257,7 +264,8 @@
 	}, e.Took}
 }
 
-// orphans ends the calls that were out at a predecessor when it went: their connections went with it.
+// failRemoteCalls ends the calls that were in flight at the predecessor when it went, as connection resets:
+// their connections were closed with the process.
 func (n *Node) failRemoteCalls() (events []choice.Event) {
 	for a, o := range n.inFlight {
 		if o.endpoint == nil {
@@ -267,17 +275,17 @@
 	return events
 }
 
-// moveClient passes a client's connection on.
+// moveClient passes a client's connection to the successor.
 func moveClient(l *handover.Link, nc net.Conn, m ingress.ConnHandover) error {
 	tcp, ok := nc.(*net.TCPConn)
 	if !ok {
-		return fmt.Errorf("handover: a connection of type %T", nc)
+		return fmt.Errorf("handover: cannot pass on a connection of type %T", nc)
 	}
 	raw, err := tcp.SyscallConn()
 	if err != nil {
 		return err
 	}
-	// Not by File, whose descriptor would come out of the last ones that are free.
+	// File is not used, because it duplicates the descriptor, and descriptors may be nearly exhausted.
 	var sent error
 	if err := raw.Control(func(fd uintptr) { sent = l.Send(handover.Frame{Client: &m}, int(fd)) }); err != nil {
 		return err
--- a/internal/node/list.go
+++ b/internal/node/list.go
@@ -12,7 +12,8 @@
 	"SERVING": choice.Ready, "DRAINING": choice.Draining, "DELETED": choice.Removed,
 }
 
-// entries converts a list for the module. A member of a phase that is not known is taken as draining.
+// listEntries converts the members of a list to the sender's form. A member in an unknown phase is treated as
+// draining.
 func listEntries(l listwatch.List, names wire.Names) []choice.Entry {
 	out := make([]choice.Entry, 0, len(l.Members))
 	for _, m := range l.Members {
--- a/internal/node/listservice.go
+++ b/internal/node/listservice.go
@@ -8,13 +8,14 @@
 	"harrierramp/internal/listwatch"
 )
 
-// turn is this node's among the others, for what all may want of the list service at once.
+// newPacer returns a pacer that spreads the requests of the fleet's nodes to the list service over time.
 func (n *Node) newPacer() *admission.Pacer {
 	s := n.cfg.Settings
 	return admission.NewPacer(s.FleetSize, s.Number, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 }
 
-// newWatcher is what follows the list for the node, from what it knows now.
+// newWatcher returns a watcher that follows the list of endpoints, starting from the node's current list, and
+// passes each list to onList.
 func (n *Node) newWatcher(onList func(listwatch.List)) *listwatch.Watcher {
 	w := &listwatch.Watcher{
 		Log: n.log, Client: n.httpClient, Servers: n.discovery, Backoff: listwatch.AgentBackoff(), ResponseTimeout: listwatch.AgentResponseTimeout, OnActivity: n.metrics.RecordListActivity,
@@ -32,6 +33,8 @@
 	return w
 }
 
+// newListValidator returns the validator of lists: it rejects a list older than the current one, and holds back
+// for a while a list that lacks most of the current endpoints.
 func (n *Node) newListValidator() *listwatch.Validator {
 	return listwatch.NewValidator(listwatch.Validator{
 		Log: n.log, Client: n.httpClient, Servers: n.discovery, HoldFor: min(n.cfg.Settings.DrainTimeout*3/4, listwatch.MaxHold),
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -17,24 +17,26 @@
 
 const memberIncarnationFile = "incarnation"
 
-// fellows is the node's side of membership: the loop owns it, and hands it datagrams and the time.
+// fleetMembership connects the node to package membership. The loop owns it and passes it datagrams and the
+// time.
 type fleetMembership struct {
 	core      *membership.Core
-	path      string // of the incarnation
-	persisted uint32 // what stands there
+	path      string // of the file that holds the incarnation
+	persisted uint32 // the incarnation in that file
 }
 
-// memberNote is a datagram of membership.
+// membershipDatagram is a datagram of package membership, from the node with the number from.
 type membershipDatagram struct {
 	from    int
 	payload []byte
 }
 
-// viewAsk asks the loop who is there.
+// membersQuery asks the loop for the node's view of the fleet.
 type membersQuery struct{ reply chan *admin.MembershipView }
 
-// newFellows begins membership under an incarnation that this node never had, or nil where it is off. Each process
-// that comes to own the node is one more incarnation, so that one process after the other reads as a restart.
+// newFleetMembership joins the fleet under an incarnation that this node never had before, or returns nil if
+// membership is off or there is no peer socket. Each process that becomes the owner of the node uses a new
+// incarnation, so that the other nodes see a restart.
 func (n *Node) newFleetMembership() *fleetMembership {
 	m := n.cfg.Membership
 	if m == nil || n.peers == nil {
@@ -57,7 +59,7 @@
 	return f
 }
 
-// readIncarnation reads what was kept; no file is 0.
+// readIncarnation reads an incarnation number from a file. It returns 0 if there is no file.
 func readIncarnation(path string) (uint32, error) {
 	raw, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -73,8 +75,8 @@
 	return uint32(v), nil
 }
 
-// keep writes the incarnation down before anybody hears of it. Without room on the disk, the next start learns it from
-// the others, who hold the node for gone until then.
+// persistIncarnation writes the incarnation to disk before any other node learns of it. If that fails, as on a
+// full disk, the next start has to learn it from the other nodes, which consider the node gone until then.
 func (f *fleetMembership) persistIncarnation(n *Node) {
 	if f.core.Incarnation() == f.persisted {
 		return
@@ -85,7 +87,7 @@
 	}
 }
 
-// wait is how long it is until membership has something to do.
+// untilDue returns the time until membership has something to do.
 func (f *fleetMembership) untilDue(now time.Duration) time.Duration {
 	if f == nil {
 		return time.Hour
@@ -93,7 +95,8 @@
 	return max(f.core.WakeAt()-now, 0)
 }
 
-// meet does what is due, after the datagrams that have come were handed in, and returns the news for the module.
+// stepMembership runs the membership protocol after the datagrams of the step were processed: it sends
+// datagrams that are due and returns the sender's events for members that changed.
 func (n *Node) stepMembership() (events []choice.Event) {
 	f := n.membership
 	if f == nil {
@@ -119,7 +122,7 @@
 	return events
 }
 
-// ago is the time since then in milliseconds, nil for never.
+// millisSince returns the time since then in milliseconds, or nil if then is 0, which means never.
 func millisSince(now, then time.Duration) *int64 {
 	if then == 0 {
 		return nil
@@ -128,7 +131,7 @@
 	return &ms
 }
 
-// view is nil where the fleet's socket could not be opened.
+// membersView returns the node's view of the fleet, or nil if the peer socket could not be opened.
 func (n *Node) membersView() *admin.MembershipView {
 	if n.membership == nil {
 		return nil
--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -14,7 +14,8 @@
 	"harrierramp/internal/outbox"
 )
 
-// resumed tells the module of a message's past. An attempt that is not proven not to have run may have.
+// resumedEvent returns the sender's event for a message that was accepted before this start, with its history.
+// An attempt counts as possibly executed unless the journal proves that it was not.
 func (n *Node) resumedEvent(p *journal.Message) choice.MessageResumed {
 	r := choice.MessageResumed{MessageArrived: n.arrivedEvent(p, p.Deadline), Attempts: len(p.Attempts)}
 	for _, s := range p.Attempts {
@@ -26,14 +27,16 @@
 	return r
 }
 
-// arrived is the module's event of a message. A deadline that has not been through the journal is on the
-// monotonic clock, so that a step of the wall clock does not move it.
+// arrivedEvent returns the sender's event for a new message. The caller passes the deadline, because one that
+// has not been read from the journal carries a monotonic reading, and so a step of the wall clock does not move
+// it.
 func (n *Node) arrivedEvent(p *journal.Message, deadline time.Time) choice.MessageArrived {
 	return choice.MessageArrived{ID: p.ID, Class: p.Class, Tenant: p.Tenant, Dest: p.Dest, Key: p.Key, Deadline: n.clockAt(deadline)}
 }
 
-// refuseGivenUp refuses a message whose record could not be written. Where the record may yet be found at the next start, the
-// refusal waits until it can't: by then the client has most likely gone without having heard anything.
+// refuseUnjournaled refuses a message whose record could not be written. While the next start might still find
+// the record in the file, the refusal waits until that is ruled out; by then the client has most likely
+// disconnected without an answer.
 func (n *Node) refuseUnjournaled(a submission) {
 	refusal := pendingAnswer{a, ingress.Answer{Refused: true}}
 	if n.journal.StaleTail() {
@@ -43,7 +46,7 @@
 	refusal.to.answer(refusal.answer)
 }
 
-// answer tells all who wait for it. Their channels have room.
+// answer sends the answer to all clients that submitted the message in this step. The channels are buffered.
 func (a submission) answer(answer ingress.Answer) {
 	a.reply <- answer
 	for _, r := range a.duplicates {
@@ -51,15 +54,17 @@
 	}
 }
 
-// accept journals a new message, or tells what to answer in place of asking the module.
+// accept adds a new message to the journal and returns true, or returns the answer to give without asking the
+// sender.
 func (n *Node) accept(a submission) (ingress.Answer, bool) {
 	switch {
 	case n.messages[a.ID] != nil:
-		return ingress.Answer{}, false // taken on before: handed in again it has no second effect
+		return ingress.Answer{}, false // accepted before: a repeated submission has no effect
 	case n.staleness.fenced() || n.belowFloor:
 		n.metrics.CountShed(a.Class)
 		return ingress.Answer{Refused: true, RetryAfter: fencedRetryAfter()}, false
-	case !n.knownDests[a.Dest] && n.startup != nil && !n.startup.Complete(): // the list that is awaited may name it
+	// The list that the node waits for may name the destination.
+	case !n.knownDests[a.Dest] && n.startup != nil && !n.startup.Complete():
 		n.metrics.CountShed(a.Class)
 		return ingress.Answer{Refused: true, RetryAfter: n.startup.RetryAfter(rand.Float64())}, false
 	case !n.knownDests[a.Dest]:
@@ -77,13 +82,15 @@
 		n.metrics.CountShed(a.Class)
 		return ingress.Answer{Refused: true}, false
 	}
-	p.ReceivedAt, p.Deadline = a.ReceivedAt, a.ReceivedAt.Add(a.TTL) // on the monotonic clock, which the journal does not keep
+	// Restores the monotonic readings, which the journal does not keep.
+	p.ReceivedAt, p.Deadline = a.ReceivedAt, a.ReceivedAt.Add(a.TTL)
 	n.messages[p.ID] = p
 	n.openMessages++
 	return ingress.Answer{}, true
 }
 
-// forget ends all that the node has of a message.
+// forget removes a settled message from the node and the journal. It does nothing if the message is already
+// gone.
 func (n *Node) forget(p *journal.Message) {
 	if n.messages[p.ID] != p {
 		return
@@ -95,11 +102,12 @@
 	n.journal.RecordSettled(p)
 }
 
-// called notes the outcome of a call.
+// finishCall records the outcome of a call in the audit log, the metrics and the journal, and returns the
+// sender's event for it.
 func (n *Node) finishCall(e callResult) choice.Event {
 	o, ok := n.inFlight[e.attemptID]
 	if !ok {
-		return nil // a predecessor told of it, and then was gone
+		return nil // the predecessor reported it and then exited
 	}
 	m := o.message
 	if n.audit != nil {
@@ -125,7 +133,7 @@
 		if e.Outcome == choice.Success {
 			n.metrics.CountDelivered(m.Class)
 			n.metrics.ObserveFirstDelivery(time.Since(n.processStart))
-		} else { // withdrawn or out of time, the endpoint says
+		} else { // the endpoint reports the message as withdrawn or past its deadline
 			n.metrics.CountFailed(m.Class)
 		}
 		n.forget(m)
@@ -139,7 +147,8 @@
 	}
 }
 
-// end gives a message its final answer: to its client if that still waits, and by a notice otherwise.
+// endMessage gives a message its final answer: directly if its client still waits for one, and by a notice
+// otherwise.
 func (n *Node) endMessage(id string, e journal.Ending, undecided map[string]submission) {
 	p := n.messages[id]
 	if p == nil || p.Ended != nil {
@@ -166,11 +175,12 @@
 	n.pending.notices = append(n.pending.notices, pendingNotice{outbox.NewNotice(p), p.Deadline.Add(-unrecordedNoticeLead)})
 }
 
-// send journals an attempt, and makes the call once that is written.
+// prepareCall adds an attempt to the journal. The call is made once the record is written.
 func (n *Node) prepareCall(a choice.Send) {
 	p, e := n.messages[a.ID], n.endpoints[a.Endpoint]
 	if e == nil {
-		// The list has just lost it; a call there is NotSent, and so proven not to have run.
+		// The list has just dropped the endpoint. The call ends as NotSent, which proves that it was not
+		// executed.
 		e = &egress.Endpoint{ID: a.Endpoint, Cooldown: new(egress.Cooldown)}
 		e.Withdrawn.Store(true)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,6 @@
-// Package node is a delivery node on real sockets: clients hand messages in, the node journals them, asks
-// package choice what to do, calls endpoints, and reports the ends. It decides nothing about messages itself.
+// Package node runs a delivery node on real sockets. Clients submit messages, the node journals them, asks
+// package choice what to do, calls endpoints, and reports the outcome of each message. It makes no delivery
+// decisions itself: those are left to the Sender of package choice.
 package node
 
 import (
@@ -31,33 +32,36 @@
 )
 
 const (
-	// epoch is the module's clock at the start: times before a restart stay above zero.
+	// clockOrigin is the reading of the sender's clock when the process starts. It is large enough that times
+	// from before a restart, which the journal still holds, stay above zero.
 	clockOrigin         = 48 * time.Hour
-	maxBatchEvents      = 256 // events in one Step
+	maxBatchEvents      = 256 // the most events that one step of the sender takes
 	eventQueueSize      = 1024
-	reservedDescriptors = 2*admin.MaxConnections + 16 // descriptors that neither clients nor calls may take
-	// After SIGTERM clients go on coming for 0.4 s, and SIGKILL comes after 3.7 s. Until holdAfter all goes on
-	// as ever; then the module is told to send nothing new, and what is out has until leaveAfter to end. All the
-	// while messages are taken on: the journal has them for the next start.
+	reservedDescriptors = 2*admin.MaxConnections + 16 // file descriptors that neither clients nor calls may use
+	// After SIGTERM the platform routes clients to the process for another 0.4 s, and it sends SIGKILL after
+	// 3.7 s. Until stopSendingAfter the node works as before. Then the sender is told to start no new calls,
+	// and calls in flight have until exitAfter to end. Messages are accepted all that time: the journal keeps
+	// them for the next start.
 	stopSendingAfter = 1200 * time.Millisecond
 	exitAfter        = 2700 * time.Millisecond
 )
 
-// attempt names a call that is out.
+// attemptID identifies one attempt to deliver a message, and with it the call that carries it out.
 type attemptID struct {
 	messageID string
 	attempt   int
 }
 
-// outCall is a call that is out.
+// inFlightCall is a call whose outcome is not yet known.
 type inFlightCall struct {
 	message  *journal.Message
-	endpoint *egress.Endpoint // nil for a call of the process that has handed over to this one
+	endpoint *egress.Endpoint // nil for a call of the predecessor process
 	cancel   context.CancelFunc
-	auditSeq int64 // its number in the record of acts, 0 for none
+	auditSeq int64 // its number in the audit log; 0 if it is not recorded
 }
 
-// Node is a delivery node. One goroutine, in Run, owns all that is not said to be shared.
+// Node is a delivery node. The goroutine that runs Run's event loop owns every field that is not marked as
+// shared.
 type Node struct {
 	cfg               config.Config
 	log               *slog.Logger
@@ -65,62 +69,63 @@
 	journal           *journal.Journal
 	pool              *egress.Pool
 	httpClient        *http.Client
-	Level             *slog.LevelVar             // of log, for operators to change; nil if they may not
+	Level             *slog.LevelVar             // of log; operators may change it unless it is nil
 	discovery         *listwatch.Addresses       // shared
-	peers             *peers                     // nil if the fleet has no datagrams
-	membership        *fleetMembership           // nil without membership
-	audit             *audit                     // nil where nothing is told
-	staleness         *stalenessGuard            // nil where nobody is shut out
-	recheckList       chan struct{}              // has the watcher ask another list server
-	fenceReason       atomic.Pointer[waitReason] // shared: nil unless the node is shut out
-	sendsPaused       bool                       // the module was told so
-	belowFloor        bool                       // by the list service's floor
+	peers             *peers                     // nil if the nodes exchange no datagrams
+	membership        *fleetMembership           // nil if membership is not configured
+	audit             *audit                     // nil if the node reports nothing to the list service
+	staleness         *stalenessGuard            // nil if fencing is not configured
+	recheckList       chan struct{}              // has the list watcher query another list server
+	fenceReason       atomic.Pointer[waitReason] // shared: why the node is fenced; nil unless it is
+	sendsPaused       bool                       // the sender has been told to start nothing new
+	belowFloor        bool                       // build or configuration is not the one that the list service requires
 	floor             listwatch.Floor
-	ownershipLock     *os.File // this process owns the node while it has it
+	ownershipLock     *os.File // this process owns the node while it holds the lock
 	overrides         *operatorOverrides
 	ingress           *ingress.Server // shared
 	metrics           *metrics.Set    // shared
-	serving           atomic.Bool     // shared: the loop runs
+	serving           atomic.Bool     // shared: the event loop runs
 	handedOver        atomic.Bool     // shared: a successor owns the node
 	clockStart        time.Time
 	events            chan any
 	notices           chan []outbox.Notice
-	handoverRequests  chan *handover.Link         // of processes that want to own the node
-	messages          map[string]*journal.Message // all in the journal, by id
+	handoverRequests  chan *handover.Link         // from processes that ask to take over the node
+	messages          map[string]*journal.Message // all messages in the journal, by ID
 	inFlight          map[attemptID]inFlightCall
-	remoteCalls       int // of those, calls of the process that has handed over
+	remoteCalls       int // how many of inFlight are calls of the predecessor process
 	endpoints         map[string]*egress.Endpoint
-	listMembers       map[string]listwatch.Member // the list as it is known
-	listRevision      int64                       // of it
-	estimates         *estimateStore              // what the sender has learnt, on disk
-	listCache         *listwatch.Cache            // of the last good list; nil if it is not kept
-	startup           *coldstart.Start            // what the start waits for; nil where the platform names the list
-	pendingCachedList listwatch.List              // a kept list that is not in force
+	listMembers       map[string]listwatch.Member // the current list of endpoints, by ID
+	listRevision      int64                       // of listMembers
+	estimates         *estimateStore              // the sender's estimates, on disk
+	listCache         *listwatch.Cache            // on disk; nil if no list is cached
+	startup           *coldstart.Start            // nil unless the list comes from list servers
+	pendingCachedList listwatch.List              // a cached list that is not in use yet
 	wallClock         wallClock
-	processStart      time.Time                  // of this process
-	lateReason        atomic.Pointer[string]     // shared: the list may be late, last; nil for never
-	startupWait       atomic.Pointer[waitReason] // shared: nil once there is a list
-	// The list that is known comes from before the start, and no server has confirmed it yet.
+	processStart      time.Time                  // start of this process
+	lateReason        atomic.Pointer[string]     // shared: why the list may be out of date; nil if it never was
+	startupWait       atomic.Pointer[waitReason] // shared: why the node waits for a list; nil once it has one
+	// listUnconfirmed is set while the current list was cached before the start and no list server has
+	// confirmed it.
 	listUnconfirmed bool
-	destCooldowns   map[int]*egress.Cooldown // of destinations whose endpoints share them
-	noticeQueue     []outbox.Notice          // not yet handed to the reporter
-	knownEndpoints  map[string]bool          // endpoints that a list has ever named
-	knownDests      map[int]bool             // all that a list has ever named
-	openMessages    int                      // messages without their final answer
-	pending         pendingEffects           // what the records that are not yet written guard
-	withdrawnCalls  []choice.Event           // ends of calls that could not be journaled, for the next step
-	cancelled       []attemptID              // by this step
-	commandOutcomes []commandOutcome         // orders that hold after this step
-	wakeAt          time.Duration            // of the module; 0 none
+	destCooldowns   map[int]*egress.Cooldown // of destinations whose endpoints share one cooldown
+	noticeQueue     []outbox.Notice          // not yet handed to outbox.Run
+	knownEndpoints  map[string]bool          // all endpoints that any list has named
+	knownDests      map[int]bool             // all destinations that any list has named
+	openMessages    int                      // number of messages without a final answer
+	pending         pendingEffects           // effects that wait for their journal records to be written
+	withdrawnCalls  []choice.Event           // outcomes of calls that could not be journaled, for the next step
+	cancelled       []attemptID              // attempts to cancel at the end of this step
+	commandOutcomes []commandOutcome         // commands to answer at the end of this step
+	wakeAt          time.Duration            // the sender's next wake-up; 0 for none
 	calls           sync.WaitGroup
 }
 
-// Events of the loop.
+// Events of the loop, beside those that other packages define.
 type (
 	submission struct {
 		ingress.Request
 		reply      chan ingress.Answer
-		duplicates []chan ingress.Answer // of the same message, handed in again in the same step
+		duplicates []chan ingress.Answer // replies to repeated submissions of the message within the same step
 	}
 	callResult struct {
 		attemptID
@@ -130,21 +135,22 @@
 	}
 	acceptedNotices []outbox.Notice
 
-	// order is what operators tell the node. done gets nil once it holds, or why it does not.
+	// operatorCommand is a command of an operator. done receives nil once the command is in effect, or the
+	// error.
 	operatorCommand struct {
-		endpoint string // to take out or put back; empty for a drain
+		endpoint string // to disable or enable; empty for a drain
 		on       bool
 		done     chan error
 	}
 
-	// obeyed is an order that has been carried out, or why it could not be.
+	// commandOutcome is a command that has been carried out, or the error that prevented it.
 	commandOutcome struct {
 		operatorCommand
 		err error
 	}
 )
 
-// New makes a node that Run brings to life. Its folder must be the node's alone.
+// New returns a node that does nothing until Run is called. No other node may use its state folder.
 func New(cfg config.Config, log *slog.Logger) *Node {
 	if cfg.Registry != nil {
 		_, haveEstimates, err := newEstimateStore(cfg).read(time.Now())
@@ -165,7 +171,7 @@
 	return n
 }
 
-// newListClient makes the client for the list and for notices.
+// newListClient returns the HTTP client for the list of endpoints and for notices.
 func newListClient(cfg config.Config) *http.Client {
 	if cfg.Registry != nil {
 		return listwatch.NewClient(cfg.SourceAddr())
@@ -173,7 +179,7 @@
 	return listwatch.NewAgentClient(cfg.SourceAddr())
 }
 
-// seed reads the configuration's hexadecimal seed; any other text serves as well.
+// seed parses the hexadecimal seed of the configuration. Any other text is hashed to a seed.
 func seed(text string) uint64 {
 	if v, err := strconv.ParseUint(text, 16, 64); err == nil {
 		return v
@@ -183,17 +189,20 @@
 	return h.Sum64()
 }
 
-// now is the module's clock, and at what it shows at another time.
+// now returns the current reading of the sender's clock.
 func (n *Node) now() time.Duration { return n.clockAt(time.Now()) }
 
+// clockAt returns the reading of the sender's clock at time t.
 func (n *Node) clockAt(t time.Time) time.Duration { return clockOrigin + t.Sub(n.clockStart) }
 
+// wallTime returns the time at which the sender's clock reads d.
 func (n *Node) wallTime(d time.Duration) time.Time { return n.clockStart.Add(d - clockOrigin) }
 
-// Run serves clients on ln until ctx ends; then it finishes or leaves to the journal what it holds. If another
-// process owns the node, it asks that to hand over, and it hands over itself when asked.
+// Run serves clients on ln until ctx ends. Then it finishes the messages that it holds, or leaves them in the
+// journal for the next start. If another process owns the node, Run asks that process to hand over; and when
+// another process asks, Run hands over in turn.
 func (n *Node) Run(ctx context.Context, ln net.Listener) error {
-	// The parts outlive ctx by the time that it takes to leave.
+	// Background goroutines outlive ctx by the time that the shutdown takes.
 	processCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	var background sync.WaitGroup
 	n.ingress = ingress.NewServer(ln, n.cfg.Limits.Sockets/3, n.cfg.Names, func(q ingress.Request) ingress.Answer { return n.submit(processCtx, q) })
@@ -211,7 +220,7 @@
 		backoff.Sleep(processCtx, stopSendingAfter)
 		n.enqueue(processCtx, choice.ShuttingDown{})
 		backoff.Sleep(processCtx, exitAfter-stopSendingAfter)
-		n.ingress.Close() // those inside a request get their answers from the loop, which still runs
+		n.ingress.Close() // requests in progress are answered by the loop, which still runs
 	})
 	defer background.Wait()
 	defer cancel()
@@ -224,7 +233,7 @@
 			return err
 		})
 		if ctx.Err() != nil && err != nil {
-			return nil // a stand-by, or one that never came to serve
+			return nil // this process was on standby or had not begun to serve
 		}
 		if err != nil {
 			return err
@@ -246,9 +255,13 @@
 	}
 }
 
-// own serves with the claim until the process may end, or until a successor owns the node.
+// serveAsOwner serves while this process owns the node: until the process may exit, in which case successor is
+// nil, or until a successor owns the node. unreported are the outcomes of calls that ended while the node was
+// handed over and that the successor, now gone, did not receive. exitDue is closed when the process has to
+// exit.
 func (n *Node) serveAsOwner(processCtx context.Context, ownership handover.Ownership, unreported []callResult, exitDue <-chan struct{}) (successor *handover.Link, err error) {
-	defer func() { err = errors.Join(err, ownership.Lock.Close()) }() // a successor holds it by a descriptor of its own
+	// A successor holds the lock through its own descriptor.
+	defer func() { err = errors.Join(err, ownership.Lock.Close()) }()
 	n.ownershipLock = ownership.Lock
 	events, err := n.loadState(processCtx, ownership, unreported)
 	if err != nil {
@@ -300,7 +313,7 @@
 	n.serving.Store(false)
 	if successor != nil {
 		n.ingress.Pause()
-		n.openMessages = 0 // the successor's figure now
+		n.openMessages = 0 // the successor counts them now
 		n.publishGauges()
 		n.httpClient.CloseIdleConnections()
 		return successor, n.journal.Close()
@@ -309,7 +322,7 @@
 	for _, o := range n.inFlight {
 		o.cancel()
 	}
-	for len(n.inFlight) > n.remoteCalls { // each call that is called off ends by an event
+	for len(n.inFlight) > n.remoteCalls { // each cancelled call ends with an event
 		n.processBatch(processCtx, []any{<-n.events})
 	}
 	endOwnership()
@@ -319,11 +332,11 @@
 	return nil, n.journal.Close()
 }
 
-// Reload takes from a configuration that has replaced the old one what may change while the node runs: the
-// address of discovery. It may be called at any time, from any goroutine.
+// Reload applies what may change of the configuration while the node runs: the addresses of discovery. It may
+// be called at any time, from any goroutine.
 func (n *Node) Reload(cfg config.Config) { n.discovery.Set(cfg.DiscoveryAddrs()) }
 
-// tell hands the loop an event.
+// enqueue passes an event to the loop. It waits until the loop has room for it or ctx ends.
 func (n *Node) enqueue(ctx context.Context, e any) {
 	select {
 	case n.events <- e:
@@ -331,7 +344,8 @@
 	}
 }
 
-// noted hands the loop a note, unless it is too busy: a note may be lost, a socket's reader must not wait.
+// offer passes a datagram to the loop, and drops it and returns false if the queue is full. A datagram may be
+// lost, but the goroutine that reads the socket must not block.
 func (n *Node) offer(e any) bool {
 	select {
 	case n.events <- e:
@@ -341,7 +355,7 @@
 	}
 }
 
-// hand hands in a client's request and waits for the answer.
+// submit passes a client's request to the loop and waits for the answer.
 func (n *Node) submit(ctx context.Context, q ingress.Request) ingress.Answer {
 	a := submission{Request: q, reply: make(chan ingress.Answer, 1)}
 	n.enqueue(ctx, a)
@@ -350,11 +364,12 @@
 		n.metrics.ObserveIntakeAnswer(time.Since(q.ReceivedAt))
 		return r
 	case <-ctx.Done():
-		return ingress.Answer{Refused: true} // the loop has ended and did not take it on
+		return ingress.Answer{Refused: true} // the loop has ended and did not accept the message
 	}
 }
 
-// loop batches what has come and steps through it, until the node has left or a successor owns it.
+// loop processes events in batches until exitDue is closed, when it returns nil, or until a successor owns the
+// node.
 func (n *Node) loop(ctx context.Context, exitDue <-chan struct{}) (successor *handover.Link) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -392,7 +407,8 @@
 	}
 }
 
-// untilWake is the time to the module's next wake, or to the next try of a journal that could not be written.
+// untilNextWake returns the time until the loop has work to do even if no event comes: a wake-up of the sender,
+// another try to write the journal, or a timer of one of the node's components.
 func (n *Node) untilNextWake() time.Duration {
 	wait := time.Hour
 	if n.wakeAt > 0 {
@@ -413,7 +429,7 @@
 	return min(wait, n.untilClockCheck(), n.membership.untilDue(n.now()), n.audit.untilDue(n.now()), n.staleness.untilDue(n.now()))
 }
 
-// take turns a batch into the module's events, and steps.
+// processBatch turns a batch of the loop's events into events for the sender, and runs one step.
 func (n *Node) processBatch(ctx context.Context, batch []any) {
 	began := time.Now()
 	defer func() { n.metrics.ObserveLoopStep(time.Since(began)) }()
@@ -465,7 +481,7 @@
 			}
 		case submission:
 			e.TTL -= n.unreadFor(e.ReceivedAt)
-			if first, duplicate := undecided[e.ID]; duplicate { // what the first is told holds for both
+			if first, duplicate := undecided[e.ID]; duplicate { // both get the answer of the first
 				first.duplicates = append(first.duplicates, e.reply)
 				undecided[e.ID] = first
 				continue
@@ -483,7 +499,7 @@
 	events = append(events, n.activateCachedList()...)
 	events = append(events, n.stepMembership()...)
 	n.checkStaleness()
-	// What the module is about to be told of, and the clients with it, rests on these records.
+	// The accepted messages must be on disk before the sender acts on them and clients are answered.
 	if err := n.journal.Flush(); err != nil && len(undecided) > 0 {
 		n.log.Error("messages_turned_away", "err", err)
 		events = slices.DeleteFunc(events, func(e choice.Event) bool {
@@ -505,7 +521,8 @@
 	n.step(ctx, events, undecided)
 }
 
-// obey carries out what operators have told. The yes follows once the module has heard of it.
+// applyCommand carries out an operator's command. The command is answered at the end of the step, once the
+// sender has processed the event that applyCommand returns, if any.
 func (n *Node) applyCommand(o operatorCommand) choice.Event {
 	done := func(err error) { n.commandOutcomes = append(n.commandOutcomes, commandOutcome{o, err}) }
 	if o.endpoint == "" {
@@ -531,12 +548,13 @@
 	if !o.on {
 		return choice.EndpointEnabled{Endpoint: o.endpoint}
 	}
-	n.pool.CloseIdle(o.endpoint) // it is about to be restarted
+	n.pool.CloseIdle(o.endpoint) // its idle connections: it is about to be restarted
 	return choice.EndpointDisabled{Endpoint: o.endpoint}
 }
 
-// step lets the module decide and carries out what it says, in order, once the records are written that guard
-// it. fresh are the messages whose clients still wait to hear whether they are taken on.
+// step passes events to the sender and carries out its decisions in order, once the journal records that they
+// depend on are written. undecided holds the submissions whose clients do not know yet whether the message is
+// accepted.
 func (n *Node) step(ctx context.Context, events []choice.Event, undecided map[string]submission) {
 	for _, a := range n.sender.Step(n.now(), events) {
 		switch a := a.(type) {
@@ -564,7 +582,7 @@
 	n.reportStatus()
 	n.saveList()
 	n.saveEstimates()
-	for _, a := range undecided { // not refused, so taken on; its record stands since before the step
+	for _, a := range undecided { // not refused by this step, so accepted; its record was written before
 		a.answer(ingress.Answer{})
 	}
 	if n.audit != nil {
@@ -573,7 +591,8 @@
 	n.finishStep(ctx)
 }
 
-// finishStep does what the step has decided, as far as the journal lets it.
+// finishStep performs the effects of the step if the journal can be written, and otherwise withdraws what must
+// not happen later. Then it cancels calls and answers operators.
 func (n *Node) finishStep(ctx context.Context) {
 	if err := n.journal.Flush(); err != nil {
 		n.log.Error("journal_waiting", "calls", len(n.pending.calls), "answers", len(n.pending.answers),
@@ -593,7 +612,7 @@
 	n.cancelled, n.commandOutcomes = n.cancelled[:0], n.commandOutcomes[:0]
 }
 
-// publish brings the gauges up to date for readers that must not wait for the loop.
+// publishGauges updates the gauges, so that readers of the metrics need not wait for the loop.
 func (n *Node) publishGauges() {
 	size, ejected := n.sender.EndpointCounts()
 	n.metrics.Active.Store(int64(n.openMessages))
--- a/internal/node/overrides.go
+++ b/internal/node/overrides.go
@@ -12,15 +12,15 @@
 	"harrierramp/internal/atomicfile"
 )
 
-// orders are what the operators have told the node and not taken back. They stand in a file of their own, so that
-// neither a journal that can't be written nor its compaction touches them.
+// operatorOverrides is the state that operators have set and not reset: disabled endpoints and a drain. It has
+// its own file, so that it does not depend on a journal that cannot be written or is being compacted.
 type operatorOverrides struct {
 	dir      string
-	disabled map[string]bool // endpoints that nothing is sent to
+	disabled map[string]bool // IDs of endpoints that get no calls
 	drained  bool
 }
 
-// ordersFile is their lasting form.
+// overridesFile is the stored form of operatorOverrides.
 type overridesFile struct {
 	Out     []string `json:"out"`
 	Drained bool     `json:"drained,omitempty"`
@@ -28,8 +28,8 @@
 
 const overridesFileName = "orders.json"
 
-// readOrders reads what stands in dir. No file means no orders; one that can't be read is an error, for to go on
-// would send to endpoints that the operators have taken out.
+// readOverrides reads the overrides stored in dir. Without a file there are none. A file that cannot be read is
+// an error, because without it the node would call endpoints that operators have disabled.
 func readOverrides(dir string) (*operatorOverrides, error) {
 	o := &operatorOverrides{dir: dir, disabled: map[string]bool{}}
 	raw, err := os.ReadFile(o.path())
@@ -37,11 +37,11 @@
 		return o, nil
 	}
 	if err != nil {
-		return nil, fmt.Errorf("orders: %w", err)
+		return nil, fmt.Errorf("operator overrides: %w", err)
 	}
 	var f overridesFile
 	if err := json.Unmarshal(raw, &f); err != nil {
-		return nil, fmt.Errorf("orders: %w", err)
+		return nil, fmt.Errorf("operator overrides: %w", err)
 	}
 	for _, id := range f.Out {
 		o.disabled[id] = true
@@ -52,7 +52,7 @@
 
 func (o *operatorOverrides) path() string { return filepath.Join(o.dir, overridesFileName) }
 
-// setOut takes an endpoint out or puts it back; after an error nothing has changed.
+// setDisabled disables or enables an endpoint. After an error nothing has changed.
 func (o *operatorOverrides) setDisabled(id string, disabled bool) error {
 	if o.disabled[id] == disabled {
 		return nil
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// setDrained notes a drain or its end; after an error nothing has changed.
+// setDrained stores that the node is drained, or no longer is. After an error nothing has changed.
 func (o *operatorOverrides) setDrained(on bool) error {
 	if o.drained == on {
 		return nil
@@ -80,14 +80,14 @@
 	return nil
 }
 
-// write replaces the file as a whole: a kill leaves the old one or the new one.
+// write replaces the file atomically: if the process is killed, either the old or the new file is there.
 func (o *operatorOverrides) write(disabled map[string]bool, drained bool) error {
 	raw, err := json.Marshal(overridesFile{Out: slices.Sorted(maps.Keys(disabled)), Drained: drained})
 	if err != nil {
-		return fmt.Errorf("orders: %w", err)
+		return fmt.Errorf("operator overrides: %w", err)
 	}
 	if err := atomicfile.Replace(o.path(), raw); err != nil {
-		return fmt.Errorf("orders: %w", err)
+		return fmt.Errorf("operator overrides: %w", err)
 	}
 	return nil
 }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -18,19 +18,20 @@
 )
 
 const (
-	maxDatagramBytes      = 256 // a longer one is not allowed between nodes
+	maxDatagramBytes      = 256 // bytes; nodes must not send longer ones to each other
 	peerBindAttempts      = 20
 	peerBindRetryInterval = 10 * time.Millisecond
 )
 
-// peers carries the module's notes between the nodes of a fleet, as datagrams: late, or not at all.
+// peers exchanges datagrams between the nodes of a fleet. They may arrive late or not at all.
 type peers struct {
 	conn        *net.UDPConn
 	addrs       []netip.AddrPort
 	nodeNumbers map[netip.AddrPort]int
 }
 
-// listenToPeers opens the socket for notes. Without an address for it, or without other nodes, there are none.
+// listenPeers opens the socket for datagrams. It returns nil if the configuration does not allow datagrams,
+// gives no address for the socket, or names no other nodes.
 func listenPeers(ctx context.Context, cfg config.Config) (*peers, error) {
 	if cfg.PeerListen == "" || !cfg.Settings.PeerDatagrams || len(cfg.Peers) < 2 {
 		return nil, nil
@@ -58,7 +59,8 @@
 	return p, nil
 }
 
-// listenUDP opens a socket whose address a process before may hold for some moments more.
+// listenUDP opens a UDP socket. It retries for a while, because the previous process may still hold the
+// address.
 func listenUDP(ctx context.Context, at netip.AddrPort) (conn *net.UDPConn, err error) {
 	for range peerBindAttempts {
 		conn, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(at))
@@ -69,7 +71,8 @@
 	return conn, err
 }
 
-// receive hands on what other nodes send, until the socket is closed. What comes from elsewhere is counted.
+// receive passes datagrams of the other nodes to deliver until the socket is closed. It counts datagrams from
+// other senders in unknownSenders, and drops them.
 func (p *peers) receive(ctx context.Context, log *slog.Logger, unknownSenders *atomic.Int64, deliver func(any) bool) {
 	b := make([]byte, maxDatagramBytes+1)
 	for {
@@ -87,7 +90,7 @@
 		number, ok := p.nodeNumbers[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 		if !ok || n > maxDatagramBytes {
 			unknownSenders.Add(1)
-			continue // nobody of the fleet
+			continue // not from a node of the fleet, or too long
 		}
 		text := append([]byte(nil), b[:n]...)
 		switch {
@@ -101,7 +104,7 @@
 	}
 }
 
-// send sends a note; one that can't be sent is as good as lost.
+// send sends a datagram. One that cannot be sent is dropped, as a datagram may be lost anyway.
 func (p *peers) send(a choice.SendDatagram, log *slog.Logger) {
 	if p == nil || a.To < 0 || a.To >= len(p.addrs) || len(a.Payload) > maxDatagramBytes {
 		return
--- a/internal/node/pending.go
+++ b/internal/node/pending.go
@@ -11,20 +11,21 @@
 	"harrierramp/internal/outbox"
 )
 
-// noticeLead is how long before a message's time its notice needs no record any more: a process that starts again takes
-// longer, and ends the message by its time.
+// unrecordedNoticeLead is how long before a message's deadline its notice may be sent without a journal record.
+// A restart takes longer than that, so a restarted process finds the deadline passed and ends the message for
+// that reason.
 const unrecordedNoticeLead = 20 * time.Millisecond
 
-// guarded is what the loop has decided and may not do before the journal's records of it stand in the file. While the
-// journal can't be written, nothing of it is done late: a call is withdrawn at once, and a notice goes without its record
-// when its message's time is up.
+// pendingEffects are effects that the loop has decided on and that must wait until their journal records are
+// written. While the journal cannot be written, no call is made late: calls are withdrawn at once, and a notice
+// is sent without a record when its message's deadline has nearly come. Refusals wait for the journal.
 type pendingEffects struct {
 	calls   []pendingCall
 	answers []pendingAnswer
 	notices []pendingNotice
 }
 
-// plannedCall is a call whose attempt has been journaled.
+// pendingCall is a call whose attempt has been added to the journal.
 type pendingCall struct {
 	attemptID
 	message  *journal.Message
@@ -33,22 +34,22 @@
 	auditSeq int64
 }
 
-// clientAnswer is a final answer to a client whose message the journal has as taken on.
+// pendingAnswer is a final answer to a client whose message the journal holds as accepted.
 type pendingAnswer struct {
 	to     submission
 	answer ingress.Answer
 }
 
-// heldNotice is a notice whose message's final answer has been journaled.
+// pendingNotice is a notice whose message's final answer has been added to the journal.
 type pendingNotice struct {
 	notice outbox.Notice
-	sendBy time.Time // it goes then, whether its record stands or not
+	sendBy time.Time // then it is sent even if its record is not written
 }
 
-// empty tells that nothing waits for the journal.
+// empty reports whether no effect waits for the journal.
 func (p *pendingEffects) empty() bool { return len(p.calls)+len(p.answers)+len(p.notices) == 0 }
 
-// untilOverdue is the time until the first notice goes without its record.
+// untilNoticeDue returns the time until the first notice is sent without its record.
 func (p *pendingEffects) untilNoticeDue(now time.Time) time.Duration {
 	wait := time.Hour
 	for _, h := range p.notices {
@@ -57,7 +58,7 @@
 	return wait
 }
 
-// release does what is guarded, after the records of it have been written.
+// performPending performs all pending effects. Their journal records have been written.
 func (n *Node) performPending(ctx context.Context) {
 	for _, c := range n.pending.calls {
 		n.startCall(ctx, c)
@@ -71,7 +72,8 @@
 	n.pending = pendingEffects{}
 }
 
-// withhold is release while the journal can't be written: calls end as not sent, and notices go whose time has come.
+// withdrawPending takes the place of performPending while the journal cannot be written: calls end as not sent,
+// and notices that are due are sent without a record.
 func (n *Node) withdrawPending() {
 	for _, c := range n.pending.calls {
 		n.journal.RecordNotExecuted(c.message, c.attempt)
@@ -95,7 +97,7 @@
 	n.pending.notices = waiting
 }
 
-// startCall makes a call on a goroutine of its own, whose outcome is an event of the loop.
+// startCall makes a call on its own goroutine. The outcome is an event of the loop.
 func (n *Node) startCall(ctx context.Context, c pendingCall) {
 	ctx, cancel := context.WithCancel(ctx)
 	n.inFlight[c.attemptID] = inFlightCall{c.message, c.call.Endpoint, cancel, c.auditSeq}
@@ -103,7 +105,8 @@
 		defer cancel()
 		began := time.Now()
 		result := c.pool.Do(ctx, c.call)
-		// Not by tell: the loop takes every call's end, also while the node leaves.
+		// enqueue is not used, because it drops the event when its context ends: the loop must receive the
+		// outcome of every call, also during shutdown.
 		n.events <- callResult{c.attemptID, c.call.Endpoint, result, time.Since(began)}
 	})
 }
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -10,13 +10,15 @@
 	"harrierramp/internal/ingress"
 )
 
-// relay serves a successor that owns the node: clients move to it, outcomes are told, orders passed on. It returns
-// when the successor has gone, with the outcomes that it has not heard of, or, as left, when this process may end.
+// relay works for a successor that owns the node: client connections move to it, outcomes of calls are reported
+// to it, and operators' commands are forwarded. relay returns when the successor has gone, with the outcomes
+// that it did not receive, or with stopped set when this process may exit. exitDue is closed when the process
+// has to exit.
 func (n *Node) relay(ctx context.Context, l *handover.Link, exitDue <-chan struct{}) (unreported []callResult, stopped bool) {
 	linkClosed := make(chan struct{})
 	results := make(chan handover.CommandResult)
 	cancels := make(chan handover.Attempt)
-	go func() { // ends with the link, which is closed below
+	go func() { // ends when the link is closed, below
 		defer close(linkClosed)
 		for {
 			f, file, err := l.Receive()
@@ -93,7 +95,7 @@
 				o.done <- admin.ErrNotServing
 			}
 			return append(unreported, n.cancelCalls(unreported)...), ctx.Err() != nil
-		case <-exitDue: // what is still out has had its time
+		case <-exitDue: // calls that are still in flight have had their time
 			for _, o := range n.inFlight {
 				o.cancel()
 			}
@@ -106,17 +108,18 @@
 	}
 }
 
-// callOff ends the calls that are out and returns their outcomes, but for those that are known.
+// cancelCalls cancels the calls in flight and waits for them. It returns their outcomes, except those in
+// collected.
 func (n *Node) cancelCalls(collected []callResult) (results []callResult) {
 	for _, o := range n.inFlight {
 		o.cancel()
 	}
-	for len(collected)+len(results) < len(n.inFlight) { // each call that is called off ends by an event
+	for len(collected)+len(results) < len(n.inFlight) { // each cancelled call ends with an event
 		switch e := (<-n.events).(type) {
 		case callResult:
 			results = append(results, e)
 		case submission:
-			e.reply <- ingress.Answer{HandedOver: true} // it stays, and asks again
+			e.reply <- ingress.Answer{HandedOver: true} // the connection stays here, and its request is submitted again
 		case operatorCommand:
 			e.done <- admin.ErrNotServing
 		}
--- a/internal/node/staleness.go
+++ b/internal/node/staleness.go
@@ -9,22 +9,23 @@
 	"harrierramp/internal/staleness"
 )
 
-// ward is the node's side of straggler: the loop owns it, and hands it datagrams and the time.
+// stalenessGuard connects the node to package staleness, which fences a node whose list is older than that of
+// the other nodes. The loop owns it and passes it datagrams and the time.
 type stalenessGuard struct {
 	detector  *staleness.Detector
-	heartbeat time.Duration // of list servers; 0 where they have none
+	heartbeat time.Duration // interval of the list servers' heartbeats; 0 if they send none
 }
 
-// revisionNote is a datagram of straggler.
+// revisionDatagram is a datagram of package staleness, from the node with the number from.
 type revisionDatagram struct {
 	from    int
 	payload []byte
 }
 
-// newWard begins to hear which list others act on, or is nil where that is off.
+// newStalenessGuard starts to compare list revisions with the other nodes, or returns nil if fencing is off.
 func (n *Node) newStalenessGuard() *stalenessGuard {
 	if !n.belowFloor {
-		n.fenceReason.Store(nil) // of a time before, in which this process owned the node
+		n.fenceReason.Store(nil) // left from an earlier time in which this process owned the node
 	}
 	if n.audit == nil || !n.cfg.Audit.Fencing || n.peers == nil {
 		return nil
@@ -34,9 +35,10 @@
 	}, n.now(), n.listRevision), heartbeat: n.cfg.Registry.HeartbeatInterval.Duration()}
 }
 
+// fenced reports whether the node has to stop acting on its list.
 func (g *stalenessGuard) fenced() bool { return g != nil && g.detector.Fenced() }
 
-// wait is how long it is until there is something to do.
+// untilDue returns the time until the guard has something to do.
 func (g *stalenessGuard) untilDue(now time.Duration) time.Duration {
 	if g == nil {
 		return time.Hour
@@ -44,10 +46,13 @@
 	return max(g.detector.WakeAt()-now, 0)
 }
 
-// shutWait is what clients are told to wait while the node is shut out, and up to as much more.
+// minFencedRetryAfter is the shortest time that clients are told to wait while the node is fenced; the longest
+// is twice as long.
 const minFencedRetryAfter = 500 * time.Millisecond
 
-// heed does what is due about others that act on a later list, after the datagrams and lists that have come were taken.
+// checkStaleness compares the node's list revision with those of the other nodes, after the datagrams and lists
+// of the step were processed. It has the watcher query another list server if others are ahead, and fences the
+// node if that does not help.
 func (n *Node) checkStaleness() {
 	guard := n.staleness
 	if guard == nil {
@@ -84,8 +89,8 @@
 	n.log.Warn("shut_out", "revision", result.NewerRevision, "own", n.listRevision)
 }
 
-// blinded tells the module when it is not to begin anything new, and when it is again: on what the node knows, or while no
-// attempt can be journaled.
+// updateSendPause appends an event that tells the sender to stop starting new calls, or to resume, when that
+// changes. Calls stop while the node's list must not be relied on, and while no attempt can be journaled.
 func (n *Node) updateSendPause(events []choice.Event) []choice.Event {
 	pause := n.journal.Down() || n.staleness.fenced() || n.belowFloor || n.audit != nil && n.audit.pauses.Stale()
 	if pause == n.sendsPaused {
@@ -95,7 +100,8 @@
 	return append(events, choice.SendsPaused{On: pause})
 }
 
-// floored takes what the list service asks of every node. A node that is not fit acts no more until the floor is another.
+// applyFloor applies the list service's minimum requirements for all nodes. A node with another build or
+// configuration than required stops acting until the requirements change.
 func (n *Node) applyFloor(announced *listwatch.Floor) {
 	if n.audit == nil {
 		return
@@ -120,5 +126,6 @@
 	}
 }
 
-// comeLater is what a client is told that hands something in while the node is shut out.
+// fencedRetryAfter returns the time after which a client should retry that submits a message while the node is
+// fenced. It is random, so that clients do not return together.
 func fencedRetryAfter() time.Duration { return minFencedRetryAfter + rand.N(minFencedRetryAfter) }
--- a/internal/node/successors.go
+++ b/internal/node/successors.go
@@ -10,9 +10,9 @@
 	"harrierramp/internal/handover"
 )
 
-const successorRequestTimeout = 500 * time.Millisecond // for a process to say what it comes for
+const successorRequestTimeout = 500 * time.Millisecond // for a connected process to send its request
 
-// successors hands each process that asks to the loop, until ln is closed.
+// acceptSuccessors passes each process that asks to take over the node to the loop, until ln is closed.
 func (n *Node) acceptSuccessors(ctx context.Context, ln *net.UnixListener) {
 	for {
 		nc, err := ln.AcceptUnix()
