--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -408,7 +408,7 @@
 // TestMain runs a node if a test has started this binary as a child process, and the tests otherwise.
 func TestMain(m *testing.M) {
 	child := childMain
-	switch os.Getenv("CORALYARD_TEST_CHILD") {
+	switch os.Getenv("HARRIERRAMP_TEST_CHILD") {
 	case "":
 		os.Exit(m.Run())
 	case "upgrade":
@@ -449,7 +449,7 @@
 func startChild(t *testing.T, r *fakeDiscovery, state string, known ...string) *childNode {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), "CORALYARD_TEST_CHILD=1", "ROUTER_STATE="+state,
+	cmd.Env = append(os.Environ(), "HARRIERRAMP_TEST_CHILD=1", "ROUTER_STATE="+state,
 		"ROUTER_CONFIG="+writeConfig(t, "127.0.0.1:0", r.addr(), known...))
 	cmd.Stderr = os.Stderr
 	out, err := cmd.StdoutPipe()
--- a/internal/node/upgrade_test.go
+++ b/internal/node/upgrade_test.go
@@ -63,7 +63,7 @@
 func (p *platform) start(env ...string) *process {
 	p.t.Helper()
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(append(os.Environ(), "CORALYARD_TEST_CHILD=upgrade", "ROUTER_STATE="+p.stateDir,
+	cmd.Env = append(append(os.Environ(), "HARRIERRAMP_TEST_CHILD=upgrade", "ROUTER_STATE="+p.stateDir,
 		"ROUTER_CONFIG="+writeConfig(p.t, p.addr(), p.discovery.addr(), p.known...)), env...)
 	cmd.Stderr = os.Stderr
 	cmd.ExtraFiles = []*os.File{p.socketFile}
