--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -53,7 +53,7 @@
 	switch {
 	case !cached.Present:
 	case cfg.CachedMaxAge > 0 && cached.Age < 0:
-		s.waitReason = "the age of the cached list is unknown"
+		s.waitReason = "the cached list is of unknown age"
 	case cfg.CachedMaxAge > 0 && cached.Age > cfg.CachedMaxAge:
 		s.waitReason = fmt.Sprintf("the cached list is %v old, and the limit is %v", cached.Age.Round(time.Second), cfg.CachedMaxAge)
 	default:
