--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -25,7 +25,7 @@
 	maxFrameBytes = 64 << 20
 )
 
-// ErrBadFrame is returned for a frame that is too long, malformed or incomplete.
+// ErrBadFrame is returned for a frame that is too long, malformed, or not the expected one.
 var ErrBadFrame = errors.New("handover: malformed frame")
 
 // Link is the connection between two processes of a node. A frame is its length as four bytes, big-endian, and
--- a/internal/node/auditlog.go
+++ b/internal/node/auditlog.go
@@ -12,7 +12,7 @@
 )
 
 // auditLog records which calls the node makes on the basis of which list revision, before they are made, and
-// how they ended. The loop owns it. All methods accept a nil receiver, which records nothing.
+// how they ended. The loop owns it. A nil *auditLog records nothing.
 type auditLog struct {
 	file       *auditlog.Log
 	log        *slog.Logger
@@ -75,7 +75,7 @@
 // wallMillis converts a time to the clock of the audit log, as Unix time in milliseconds.
 func (a *auditLog) wallMillis(at time.Time) int64 { return a.now().Add(-time.Since(at)).UnixMilli() }
 
-// flush writes the entry of the step, before any of the step's calls is made. A failed write delays no message;
+// flush writes the entry of the step, before any of the step's calls is made. A failed write loses no message:
 // it is counted, and the log states later how many entries are missing.
 func (a *auditLog) flush(revision int64, reason *string) {
 	if a == nil {
--- a/internal/node/list.go
+++ b/internal/node/list.go
@@ -8,6 +8,7 @@
 	"harrierramp/internal/wire"
 )
 
+// phaseByName maps the phases of list members to those of the sender.
 var phaseByName = map[string]choice.Phase{
 	"SERVING": choice.Ready, "DRAINING": choice.Draining, "DELETED": choice.Removed,
 }
