--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -48,10 +48,10 @@
 	if !n.serving.Load() {
 		return nil, admin.ErrNotServing
 	}
-	ask := membersQuery{make(chan *admin.MembershipView, 1)}
-	n.enqueue(ctx, ask)
+	query := membersQuery{make(chan *admin.MembershipView, 1)}
+	n.enqueue(ctx, query)
 	select {
-	case v := <-ask.reply:
+	case v := <-query.reply:
 		if v == nil {
 			return nil, admin.ErrPeerSocketUnavailable
 		}
--- a/internal/node/duplicate_test.go
+++ b/internal/node/duplicate_test.go
@@ -15,7 +15,7 @@
 	for name, c := range map[string]struct {
 		life    time.Duration
 		refused bool
-	}{"taken on": {10 * time.Second, false}, "out of time": {time.Millisecond, true}} {
+	}{"accepted now": {10 * time.Second, false}, "past its deadline": {time.Millisecond, true}} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
 			cfg, err := loadConfig(writeConfig(t, "127.0.0.1:1", "127.0.0.1:1", memberJSON("e", "127.0.0.1:9", 7, "DRAINING")), dir)
@@ -44,8 +44,8 @@
 					t.Errorf("submission %d of 3 got %+v", i+1, got)
 				}
 			}
-			if held := n.messages["x"] != nil; held == c.refused {
-				t.Errorf("the node has the message: %v", held)
+			if open := n.messages["x"] != nil; open == c.refused {
+				t.Errorf("the node has the message: %v", open)
 			}
 		})
 	}
--- a/internal/node/listservice_test.go
+++ b/internal/node/listservice_test.go
@@ -17,7 +17,7 @@
 )
 
 func TestInvalidListServiceConfigIsRejected(t *testing.T) {
-	for section, says := range map[string]string{
+	for section, wantErr := range map[string]string{
 		`{}`:                                   "names 0 servers",
 		`{"addresses":[]}`:                     "names 0 servers",
 		`{"addresses":["10.0.0.1"]}`:           "10.0.0.1",
@@ -30,7 +30,7 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := loadConfig(path, t.TempDir()); err == nil || !strings.Contains(err.Error(), says) {
+		if _, err := loadConfig(path, t.TempDir()); err == nil || !strings.Contains(err.Error(), wantErr) {
 			t.Errorf("%s: %v", section, err)
 		}
 	}
@@ -52,7 +52,7 @@
 		good.Close()
 	})
 	ctx, cancel := context.WithCancel(t.Context())
-	told := make(chan listwatch.List)
+	received := make(chan listwatch.List)
 	const gone = "127.0.0.1:1"
 	n := New(config.Config{Registry: &config.ListService{Addresses: []string{
 		gone, stale.Listener.Addr().String(), good.Listener.Addr().String(),
@@ -64,13 +64,13 @@
 		first, _, done = n.discovery.Pick(ctx, 0)
 		done()
 	}
-	w := n.newWatcher(func(l listwatch.List) { told <- l })
+	w := n.newWatcher(func(l listwatch.List) { received <- l })
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		w.Run(ctx, n.listRevision)
 	}()
-	if l := <-told; l.Revision != 110 {
+	if l := <-received; l.Revision != 110 {
 		t.Errorf("got revision %d", l.Revision)
 	}
 	cancel()
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -202,7 +202,7 @@
 
 func TestInvalidMembershipConfigIsRejected(t *testing.T) {
 	f := newTestFleet(t, 3)
-	for section, says := range map[string]string{
+	for section, wantErr := range map[string]string{
 		`,"membership":{"period_ms":1}`:                   "period_ms",
 		`,"membership":{"period_ms":-5}`:                  "period_ms",
 		`,"membership":{"period_ms":100,"timeout_ms":99}`: "timeout_ms",
@@ -211,7 +211,7 @@
 		`,"membership":{},"peers":["127.0.0.1:1"]`:        "peers",
 		`,"membership":{},"peers":["a:1","b:1","a:1"]`:    "told apart",
 	} {
-		if _, err := loadConfig(f.config(0, section), t.TempDir()); err == nil || !strings.Contains(err.Error(), says) {
+		if _, err := loadConfig(f.config(0, section), t.TempDir()); err == nil || !strings.Contains(err.Error(), wantErr) {
 			t.Errorf("%s: %v", section, err)
 		}
 	}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -338,18 +338,18 @@
 
 func TestRetryAfterIsHonored(t *testing.T) {
 	t.Parallel()
-	const wait = 700 * time.Millisecond
+	const retryAfter = 700 * time.Millisecond
 	var mu sync.Mutex
-	var told time.Time
+	var answeredAt time.Time
 	p := testkit.NewPartner(t, func(nc net.Conn, _ *http.Request) bool {
 		mu.Lock()
 		defer mu.Unlock()
-		if told.IsZero() {
+		if answeredAt.IsZero() {
 			io.WriteString(nc, "HTTP/1.1 429 No\r\nRetry-After: 0.7\r\nContent-Length: 0\r\n\r\n")
-			told = time.Now()
+			answeredAt = time.Now()
 			return true
 		}
-		if early := wait - time.Since(told); early > 0 {
+		if early := retryAfter - time.Since(answeredAt); early > 0 {
 			t.Errorf("a call arrived %v before the end of Retry-After", early)
 		}
 		return testkit.RespondWith(testkit.DeliveredResponse)(nc, nil)
@@ -616,13 +616,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	forgotten, err := j.Accept(&journal.Message{ID: "forgotten", Key: "k", Class: 1, Dest: 7, Deadline: time.Now().Add(time.Minute)})
+	pastWindow, err := j.Accept(&journal.Message{ID: "forgotten", Key: "k", Class: 1, Dest: 7, Deadline: time.Now().Add(time.Minute)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	j.RecordAttempt(late, journal.Attempt{At: time.Now().Add(-time.Minute)})
 	// The deduplication window is one minute.
-	j.RecordAttempt(forgotten, journal.Attempt{At: time.Now().Add(-2 * time.Minute)})
+	j.RecordAttempt(pastWindow, journal.Attempt{At: time.Now().Add(-2 * time.Minute)})
 	flushJournal(t, j)
 	startNode(t, r, state, memberJSON("e", p.Addr(), 7, "SERVING"))
 	testkit.Eventually(t, "the message past its deadline ends", func() bool { return r.noticeState("late") == "returned" })
--- a/internal/node/startup_test.go
+++ b/internal/node/startup_test.go
@@ -52,11 +52,11 @@
 	return ln.Addr().String(), adminLn.Addr().String()
 }
 
-func cacheListAt(t *testing.T, dir, partner string, revision int64) {
+func cacheListAt(t *testing.T, dir, partnerAddr string, revision int64) {
 	t.Helper()
 	k := listwatch.NewCache(dir, 1<<16)
 	l := listwatch.List{Revision: revision, Complete: true, Members: []listwatch.Member{
-		{ID: "p", Addr: partner, Locality: "z", Flavor: "m", Cell: 7, Phase: "SERVING", Size: 1000},
+		{ID: "p", Addr: partnerAddr, Locality: "z", Flavor: "m", Cell: 7, Phase: "SERVING", Size: 1000},
 	}}
 	if err := k.Write(l); err != nil {
 		t.Fatal(err)
@@ -72,11 +72,11 @@
 		keep, section, spoil string
 		why                  string // empty if the node serves
 	}{
-		"nothing kept":     {"", `"keep":true`, "", "no list is cached"},
+		"nothing cached":   {"", `"keep":true`, "", "no list is cached"},
 		"kept":             {"yes", `"keep":true`, "", ""},
-		"kept, not read":   {"yes", `"keep":false`, "", "no list is cached"},
-		"kept too long":    {"yes", `"keep":true,"kept_most_ms":1`, "", "old"},
-		"kept for a while": {"yes", `"keep":true,"kept_after_ms":3600000`, "", "comes into force 1h"},
+		"cached, not read": {"yes", `"keep":false`, "", "no list is cached"},
+		"cached too long":  {"yes", `"keep":true,"kept_most_ms":1`, "", "old"},
+		"waits an hour":    {"yes", `"keep":true,"kept_after_ms":3600000`, "", "comes into force 1h"},
 		"comes into force": {"yes", `"keep":true,"kept_after_ms":50`, "", ""},
 		"cut":              {"yes", `"keep":true`, "cut", "no list is cached"},
 		"flipped":          {"yes", `"keep":true`, "flip", "no list is cached"},
--- a/internal/pausemonitor/pausemonitor_test.go
+++ b/internal/pausemonitor/pausemonitor_test.go
@@ -12,11 +12,11 @@
 func TestPauseDetection(t *testing.T) {
 	for name, c := range map[string]struct {
 		// Pause after one second of regular steps.
-		gap time.Duration
+		pause time.Duration
 		// Times after the end of the pause at which data is received.
-		heard []time.Duration
+		received []time.Duration
 		// How long the monitor stays stale after the pause, in steps of 50 ms.
-		blind time.Duration
+		stale time.Duration
 	}{
 		"none":                   {0, nil, 0},
 		"a late step":            {900 * ms, nil, 0},
@@ -32,22 +32,22 @@
 				t.Fatalf("%s: stale at %v", name, now)
 			}
 		}
-		now += c.gap - 50*ms
+		now += c.pause - 50*ms
 		end, staleFor := now, time.Duration(0)
-		before := now - max(c.gap, 50*ms)
+		before := now - max(c.pause, 50*ms)
 		for ; now < end+3*time.Second; now += 50 * ms {
-			heard := time.Duration(0)
-			for _, h := range c.heard {
+			received := time.Duration(0)
+			for _, h := range c.received {
 				if end+h <= now {
-					heard = end + h
+					received = end + h
 				}
 			}
-			if m.Step(now, heard); m.Stale() {
+			if m.Step(now, received); m.Stale() {
 				staleFor = now - end + 50*ms
 			}
 		}
-		wantUnread := c.gap
-		if c.gap <= MinPause {
+		wantUnread := c.pause
+		if c.pause <= MinPause {
 			wantUnread = 0
 		}
 		for at, want := range map[time.Duration]time.Duration{before - ms: 0, end - ms: wantUnread, end + ReceiveDelay: wantUnread, end + ReceiveDelay + ms: 0} {
@@ -55,8 +55,8 @@
 				t.Errorf("%s: data read %v after the end may have been unread for %v, want %v", name, at-end, got, want)
 			}
 		}
-		if staleFor != c.blind {
-			t.Errorf("%s: stale for %v, want %v", name, staleFor, c.blind)
+		if staleFor != c.stale {
+			t.Errorf("%s: stale for %v, want %v", name, staleFor, c.stale)
 		}
 	}
 }
