--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -122,17 +122,20 @@
 
 // Events of the loop, beside those that other packages define.
 type (
+	// submission is a client's request. reply receives the answer.
 	submission struct {
 		ingress.Request
 		reply      chan ingress.Answer
 		duplicates []chan ingress.Answer // replies to repeated submissions of the message within the same step
 	}
+	// callResult is the outcome of a call and how long the call took.
 	callResult struct {
 		attemptID
 		endpoint *egress.Endpoint
 		egress.Result
 		took time.Duration
 	}
+	// acceptedNotices are notices that the platform has accepted.
 	acceptedNotices []outbox.Notice
 
 	// operatorCommand is a command of an operator. done receives nil once the command is in effect, or the
@@ -548,7 +551,7 @@
 	if !o.on {
 		return choice.EndpointEnabled{Endpoint: o.endpoint}
 	}
-	n.pool.CloseIdle(o.endpoint) // its idle connections: it is about to be restarted
+	n.pool.CloseIdle(o.endpoint) // the endpoint is about to be restarted
 	return choice.EndpointDisabled{Endpoint: o.endpoint}
 }
 
