--- a/internal/cli/registry.go
+++ b/internal/cli/registry.go
@@ -39,7 +39,7 @@
 		Use: "registry", Short: "Run a list service, with which instances register and which nodes follow", Args: noArgs,
 		Example: "  harrierramp registry --state /var/lib/registry --listen 127.0.0.1:8500 --console 127.0.0.1:8501 --bootstrap",
 		RunE: func(c *cobra.Command, _ []string) error {
-			if o.server.State == "" {
+			if o.server.StateDir == "" {
 				return usageError{errors.New("--state is needed; see 'harrierramp registry --help'")}
 			}
 			log, _, err := logging.New(c.ErrOrStderr(), o.level, o.format)
@@ -52,18 +52,18 @@
 	f := c.Flags()
 	f.StringVar(&o.listen, "listen", "127.0.0.1:8500", "address for nodes, instances and other servers")
 	f.StringVar(&o.console, "console", "", "address for operators; none if empty")
-	f.StringVar(&o.server.State, "state", "", "folder that outlasts the process; needed")
+	f.StringVar(&o.server.StateDir, "state", "", "folder that outlasts the process; needed")
 	f.StringSliceVar(&o.server.Peers, "servers", nil, "addresses of all servers in the order of their numbers, with commas; empty for a single one")
 	f.IntVar(&o.server.Number, "number", 0, "this server's place among them, from 0")
 	f.BoolVar(&o.server.Bootstrap, "bootstrap", false, "with an empty folder, begin a list; for one server only")
-	f.Int64Var((*int64)(&o.server.After), "after-epoch", 0, "with --bootstrap: begin after this epoch, which nodes have heard of")
+	f.Int64Var((*int64)(&o.server.AfterEpoch), "after-epoch", 0, "with --bootstrap: begin after this epoch, which nodes have heard of")
 	f.DurationVar(&o.server.Coalesce, "coalesce", 20*time.Millisecond, "changes so close together are told at once")
 	f.IntVar(&o.server.MaxWatchers, "watchers", 4096, "watches at most")
-	f.DurationVar(&o.server.Settle, "settle", 5*time.Second, "a list that is begun anew is told as not whole for so long")
+	f.DurationVar(&o.server.SettleTime, "settle", 5*time.Second, "a list that is begun anew is told as not whole for so long")
 	f.Float64Var(&o.server.StartRate, "start-rate", admission.DefaultRate,
 		"whole lists a second for nodes that begin; the others are told when to come (0: no bound)")
 	f.Int64Var(&o.maxConns, "connections", 8192, "connections at most")
-	f.Int64Var(&o.server.MaxReports, "report-bytes", 16<<20, "bytes of notices that are kept")
+	f.Int64Var(&o.server.MaxReportBytes, "report-bytes", 16<<20, "bytes of notices that are kept")
 	f.IntVar(&o.server.Options.MaxInstances, "instances", o.server.Options.MaxInstances, "instances at most")
 	f.DurationVar(&o.server.Options.Grace, "grace", o.server.Options.Grace, "what leases get on top after a start or a promotion")
 	f.Float64Var(&o.server.Options.PreserveShare, "preserve-share", o.server.Options.PreserveShare,
@@ -74,7 +74,7 @@
 		if ip == nil {
 			return fmt.Errorf("%q is no IP address", v)
 		}
-		o.server.Source = &net.TCPAddr{IP: ip}
+		o.server.SourceAddr = &net.TCPAddr{IP: ip}
 		return nil
 	})
 	f.StringVar(&o.level, "log-level", "info", "debug, info, warn or error")
@@ -110,7 +110,7 @@
 	}
 	err = open(o.listen, s.Handler(), o.maxConns)
 	if err == nil && o.console != "" {
-		err = open(o.console, s.Console(), maxRegistryConsoleConns)
+		err = open(o.console, s.OpsHandler(), maxRegistryConsoleConns)
 	}
 	if err != nil {
 		stop() // what is open closes again
--- a/internal/lab/watchers/watchers_test.go
+++ b/internal/lab/watchers/watchers_test.go
@@ -18,7 +18,7 @@
 		t.Run(name, func(t *testing.T) {
 			log := slog.New(slog.DiscardHandler)
 			s, err := registry.New(registry.Config{
-				Bootstrap: true, State: t.TempDir(), Options: registry.DefaultOptions(), MaxWatchers: 1000, StartRate: 250,
+				Bootstrap: true, StateDir: t.TempDir(), Options: registry.DefaultOptions(), MaxWatchers: 1000, StartRate: 250,
 			}, log)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/registry/bench_test.go
+++ b/internal/registry/bench_test.go
@@ -22,7 +22,7 @@
 		b.Run(fmt.Sprintf("watchers=%d", count), func(b *testing.B) {
 			log := slog.New(slog.DiscardHandler)
 			s, err := New(Config{
-				Bootstrap: true, State: b.TempDir(), Options: DefaultOptions(), Coalesce: time.Microsecond, MaxWatchers: count,
+				Bootstrap: true, StateDir: b.TempDir(), Options: DefaultOptions(), Coalesce: time.Microsecond, MaxWatchers: count,
 			}, log)
 			if err != nil {
 				b.Fatal(err)
@@ -37,8 +37,8 @@
 			ctx, cancel := context.WithCancel(b.Context())
 			parts.Go(func() { s.Run(ctx) })
 			set := func(m Member) {
-				if _, err := s.do(b.Context(), order{plan: s.asPrimary(func(now time.Duration) (List, any, error) {
-					l, err := s.cat.Register(now, 1, m)
+				if _, err := s.submit(b.Context(), command{plan: s.primaryOnly(func(now time.Duration) (List, any, error) {
+					l, err := s.catalog.Register(now, 1, m)
 					return l, nil, err
 				})}); err != nil {
 					b.Fatal(err)
@@ -48,7 +48,7 @@
 				set(instance(n))
 			}
 			var got sync.WaitGroup
-			before := heap()
+			before := heapBytes()
 			var conns []net.Conn
 			got.Add(count)
 			for range count {
@@ -75,8 +75,8 @@
 				})
 			}
 			got.Wait()
-			perWatcher := float64(heap()-before) / float64(count)
-			bytesBefore := s.figures.bytes.Load()
+			perWatcher := float64(heapBytes()-before) / float64(count)
+			bytesBefore := s.stats.bytes.Load()
 			n := 0
 			for b.Loop() {
 				got.Add(count)
@@ -87,7 +87,7 @@
 				n++
 			}
 			b.ReportMetric(perWatcher, "heap-B/watcher")
-			b.ReportMetric(float64(s.figures.bytes.Load()-bytesBefore)/float64(n*count), "wire-B/watcher")
+			b.ReportMetric(float64(s.stats.bytes.Load()-bytesBefore)/float64(n*count), "wire-B/watcher")
 			for _, nc := range conns {
 				nc.Close()
 			}
@@ -98,7 +98,7 @@
 	}
 }
 
-func heap() int64 {
+func heapBytes() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
@@ -110,8 +110,8 @@
 	for _, count := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprintf("changes=%d", count), func(b *testing.B) {
 			c := NewCatalog(DefaultOptions())
-			c.Apply(0, List{Revision: firstOf(16)})
-			raw, err := appendRecord([]byte(logMagic), c.Whole())
+			c.Apply(0, List{Revision: firstRevision(16)})
+			raw, err := appendRecord([]byte(logMagic), c.Snapshot())
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -128,7 +128,7 @@
 				}
 			}
 			dir := b.TempDir()
-			if err := os.WriteFile(dir+"/"+logName, raw, 0o600); err != nil {
+			if err := os.WriteFile(dir+"/"+logFile, raw, 0o600); err != nil {
 				b.Fatal(err)
 			}
 			for b.Loop() {
--- a/internal/registry/catalog_test.go
+++ b/internal/registry/catalog_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-const ttl = 10 * time.Second
+const leaseTTL = 10 * time.Second
 
 func instance(n int) Member {
 	return Member{
@@ -17,12 +17,12 @@
 			ID: fmt.Sprintf("s-%04d", n), Addr: fmt.Sprintf("10.0.%d.%d:80", n/250, 1+n%250), Locality: "a", Flavor: "m",
 			Cell: n % 7, Size: 1, UpSince: 1000,
 		},
-		Owner: fmt.Sprintf("p-%d", n), LeaseMS: ttl.Milliseconds(),
+		Owner: fmt.Sprintf("p-%d", n), LeaseMS: leaseTTL.Milliseconds(),
 	}
 }
 
 // newList is a catalog in its first epoch with so many instances registered at time 0.
-func newList(t *testing.T, count int) *Catalog {
+func newTestCatalog(t *testing.T, count int) *Catalog {
 	t.Helper()
 	c := NewCatalog(DefaultOptions())
 	first, err := c.Promote(1, 0)
@@ -53,57 +53,57 @@
 	}
 }
 
-func lapse1(c *Catalog, now time.Duration) int {
-	l := c.Lapse(now)
+func expireLeases(c *Catalog, now time.Duration) int {
+	l := c.Expire(now)
 	c.apply(now, l)
-	c.Lapsed(now, l)
+	c.RecordExpired(now, l)
 	return len(l.Members)
 }
 
-func TestALeaseThatIsNotRenewedLapses(t *testing.T) {
-	c := newList(t, 10)
-	for at := time.Second; at < 3*ttl; at += time.Second {
+func TestUnrenewedLeaseExpires(t *testing.T) {
+	c := newTestCatalog(t, 10)
+	for at := time.Second; at < 3*leaseTTL; at += time.Second {
 		for n := 1; n < 10; n++ {
 			if _, err := c.Renew(at, instance(n).ID, instance(n).Owner); err != nil {
 				t.Fatal(err)
 			}
 		}
 		before := c.Head()
-		gone := lapse1(c, at)
-		if want := at == ttl; (gone == 1) != want || gone > 1 {
+		gone := expireLeases(c, at)
+		if want := at == leaseTTL; (gone == 1) != want || gone > 1 {
 			t.Fatalf("%d lapsed at %v", gone, at)
 		}
 		if (c.Head() > before) != (gone > 0) {
 			t.Fatalf("revision %d after %d with %d lapsed", c.Head(), before, gone)
 		}
 	}
-	if _, err := c.Renew(3*ttl, instance(0).ID, instance(0).Owner); !errors.Is(err, ErrUnknown) {
+	if _, err := c.Renew(3*leaseTTL, instance(0).ID, instance(0).Owner); !errors.Is(err, ErrNotFound) {
 		t.Errorf("a lapsed lease was renewed: %v", err)
 	}
 }
 
-func TestARenewalAndAClaimSaidTwiceAreNoChange(t *testing.T) {
-	c := newList(t, 1)
+func TestRenewalAndRepeatedRegistrationAreNoChange(t *testing.T) {
+	c := newTestCatalog(t, 1)
 	if l := register(t, c, time.Second, instance(0)); l.Revision != 0 {
 		t.Errorf("a claim said again is revision %d", l.Revision)
 	}
-	if lapse1(c, ttl) != 0 {
+	if expireLeases(c, leaseTTL) != 0 {
 		t.Error("a claim said again does not renew")
 	}
 }
 
 // Two processes that claim an id: the second gets it only if it started later at the same address, or once the
 // lease of the first is over.
-func TestTwoClaimsOnAnID(t *testing.T) {
+func TestIDConflict(t *testing.T) {
 	other := instance(0)
 	other.Owner, other.Addr = "other", "10.9.9.9:80"
-	c := newList(t, 1)
-	var conflict *Conflict
+	c := newTestCatalog(t, 1)
+	var conflict *ConflictError
 	if _, err := c.Register(time.Second, 5000, other); !errors.As(err, &conflict) {
 		t.Fatalf("an id was taken from its owner: %v", err)
 	}
-	if conflict.After != ttl-time.Second {
-		t.Errorf("it falls free after %v", conflict.After)
+	if conflict.ExpiresIn != leaseTTL-time.Second {
+		t.Errorf("it falls free after %v", conflict.ExpiresIn)
 	}
 	if _, err := c.Renew(time.Second, other.ID, other.Owner); !errors.As(err, &conflict) {
 		t.Errorf("another's lease was renewed: %v", err)
@@ -111,13 +111,13 @@
 	if _, err := c.Withdraw(time.Second, other.ID, other.Owner); !errors.As(err, &conflict) {
 		t.Errorf("another's instance was withdrawn: %v", err)
 	}
-	if l := register(t, c, ttl, other); len(l.Members) != 1 {
+	if l := register(t, c, leaseTTL, other); len(l.Members) != 1 {
 		t.Errorf("after the lease: %v", l)
 	}
 }
 
-func TestARestartShowsWhateverTheClockDoes(t *testing.T) {
-	c := newList(t, 1)
+func TestRestartShowsWhenClockIsSetBack(t *testing.T) {
+	c := newTestCatalog(t, 1)
 	again := instance(0)
 	again.Owner, again.UpSince = "restarted", 2000
 	if l := register(t, c, time.Second, again); len(l.Members) != 1 || l.Members[0].UpSince != 2000 {
@@ -133,23 +133,23 @@
 	}
 }
 
-func TestAnAddressHasOneOwner(t *testing.T) {
-	c := newList(t, 1)
+func TestAddressHasOneOwner(t *testing.T) {
+	c := newTestCatalog(t, 1)
 	twin := instance(1)
 	twin.Addr = instance(0).Addr
-	var conflict *Conflict
+	var conflict *ConflictError
 	if _, err := c.Register(time.Second, 5000, twin); !errors.As(err, &conflict) || conflict.Holder != instance(0).ID {
 		t.Fatalf("an address was given twice: %v", err)
 	}
-	l := register(t, c, ttl, twin)
+	l := register(t, c, leaseTTL, twin)
 	if len(l.Members) != 2 || c.Len() != 1 {
 		t.Errorf("the address's old holder is not withdrawn: %+v", l)
 	}
 }
 
 // A list of several changes comes in the order of ids, in which an address may change hands both ways.
-func TestAddressesThatAreSwappedInOneList(t *testing.T) {
-	c := newList(t, 2)
+func TestAddressesSwappedInOneList(t *testing.T) {
+	c := newTestCatalog(t, 2)
 	a, b := instance(0), instance(1)
 	a.Phase, b.Phase = Serving, Serving
 	a.Addr, b.Addr = b.Addr, a.Addr
@@ -163,8 +163,8 @@
 	}
 }
 
-func TestBadClaims(t *testing.T) {
-	c := newList(t, 1)
+func TestInvalidRegistrations(t *testing.T) {
+	c := newTestCatalog(t, 1)
 	for name, spoil := range map[string]func(*Member){
 		"no id":         func(m *Member) { m.ID = "" },
 		"long id":       func(m *Member) { m.ID = string(make([]byte, 65)) },
@@ -187,12 +187,12 @@
 			t.Errorf("%s: granted as %+v", name, l)
 		}
 	}
-	if c.Head() != firstOf(17)+1 || c.Len() != 1 {
+	if c.Head() != firstRevision(17)+1 || c.Len() != 1 {
 		t.Errorf("bad claims changed the list: revision %d, %d instances", c.Head(), c.Len())
 	}
 }
 
-func TestTheListIsBounded(t *testing.T) {
+func TestCatalogIsBounded(t *testing.T) {
 	opt := DefaultOptions()
 	opt.MaxInstances = 2
 	c := NewCatalog(opt)
@@ -204,29 +204,29 @@
 }
 
 // An instance that registers again keeps the phase that operators gave it.
-func TestAPhaseOutlastsAClaim(t *testing.T) {
-	c := newList(t, 1)
+func TestPhaseSurvivesReregistration(t *testing.T) {
+	c := newTestCatalog(t, 1)
 	l, err := c.SetPhase(0, instance(0).ID, "", Draining)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.apply(0, l)
 	register(t, c, time.Second, instance(0))
-	if got := c.Whole().Members[0].Phase; got != Draining {
+	if got := c.Snapshot().Members[0].Phase; got != Draining {
 		t.Errorf("phase %s", got)
 	}
 }
 
 // When most go silent at once the server holds on to them; when they come back it does not drop the slower ones;
 // and those that stay away then lapse.
-func TestMostLeasesAtOnce(t *testing.T) {
+func TestPreservationOnMassExpiry(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		rng := rand.New(rand.NewPCG(seed, 0))
 		const count = 40
-		c := newList(t, count)
+		c := newTestCatalog(t, count)
 		next := make([]time.Duration, count)
 		for n := range next {
-			next[n] = rand.N(ttl / 3)
+			next[n] = rand.N(leaseTTL / 3)
 		}
 		cut, back := 30*time.Second, 90*time.Second
 		stays := func(n int) bool { return n%4 == 0 } // away for good
@@ -236,13 +236,13 @@
 				if at < next[n] || silent {
 					continue
 				}
-				next[n] = at + ttl/4 + time.Duration(rng.Int64N(int64(ttl/6)))
+				next[n] = at + leaseTTL/4 + time.Duration(rng.Int64N(int64(leaseTTL/6)))
 				if _, err := c.Renew(at, instance(n).ID, instance(n).Owner); err != nil {
 					t.Fatalf("seed %d: %v at %v", seed, err, at)
 				}
 			}
-			lapse1(c, at)
-			if at < back+ttl && c.Len() != count {
+			expireLeases(c, at)
+			if at < back+leaseTTL && c.Len() != count {
 				t.Fatalf("seed %d: %d of %d left at %v", seed, c.Len(), count, at)
 			}
 			if at == back-time.Second && !c.Preserving() {
@@ -255,28 +255,28 @@
 	}
 }
 
-func TestHoldingBackHasAnEnd(t *testing.T) {
-	c := newList(t, 10)
-	for at := time.Duration(0); at < c.opt.PreserveFor+ttl; at += time.Second {
-		if lapse1(c, at) != 0 {
+func TestPreservationTimesOut(t *testing.T) {
+	c := newTestCatalog(t, 10)
+	for at := time.Duration(0); at < c.opts.PreserveFor+leaseTTL; at += time.Second {
+		if expireLeases(c, at) != 0 {
 			t.Fatalf("lapsed at %v", at)
 		}
 	}
-	if lapse1(c, c.opt.PreserveFor+2*ttl) != 10 {
+	if expireLeases(c, c.opts.PreserveFor+2*leaseTTL) != 10 {
 		t.Error("never let go")
 	}
 }
 
-func TestGraceAfterAStart(t *testing.T) {
-	c := newList(t, 3)
+func TestLeaseGraceAfterStart(t *testing.T) {
+	c := newTestCatalog(t, 3)
 	again := NewCatalog(DefaultOptions())
 	at := time.Hour
-	again.Apply(at, c.Whole())
-	again.Grace(at)
-	if again.Lapse(at+ttl+again.opt.Grace-1).Revision != 0 {
+	again.Apply(at, c.Snapshot())
+	again.ExtendLeases(at)
+	if again.Expire(at+leaseTTL+again.opts.Grace-1).Revision != 0 {
 		t.Error("lapsed before the grace was over")
 	}
-	if !reflect.DeepEqual(again.Whole(), c.Whole()) {
-		t.Errorf("got %+v, want %+v", again.Whole(), c.Whole())
+	if !reflect.DeepEqual(again.Snapshot(), c.Snapshot()) {
+		t.Errorf("got %+v, want %+v", again.Snapshot(), c.Snapshot())
 	}
 }
--- a/internal/registry/failover_test.go
+++ b/internal/registry/failover_test.go
@@ -6,12 +6,12 @@
 	"testing"
 )
 
-func inSync(a, b *site) func() bool {
+func inSync(a, b *testServer) func() bool {
 	return func() bool { return a.s.feed.head() == b.s.feed.head() }
 }
 
-func TestAFollowerServesWhileThePrimaryIsOut(t *testing.T) {
-	a, b := pair(t)
+func TestFollowerServesWhilePrimaryIsDown(t *testing.T) {
+	a, b := startPair(t)
 	for n := range 5 {
 		a.register(n, 60_000)
 	}
@@ -19,14 +19,14 @@
 	want := a.list()
 	w := b.watch(0)
 	w.next(t)
-	if code, said := b.call("PUT", "/registry/instances/s9", claimOf(9, 60_000)); code != 421 || !strings.Contains(said, a.addr) {
+	if code, said := b.call("PUT", "/registry/instances/s9", registrationBody(9, 60_000)); code != 421 || !strings.Contains(said, a.addr) {
 		t.Errorf("a follower takes a write: %d %s", code, said)
 	}
 	a.stop()
 	if got := b.list(); fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Errorf("was %+v, is %+v", want, got)
 	}
-	a = a.again()
+	a = a.restart()
 	eventually(t, "the primary is confirmed", func() bool { return a.s.is(rolePrimary) })
 	a.register(7, 60_000)
 	if l := w.next(t); len(l.Members) != 1 || l.Members[0].ID != "s7" {
@@ -35,19 +35,19 @@
 }
 
 // A restart of both: a follower keeps its list, and a follower with an empty folder claims none.
-func TestAFollowerStartsFromItsFolder(t *testing.T) {
-	a, b := pair(t)
+func TestFollowerStartsFromStateDir(t *testing.T) {
+	a, b := startPair(t)
 	a.register(1, 60_000)
 	eventually(t, "the follower has it all", inSync(a, b))
 	want := a.list()
 	a.stop()
-	b = b.again()
+	b = b.restart()
 	if got := b.list(); fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Errorf("was %+v, is %+v", want, got)
 	}
 	b.stop()
-	b.cfg.State = t.TempDir()
-	b = b.again()
+	b.cfg.StateDir = t.TempDir()
+	b = b.restart()
 	if code, said := b.call("GET", "/registry/instances", ""); code != 503 {
 		t.Errorf("a follower that knows nothing tells %d %s", code, said)
 	}
@@ -55,8 +55,8 @@
 
 // A primary that comes back after a promotion is told so before it takes a write, loses what nobody else has heard,
 // and follows; watchers of either only see revisions rise.
-func TestAPrimaryReturnsAfterAPromotion(t *testing.T) {
-	a, b := pair(t)
+func TestDeposedPrimaryFollowsAfterRestart(t *testing.T) {
+	a, b := startPair(t)
 	a.register(1, 60_000)
 	eventually(t, "the follower has it all", inSync(a, b))
 	b.stop()
@@ -64,60 +64,60 @@
 	w := a.watch(0)
 	w.next(t)
 	a.stop()
-	b = b.again()
-	code, said := b.operate("PUT", "/ops/promote")
+	b = b.restart()
+	code, said := b.callOps("PUT", "/ops/promote")
 	if code != 200 {
 		t.Fatalf("promote: %d %s", code, said)
 	}
 	b.register(3, 60_000)
-	if code, _ := b.operate("PUT", "/ops/promote"); code != 409 {
+	if code, _ := b.callOps("PUT", "/ops/promote"); code != 409 {
 		t.Errorf("promoted twice: %d", code)
 	}
-	if b.s.feed.head() <= w.at {
-		t.Fatalf("revision %d after %d", b.s.feed.head(), w.at)
+	if b.s.feed.head() <= w.revision {
+		t.Fatalf("revision %d after %d", b.s.feed.head(), w.revision)
 	}
-	moved := b.watch(w.at) // as a node does that has lost the old primary
+	moved := b.watch(w.revision) // as a node does that has lost the old primary
 	if l := moved.next(t); !l.Complete || len(l.Members) != 2 {
 		t.Errorf("a watcher of the old epoch is told %+v", l)
 	}
-	a = a.again()
+	a = a.restart()
 	for a.s.role.Load() == roleUnconfirmed {
-		if code, _ := a.call("PUT", "/registry/instances/s4", claimOf(4, 60_000)); code < 400 {
+		if code, _ := a.call("PUT", "/registry/instances/s4", registrationBody(4, 60_000)); code < 400 {
 			t.Fatalf("the old primary takes a write: %d", code)
 		}
 	}
 	eventually(t, "the old primary follows", inSync(a, b))
-	if code, said := a.call("PUT", "/registry/instances/s4", claimOf(4, 60_000)); code != 421 || !strings.Contains(said, b.addr) {
+	if code, said := a.call("PUT", "/registry/instances/s4", registrationBody(4, 60_000)); code != 421 || !strings.Contains(said, b.addr) {
 		t.Errorf("the old primary takes a write: %d %s", code, said)
 	}
 	if got, want := a.list(), b.list(); fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Errorf("the old primary tells %+v, the present one %+v", got, want)
 	}
-	a = a.again()
+	a = a.restart()
 	eventually(t, "it follows after a restart as well", func() bool { return a.s.is(roleFollower) && inSync(a, b)() })
 }
 
 // While nobody can tell a primary that started whether it still is one, it takes no writes, and nothing lapses.
-func TestAPrimaryThatIsNotConfirmed(t *testing.T) {
-	a, b := pair(t)
+func TestUnconfirmedPrimaryTakesNoWrites(t *testing.T) {
+	a, b := startPair(t)
 	a.register(1, 60_000)
 	eventually(t, "the follower has it all", inSync(a, b))
 	b.stop()
-	a = a.again()
-	if code, said := a.call("PUT", "/registry/instances/s2", claimOf(2, 60_000)); code != 503 || !strings.Contains(said, "confirmed") {
+	a = a.restart()
+	if code, said := a.call("PUT", "/registry/instances/s2", registrationBody(2, 60_000)); code != 503 || !strings.Contains(said, "confirmed") {
 		t.Errorf("got %d %s", code, said)
 	}
-	if code, _ := a.operate("GET", "/ops/readiness"); code != 503 {
+	if code, _ := a.callOps("GET", "/ops/readiness"); code != 503 {
 		t.Errorf("ready: %d", code)
 	}
 	if l := a.list(); len(l.Members) != 1 {
 		t.Errorf("reads go on: %+v", l)
 	}
-	if code, said := a.operate("PUT", "/ops/promote"); code != 200 { // the operator knows better
+	if code, said := a.callOps("PUT", "/ops/promote"); code != 200 { // the operator knows better
 		t.Fatalf("promote: %d %s", code, said)
 	}
 	a.register(2, 60_000)
-	b = b.again()
+	b = b.restart()
 	eventually(t, "the other follows", inSync(a, b))
 	if !b.s.is(roleFollower) {
 		t.Errorf("it is the %v", b.s.role.Load())
@@ -125,41 +125,41 @@
 }
 
 // To promote a server that has nothing would empty the list; an operator has to say that it is meant.
-func TestAServerWithoutAListIsNotPromotedByMistake(t *testing.T) {
+func TestPromotionWithoutListNeedsEmptyFlag(t *testing.T) {
 	cfg := testConfig(t)
 	cfg.Bootstrap, cfg.Number, cfg.Peers = false, 1, []string{"127.0.0.1:1", "127.0.0.1:2"}
-	b := start(t, cfg, listen(t, "127.0.0.1:0"))
-	if code, said := b.operate("PUT", "/ops/promote"); code != 409 || !strings.Contains(said, "empty=1") {
+	b := startServer(t, cfg, listen(t, "127.0.0.1:0"))
+	if code, said := b.callOps("PUT", "/ops/promote"); code != 409 || !strings.Contains(said, "empty=1") {
 		t.Errorf("promote: %d %s", code, said)
 	}
 	if b.s.feed.head() != 0 || !b.s.is(roleFollower) {
 		t.Error("it has a list now")
 	}
-	if code, said := b.operate("PUT", "/ops/promote?empty=1"); code != 200 {
+	if code, said := b.callOps("PUT", "/ops/promote?empty=1"); code != 200 {
 		t.Errorf("promote: %d %s", code, said)
 	}
 	b.register(1, 60_000)
 }
 
 // A list that is begun anew after all folders were lost must come after what nodes know.
-func TestAListIsBegunAfterAnEpoch(t *testing.T) {
+func TestBootstrapAfterEpoch(t *testing.T) {
 	cfg := testConfig(t)
-	cfg.After = 50
-	a := start(t, cfg, listen(t, "127.0.0.1:0"))
+	cfg.AfterEpoch = 50
+	a := startServer(t, cfg, listen(t, "127.0.0.1:0"))
 	if e := a.list().Revision.Epoch(); e <= 50 || e.Owner() != 0 {
 		t.Errorf("it begins with epoch %d", e)
 	}
 }
 
-func TestAFollowersLagIsTold(t *testing.T) {
-	a, b := pair(t)
+func TestFollowerLagIsReported(t *testing.T) {
+	a, b := startPair(t)
 	a.register(1, 60_000)
 	eventually(t, "the follower has it all", inSync(a, b))
 	eventually(t, "the primary tells of it", func() bool {
-		_, text := a.operate("GET", "/ops/stats")
+		_, text := a.callOps("GET", "/ops/stats")
 		return strings.Contains(text, "registry.followers:1|g") && strings.Contains(text, "registry.lag_revisions:0|g")
 	})
-	if code, _ := b.operate("GET", "/ops/readiness"); code != 204 {
+	if code, _ := b.callOps("GET", "/ops/readiness"); code != 204 {
 		t.Errorf("ready: %d", code)
 	}
 }
--- a/internal/registry/history_test.go
+++ b/internal/registry/history_test.go
@@ -9,12 +9,12 @@
 )
 
 // view is what a watcher makes of the lists that it is sent.
-type view struct {
-	at      Revision
-	members map[string]Member
+type watcherView struct {
+	revision Revision
+	members  map[string]Member
 }
 
-func (v *view) take(l List) {
+func (v *watcherView) apply(l List) {
 	if l.Complete {
 		v.members = map[string]Member{}
 	}
@@ -23,12 +23,12 @@
 			delete(v.members, m.ID)
 		}
 	}
-	v.at = l.Revision
+	v.revision = l.Revision
 }
 
 // Whatever a watcher misses, and whichever of two servers it then comes to, it ends with the list of that server:
 // over changes, promotions, a primary that went on alone, and its return as a follower.
-func TestEveryPathLeadsToTheList(t *testing.T) {
+func TestWatchersConvergeOnServerList(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		type server struct {
@@ -58,7 +58,7 @@
 			add(servers[i], l)
 		}
 		promote(0)
-		watchers := make([]view, 12)
+		watchers := make([]watcherView, 12)
 		primary, heard := 0, true
 		for range 400 {
 			s := servers[primary]
@@ -86,15 +86,15 @@
 			s = servers[primary]
 			if f := servers[1-primary]; heard && rng.IntN(2) == 0 && f.c.Head() != s.c.Head() {
 				add(f, s.h.Since(f.c.Head()))
-				if f.c.Head() != s.c.Head() || !reflect.DeepEqual(f.c.Whole(), s.c.Whole()) {
-					t.Fatalf("seed %d: the follower has %+v, the primary %+v", seed, f.c.Whole(), s.c.Whole())
+				if f.c.Head() != s.c.Head() || !reflect.DeepEqual(f.c.Snapshot(), s.c.Snapshot()) {
+					t.Fatalf("seed %d: the follower has %+v, the primary %+v", seed, f.c.Snapshot(), s.c.Snapshot())
 				}
 			}
 			w := &watchers[rng.IntN(len(watchers))]
-			if at := servers[rng.IntN(2)]; at.c.Head() >= w.at && at.c.Head() > 0 { // else it goes to another
-				w.take(at.h.Since(w.at))
-				want := view{members: map[string]Member{}}
-				want.take(at.c.Whole())
+			if at := servers[rng.IntN(2)]; at.c.Head() >= w.revision && at.c.Head() > 0 { // else it goes to another
+				w.apply(at.h.Since(w.revision))
+				want := watcherView{members: map[string]Member{}}
+				want.apply(at.c.Snapshot())
 				if !reflect.DeepEqual(*w, want) {
 					t.Fatalf("seed %d: a watcher sees %+v, the server has %+v", seed, *w, want)
 				}
@@ -103,11 +103,11 @@
 	}
 }
 
-func TestRevisionsOnlyRise(t *testing.T) {
-	c := newList(t, 3)
+func TestPromotionRaisesRevision(t *testing.T) {
+	c := newTestCatalog(t, 3)
 	seen := c.Head()
 	behind := NewCatalog(DefaultOptions())
-	behind.Apply(0, c.Whole())
+	behind.Apply(0, c.Snapshot())
 	register(t, c, 0, instance(4)) // the other never hears of it
 	for _, s := range []int{2, 3, 2} {
 		l, err := behind.Promote(s, 0)
@@ -125,15 +125,15 @@
 	}
 }
 
-func TestEpochsRunOut(t *testing.T) {
-	if e, err := maxEpoch.next(0); err == nil {
+func TestEpochOverflow(t *testing.T) {
+	if e, err := maxEpoch.nextOwnedBy(0); err == nil {
 		t.Errorf("epoch %d after the last", e)
 	}
 }
 
-func TestACompactedOrUnknownRevisionGetsTheWholeList(t *testing.T) {
-	c, h := newList(t, 1), NewHistory()
-	h.Add(c.Whole())
+func TestCompactedOrUnknownRevisionGetsFullList(t *testing.T) {
+	c, h := newTestCatalog(t, 1), NewHistory()
+	h.Add(c.Snapshot())
 	start := c.Head()
 	for n := range maxHistory + 10 {
 		m := instance(0)
@@ -145,21 +145,21 @@
 		c.Apply(0, l)
 		h.Add(l)
 	}
-	if len(h.ring) != maxHistory {
-		t.Errorf("%d changes are kept", len(h.ring))
+	if len(h.changes) != maxHistory {
+		t.Errorf("%d changes are kept", len(h.changes))
 	}
 	for name, c := range map[string]struct {
 		after Revision
 		whole bool
 	}{
-		"compacted": {start, true}, "ahead": {c.Head() + 1, true}, "at the floor": {h.floor, false},
+		"compacted": {start, true}, "ahead": {c.Head() + 1, true}, "at the floor": {h.compacted, false},
 		"present": {c.Head(), false}, "of no epoch": {5, true}, "none": {0, true},
 	} {
 		if l := h.Since(c.after); l.Complete != c.whole || l.Revision != h.head {
 			t.Errorf("%s: %d, complete %v", name, l.Revision, l.Complete)
 		}
 	}
-	if l := h.Since(h.floor); len(l.Members) != 1 {
+	if l := h.Since(h.compacted); len(l.Members) != 1 {
 		t.Errorf("%d changes of one instance are told as %d", maxHistory, len(l.Members))
 	}
 }
--- a/internal/registry/list.go
+++ b/internal/registry/list.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	maxWord    = 64  // bytes of an id, an owner, a locality or a flavor
-	maxAddr    = 128 // bytes of a host_port
+	maxNameLen = 64  // bytes of an id, an owner, a locality or a flavor
+	maxAddrLen = 128 // bytes of a host_port
 	maxCell    = 1 << 20
 	maxSize    = 1e9
 	minLease   = time.Second
@@ -67,7 +67,7 @@
 
 // public is the list as anybody may see it.
 func (l List) public() any {
-	bare := struct {
+	public := struct {
 		Revision Revision   `json:"revision"`
 		Complete bool       `json:"complete"`
 		Members  []Instance `json:"members"`
@@ -76,23 +76,23 @@
 		Floor *listwatch.Floor `json:"floor,omitempty"`
 	}{l.Revision, l.Complete, make([]Instance, len(l.Members)), l.Settling, l.Floor}
 	for i, m := range l.Members {
-		bare.Members[i] = m.Instance
+		public.Members[i] = m.Instance
 	}
-	return bare
+	return public
 }
 
 // line is the list in one line, with or without what only servers are told.
-func (l List) line(leases bool) ([]byte, error) {
-	var form any = l
-	if !leases {
-		form = l.public()
+func (l List) encodeLine(withLeases bool) ([]byte, error) {
+	var value any = l
+	if !withLeases {
+		value = l.public()
 	}
-	raw, err := json.Marshal(form)
+	raw, err := json.Marshal(value)
 	return append(raw, '\n'), err
 }
 
 // readList reads a line of another server or a record of the log.
-func readList(raw []byte) (List, error) {
+func decodeList(raw []byte) (List, error) {
 	var l List
 	if err := json.Unmarshal(raw, &l); err != nil {
 		return l, fmt.Errorf("list: %w", err)
@@ -101,7 +101,7 @@
 		return l, fmt.Errorf("list: impossible revision %d", l.Revision)
 	}
 	for _, m := range l.Members {
-		if err := m.check(); err != nil {
+		if err := m.validate(); err != nil {
 			return l, fmt.Errorf("list: revision %d: %w", l.Revision, err)
 		}
 		if l.Complete && m.Phase == Deleted {
@@ -112,10 +112,10 @@
 }
 
 // byID orders members, so that equal lists are equal to the byte.
-func byID(a, b Member) int { return cmp.Compare(a.ID, b.ID) }
+func compareByID(a, b Member) int { return cmp.Compare(a.ID, b.ID) }
 
 // check tells what is wrong with a member.
-func (m Member) check() error {
+func (m Member) validate() error {
 	if m.Phase != Serving && m.Phase != Draining && m.Phase != Deleted {
 		return fmt.Errorf("phase %q is not known: %s or %s", m.Phase, Serving, Draining)
 	}
@@ -124,24 +124,24 @@
 		return fmt.Errorf("lease_ms is %d: from %d to %d", m.LeaseMS, minLease.Milliseconds(), maxLease.Milliseconds())
 	}
 	return errors.Join(
-		checkWord("id", m.ID), checkWord("owner", m.Owner), checkWord("locality", m.Locality),
-		checkWord("flavor", m.Flavor), checkAddr(m.Addr), checkNumbers(m.Instance),
+		validateName("id", m.ID), validateName("owner", m.Owner), validateName("locality", m.Locality),
+		validateName("flavor", m.Flavor), validateAddr(m.Addr), validateNumbers(m.Instance),
 	)
 }
 
-func checkWord(name, word string) error {
-	if word == "" || len(word) > maxWord {
-		return fmt.Errorf("%s has %d bytes: from 1 to %d", name, len(word), maxWord)
+func validateName(name, value string) error {
+	if value == "" || len(value) > maxNameLen {
+		return fmt.Errorf("%s has %d bytes: from 1 to %d", name, len(value), maxNameLen)
 	}
-	if slices.ContainsFunc([]byte(word), func(b byte) bool { return b <= ' ' || b > '~' || b == '/' }) {
-		return fmt.Errorf("%s %q has a sign other than visible ASCII, or a slash", name, word)
+	if slices.ContainsFunc([]byte(value), func(b byte) bool { return b <= ' ' || b > '~' || b == '/' }) {
+		return fmt.Errorf("%s %q has a sign other than visible ASCII, or a slash", name, value)
 	}
 	return nil
 }
 
-func checkAddr(addr string) error {
-	if len(addr) > maxAddr {
-		return fmt.Errorf("host_port has %d bytes, %d at most", len(addr), maxAddr)
+func validateAddr(addr string) error {
+	if len(addr) > maxAddrLen {
+		return fmt.Errorf("host_port has %d bytes, %d at most", len(addr), maxAddrLen)
 	}
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil {
@@ -150,10 +150,10 @@
 	if n, err := strconv.ParseUint(port, 10, 16); err != nil || n == 0 {
 		return fmt.Errorf("host_port %q: the port is no number from 1 to 65535", addr)
 	}
-	return checkWord("the host of host_port", host)
+	return validateName("the host of host_port", host)
 }
 
-func checkNumbers(i Instance) error {
+func validateNumbers(i Instance) error {
 	switch {
 	case i.Cell < 0 || i.Cell > maxCell:
 		return fmt.Errorf("cell is %d: from 0 to %d", i.Cell, maxCell)
--- a/internal/registry/reports.go
+++ b/internal/registry/noticelog.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	reportsName       = "reports"
-	defaultMaxReports = 16 << 20
-	maxReportID       = 512
-	maxReportPage     = 1 << 20
+	reportsFile           = "reports"
+	defaultMaxReportBytes = 16 << 20
+	maxReportIDLen        = 512
+	maxReportPageBytes    = 1 << 20
 )
 
 // notice is how a message ended that a node took on and did not deliver.
@@ -30,7 +30,7 @@
 }
 
 // readNotices reads a post, one notice a line.
-func readNotices(body []byte) ([]notice, error) {
+func parseNotices(body []byte) ([]notice, error) {
 	var out []notice
 	for line := range bytes.Lines(body) {
 		if line = bytes.TrimSpace(line); len(line) == 0 {
@@ -41,8 +41,8 @@
 			return nil, fmt.Errorf("notice %d: %w", len(out)+1, err)
 		}
 		switch {
-		case n.ID == "" || len(n.ID) > maxReportID:
-			return nil, fmt.Errorf("notice %d: id has %d bytes: from 1 to %d", len(out)+1, len(n.ID), maxReportID)
+		case n.ID == "" || len(n.ID) > maxReportIDLen:
+			return nil, fmt.Errorf("notice %d: id has %d bytes: from 1 to %d", len(out)+1, len(n.ID), maxReportIDLen)
 		case n.State != "failed" && n.State != "returned":
 			return nil, fmt.Errorf("notice %d: state %q is not known: failed or returned", len(out)+1, n.State)
 		case n.AfterMS < 0:
@@ -55,22 +55,22 @@
 
 // reports keeps the notices for whoever tells the clients, in two files of which the older one is dropped when the
 // newer one is full. What was taken outlasts the process; nothing is synced, for the node keeps no more than that.
-type reports struct {
-	mu    sync.Mutex
-	path  string
-	most  int64
-	f     *os.File
-	size  int64
-	first int64 // the number that the newer file begins after
-	next  int64
-	torn  bool // what a failed add has written may stand behind size
+type noticeLog struct {
+	mu        sync.Mutex
+	path      string
+	maxBytes  int64
+	file      *os.File
+	size      int64
+	baseSeq   int64 // the number that the newer file begins after
+	nextSeq   int64
+	dirtyTail bool // what a failed add has written may stand behind size
 }
 
-func openReports(dir string, most int64) (*reports, error) {
-	if most <= 0 {
-		most = defaultMaxReports
+func openNoticeLog(dir string, maxBytes int64) (*noticeLog, error) {
+	if maxBytes <= 0 {
+		maxBytes = defaultMaxReportBytes
 	}
-	r := &reports{path: filepath.Join(dir, reportsName), most: most, next: 1}
+	r := &noticeLog{path: filepath.Join(dir, reportsFile), maxBytes: maxBytes, nextSeq: 1}
 	for _, path := range []string{r.path + ".old", r.path} {
 		if err := r.scan(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 			return nil, fmt.Errorf("reports: %w", err)
@@ -80,15 +80,15 @@
 	if err != nil {
 		return nil, fmt.Errorf("reports: %w", err)
 	}
-	if r.f = f; f.Truncate(r.size) != nil { // a line that a kill has torn
+	if r.file = f; f.Truncate(r.size) != nil { // a line that a kill has torn
 		return nil, errors.Join(fmt.Errorf("reports: the torn end can't be cut"), f.Close())
 	}
 	return r, nil
 }
 
 // scan finds the last number in a file, and the end of its last whole line.
-func (r *reports) scan(path string) error {
-	r.size, r.first = 0, r.next-1
+func (r *noticeLog) scan(path string) error {
+	r.size, r.baseSeq = 0, r.nextSeq-1
 	f, err := os.Open(path)
 	if err != nil {
 		return err
@@ -107,55 +107,55 @@
 		if err := json.Unmarshal(line, &n); err != nil {
 			return fmt.Errorf("%s at byte %d: %w", path, r.size, err)
 		}
-		r.next = max(r.next, n.Seq+1)
+		r.nextSeq = max(r.nextSeq, n.Seq+1)
 		r.size += int64(len(line))
 	}
 }
 
 // add keeps notices; after an error none of them.
-func (r *reports) add(at time.Time, notices []notice) error {
+func (r *noticeLog) add(at time.Time, notices []notice) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var b bytes.Buffer
 	lines := json.NewEncoder(&b)
 	for i, n := range notices {
-		n.Seq, n.AtMS = r.next+int64(i), at.UnixMilli()
+		n.Seq, n.AtMS = r.nextSeq+int64(i), at.UnixMilli()
 		if err := lines.Encode(n); err != nil {
 			return fmt.Errorf("reports: %w", err)
 		}
 	}
-	if r.size > 0 && r.size+int64(b.Len()) > r.most/2 {
-		if err := r.turn(); err != nil {
+	if r.size > 0 && r.size+int64(b.Len()) > r.maxBytes/2 {
+		if err := r.rotate(); err != nil {
 			return fmt.Errorf("reports: %w", err)
 		}
 	}
-	if err := r.cut(); err != nil {
+	if err := r.truncateTail(); err != nil {
 		return err
 	}
-	if _, err := r.f.WriteAt(b.Bytes(), r.size); err != nil {
-		r.torn = true
-		return fmt.Errorf("reports: %w", errors.Join(err, r.cut()))
+	if _, err := r.file.WriteAt(b.Bytes(), r.size); err != nil {
+		r.dirtyTail = true
+		return fmt.Errorf("reports: %w", errors.Join(err, r.truncateTail()))
 	}
 	r.size += int64(b.Len())
-	r.next += int64(len(notices))
+	r.nextSeq += int64(len(notices))
 	return nil
 }
 
 // cut takes away what a failed add may have written. Shorter lines in its place would leave a part of it, which no start
 // could read.
-func (r *reports) cut() error {
-	if !r.torn {
+func (r *noticeLog) truncateTail() error {
+	if !r.dirtyTail {
 		return nil
 	}
-	if err := r.f.Truncate(r.size); err != nil {
+	if err := r.file.Truncate(r.size); err != nil {
 		return fmt.Errorf("reports: the torn end can't be cut: %w", err)
 	}
-	r.torn = false
+	r.dirtyTail = false
 	return nil
 }
 
 // turn begins a new file.
-func (r *reports) turn() error {
+func (r *noticeLog) rotate() error {
 	if err := os.Rename(r.path, r.path+".old"); err != nil {
 		return err
 	}
@@ -163,18 +163,18 @@
 	if err != nil {
 		return errors.Join(err, os.Rename(r.path+".old", r.path))
 	}
-	old := r.f
-	r.f, r.size, r.first = f, 0, r.next-1
+	old := r.file
+	r.file, r.size, r.baseSeq = f, 0, r.nextSeq-1
 	return old.Close()
 }
 
 // since is a page of the notices after a number.
-func (r *reports) since(after int64) ([]byte, error) {
+func (r *noticeLog) pageAfter(after int64) ([]byte, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var page bytes.Buffer
 	for _, path := range []string{r.path + ".old", r.path} {
-		if path != r.path && after >= r.first {
+		if path != r.path && after >= r.baseSeq {
 			continue
 		}
 		raw, err := os.ReadFile(path)
@@ -189,7 +189,7 @@
 			if json.Unmarshal(line, &n) != nil || n.Seq <= after {
 				continue
 			}
-			if page.Len()+len(line) > maxReportPage {
+			if page.Len()+len(line) > maxReportPageBytes {
 				return page.Bytes(), nil
 			}
 			page.Write(line)
@@ -198,4 +198,4 @@
 	return page.Bytes(), nil
 }
 
-func (r *reports) close() error { return r.f.Close() }
+func (r *noticeLog) close() error { return r.file.Close() }
--- a/internal/registry/torn_test.go
+++ b/internal/registry/noticelog_test.go
@@ -9,21 +9,21 @@
 )
 
 // After an add that failed half way, and whose part could not be cut off, the file is still one that a start can read.
-func TestNoticesAreReadableAfterATornWrite(t *testing.T) {
+func TestNoticeLogReadableAfterTornWrite(t *testing.T) {
 	dir, now := t.TempDir(), time.Now()
-	r, err := openReports(dir, 0)
+	r, err := openNoticeLog(dir, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := r.add(now, []notice{{ID: "first", State: "failed"}}); err != nil {
 		t.Fatal(err)
 	}
-	good := r.f
+	good := r.file
 	full, err := os.OpenFile("/dev/full", os.O_RDWR, 0) // neither written nor cut
 	if err != nil {
 		t.Skip("no /dev/full here")
 	}
-	r.f = full
+	r.file = full
 	if r.add(now, []notice{{ID: "given up", State: "failed"}}) == nil {
 		t.Fatal("the full disk took it")
 	}
@@ -35,19 +35,19 @@
 	if r.add(now, []notice{{ID: "too early", State: "failed"}}) == nil {
 		t.Error("taken although the end can't be cut")
 	}
-	r.f = good
+	r.file = good
 	if err := r.add(now, []notice{{ID: "second", State: "failed"}}); err != nil {
 		t.Fatal(err)
 	}
 	if err := r.close(); err != nil {
 		t.Fatal(err)
 	}
-	again, err := openReports(dir, 0)
+	again, err := openNoticeLog(dir, 0)
 	if err != nil {
-		raw, _ := os.ReadFile(filepath.Join(dir, reportsName))
+		raw, _ := os.ReadFile(filepath.Join(dir, reportsFile))
 		t.Fatalf("%v: %q", err, raw)
 	}
-	page, err := again.since(0)
+	page, err := again.pageAfter(0)
 	if got := strings.Count(string(page), "\n"); got != 2 || err != nil || strings.Contains(string(page), "xxx") {
 		t.Errorf("%d notices, %v: %s", got, err, page)
 	}
--- a/internal/registry/console.go
+++ b/internal/registry/ops.go
@@ -7,24 +7,24 @@
 )
 
 const (
-	promoteTimeout = peerTimeout + orderTimeout
+	promoteTimeout = peerTimeout + commandTimeout
 	// A follower that has not heard from its primary for so long is no good copy to send new readers to.
-	staleAfter = 10 * time.Second
+	followerStaleAfter = 10 * time.Second
 )
 
 // Console answers operators.
-func (s *Server) Console() http.Handler {
+func (s *Server) OpsHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /ops/readiness", func(w http.ResponseWriter, _ *http.Request) {
-		if why := s.notReady(); why != "" {
-			http.Error(w, why, http.StatusServiceUnavailable)
+		if reason := s.notReadyReason(); reason != "" {
+			http.Error(w, reason, http.StatusServiceUnavailable)
 			return
 		}
 		w.WriteHeader(http.StatusNoContent)
 	})
 	mux.HandleFunc("GET /ops/stats", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-		if _, err := w.Write(s.text()); err != nil {
+		if _, err := w.Write(s.statsText()); err != nil {
 			s.log.Debug("stats_not_taken", "err", err)
 		}
 	})
@@ -32,23 +32,23 @@
 		ctx, cancel := context.WithTimeout(r.Context(), promoteTimeout)
 		defer cancel()
 		if _, err := s.Promote(ctx, r.URL.Query().Get("empty") == "1"); err != nil {
-			s.refuse(w, err)
+			s.writeError(w, err)
 			return
 		}
-		s.answer(w, s.status())
+		s.writeJSON(w, s.status())
 	})
-	mux.HandleFunc("PUT /ops/nodes/forget", s.forget)
+	mux.HandleFunc("PUT /ops/nodes/forget", s.forgetNode)
 	mux.HandleFunc("PUT /ops/instances/phase", func(w http.ResponseWriter, r *http.Request) {
 		id, phase := r.URL.Query().Get("id"), r.URL.Query().Get("phase")
-		s.order(w, r, func(now time.Duration) (List, any, error) {
-			l, err := s.cat.SetPhase(now, id, "", phase)
+		s.runCommand(w, r, func(now time.Duration) (List, any, error) {
+			l, err := s.catalog.SetPhase(now, id, "", phase)
 			return l, nil, err
 		})
 	})
 	mux.HandleFunc("PUT /ops/instances/withdraw", func(w http.ResponseWriter, r *http.Request) {
 		id := r.URL.Query().Get("id")
-		s.order(w, r, func(now time.Duration) (List, any, error) {
-			l, err := s.cat.Withdraw(now, id, "")
+		s.runCommand(w, r, func(now time.Duration) (List, any, error) {
+			l, err := s.catalog.Withdraw(now, id, "")
 			return l, nil, err
 		})
 	})
@@ -56,13 +56,13 @@
 }
 
 // notReady tells why no new reader should be sent here, if so.
-func (s *Server) notReady() string {
+func (s *Server) notReadyReason() string {
 	switch {
 	case s.feed.head() == 0:
 		return errNoList.Error()
 	case s.is(roleUnconfirmed):
 		return errUnconfirmed.Error()
-	case s.is(roleFollower) && s.silent() > staleAfter:
+	case s.is(roleFollower) && s.primarySilence() > followerStaleAfter:
 		return "the primary is silent"
 	}
 	return ""
--- a/internal/registry/peers.go
+++ b/internal/registry/peers.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	peerPause   = time.Second            // between asks of the other servers, with jitter
-	seekPause   = 150 * time.Millisecond // while this server waits for one of them: to be confirmed, or to follow
-	peerTimeout = time.Second
-	peerForgets = 5 * time.Second // what a server said so long ago is no longer known
+	peerPollInterval     = time.Second            // between asks of the other servers, with jitter
+	fastPeerPollInterval = 150 * time.Millisecond // while this server waits for one of them: to be confirmed, or to follow
+	peerTimeout          = time.Second
+	peerStatusTTL        = 5 * time.Second // what a server said so long ago is no longer known
 )
 
 // status is what servers tell each other, and whoever asks.
@@ -36,16 +36,16 @@
 	others []string // addresses
 
 	mu   sync.Mutex
-	last map[string]heardStatus
+	last map[string]receivedStatus
 }
 
-type heardStatus struct {
+type receivedStatus struct {
 	status
 	at time.Time
 }
 
 func newPeers(cfg Config) *peers {
-	p := &peers{last: map[string]heardStatus{}}
+	p := &peers{last: map[string]receivedStatus{}}
 	for i, addr := range cfg.Peers {
 		if i != cfg.Number {
 			p.others = append(p.others, addr)
@@ -54,19 +54,19 @@
 	return p
 }
 
-func (p *peers) heard(addr string, st status) {
+func (p *peers) record(addr string, st status) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.last[addr] = heardStatus{st, time.Now()}
+	p.last[addr] = receivedStatus{st, time.Now()}
 }
 
 // known are the servers that have told their state of late.
-func (p *peers) known() map[string]status {
+func (p *peers) recentStatuses() map[string]status {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := map[string]status{}
 	for addr, h := range p.last {
-		if time.Since(h.at) < peerForgets {
+		if time.Since(h.at) < peerStatusTTL {
 			out[addr] = h.status
 		}
 	}
@@ -75,7 +75,7 @@
 
 // primary is the address of the present one, empty if none is known: of several, that of the latest epoch.
 func (p *peers) primary() string {
-	known := p.known()
+	known := p.recentStatuses()
 	var best string
 	for _, addr := range slices.Sorted(maps.Keys(known)) {
 		if st := known[addr]; st.Role == rolePrimary && (best == "" || st.Epoch > known[best].Epoch) {
@@ -86,7 +86,7 @@
 }
 
 // latest is the latest epoch that another server has.
-func latest(known map[string]status) Epoch {
+func latestEpoch(known map[string]status) Epoch {
 	var e Epoch
 	for _, st := range known {
 		e = max(e, st.Epoch)
@@ -99,7 +99,7 @@
 	head := s.feed.head()
 	st := status{
 		Number: s.cfg.Number, Role: s.role.Load().(role), Epoch: head.Epoch(), Revision: head,
-		Instances: s.figures.instances.Load(),
+		Instances: s.stats.instances.Load(),
 	}
 	if st.Role == roleFollower {
 		st.Primary = s.peers.primary()
@@ -108,43 +108,43 @@
 }
 
 // askPeers keeps asking the other servers, and lets the loop draw the conclusions.
-func (s *Server) askPeers(ctx context.Context) {
+func (s *Server) pollPeers(ctx context.Context) {
 	if len(s.peers.others) == 0 {
 		return
 	}
 	for ctx.Err() == nil {
-		s.askAll(ctx)
-		if _, err := s.do(ctx, order{plan: s.conclude}); err != nil && ctx.Err() == nil {
+		s.pollAllPeers(ctx)
+		if _, err := s.submit(ctx, command{plan: s.updateRole}); err != nil && ctx.Err() == nil {
 			s.log.Error("role_unsettled", "err", err)
 		}
 		if s.is(roleUnconfirmed) || s.is(roleFollower) && s.peers.primary() == "" {
-			pause(ctx, jittered(seekPause))
+			sleep(ctx, jitter(fastPeerPollInterval))
 		} else {
-			pause(ctx, jittered(peerPause))
+			sleep(ctx, jitter(peerPollInterval))
 		}
 	}
 }
 
 // askAll asks all the other servers once, and returns the latest epoch among them.
-func (s *Server) askAll(ctx context.Context) Epoch {
+func (s *Server) pollAllPeers(ctx context.Context) Epoch {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	var asks sync.WaitGroup
+	var requests sync.WaitGroup
 	for _, addr := range s.peers.others {
-		asks.Go(func() {
-			st, err := s.ask(ctx, addr)
+		requests.Go(func() {
+			st, err := s.fetchStatus(ctx, addr)
 			if err != nil {
 				s.log.Debug("server_silent", "addr", addr, "err", err)
 				return
 			}
-			s.peers.heard(addr, st)
+			s.peers.record(addr, st)
 		})
 	}
-	asks.Wait()
-	return latest(s.peers.known())
+	requests.Wait()
+	return latestEpoch(s.peers.recentStatuses())
 }
 
-func (s *Server) ask(ctx context.Context, addr string) (status, error) {
+func (s *Server) fetchStatus(ctx context.Context, addr string) (status, error) {
 	var st status
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/registry/status", nil)
 	if err != nil {
@@ -158,7 +158,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return st, fmt.Errorf("status: %s", resp.Status)
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxClaim)).Decode(&st); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxBodyBytes)).Decode(&st); err != nil {
 		return st, fmt.Errorf("status: %w", err)
 	}
 	if st.Epoch < 0 || st.Epoch > maxEpoch || st.Number == s.cfg.Number {
@@ -168,38 +168,38 @@
 }
 
 // conclude settles the role by what is known of the others: a later epoch ends this server's.
-func (s *Server) conclude(now time.Duration) (List, any, error) {
-	known := s.peers.known()
-	switch later := latest(known) > s.cat.Head().Epoch(); {
+func (s *Server) updateRole(now time.Duration) (List, any, error) {
+	known := s.peers.recentStatuses()
+	switch superseded := latestEpoch(known) > s.catalog.Head().Epoch(); {
 	case s.is(roleFollower):
-	case later:
-		s.log.Warn("deposed", "own", s.cat.Head().Epoch(), "latest", latest(known))
+	case superseded:
+		s.log.Warn("deposed", "own", s.catalog.Head().Epoch(), "latest", latestEpoch(known))
 		s.role.Store(roleFollower)
-	case s.is(roleUnconfirmed) && (len(known) == len(s.peers.others) || len(known) > 0 && now > confirmAfter):
-		return List{}, nil, s.confirm(now)
+	case s.is(roleUnconfirmed) && (len(known) == len(s.peers.others) || len(known) > 0 && now > confirmTimeout):
+		return List{}, nil, s.confirmPrimary(now)
 	}
 	return List{}, nil, nil
 }
 
 // follow copies the primary's list while this server is a follower.
-func (s *Server) follow(ctx context.Context) {
+func (s *Server) followPrimary(ctx context.Context) {
 	for ctx.Err() == nil {
 		addr := s.peers.primary()
 		if !s.is(roleFollower) || addr == "" {
-			pause(ctx, jittered(tick))
+			sleep(ctx, jitter(tickInterval))
 			continue
 		}
-		here, cancel := context.WithCancel(ctx)
+		followCtx, cancel := context.WithCancel(ctx)
 		url := fmt.Sprintf("http://%s/registry/instances?watch=1&replica=1&after=%d", addr, s.feed.head())
-		err := listwatch.Follow(here, s.client, url, listwatch.FollowOptions{ResponseTimeout: listwatch.ServiceIdleTimeout, IdleTimeout: listwatch.ServiceIdleTimeout, OnActivity: func() {
-			s.figures.heard.Store(time.Now().UnixNano())
+		err := listwatch.Follow(followCtx, s.client, url, listwatch.FollowOptions{ResponseTimeout: listwatch.ServiceIdleTimeout, IdleTimeout: listwatch.ServiceIdleTimeout, OnActivity: func() {
+			s.stats.primaryHeardAt.Store(time.Now().UnixNano())
 			if !s.is(roleFollower) || s.peers.primary() != addr {
 				cancel()
 			}
 		}}, func(line []byte) error {
-			l, err := readList(line)
+			l, err := decodeList(line)
 			if err == nil {
-				_, err = s.do(here, order{plan: func(time.Duration) (List, any, error) { return s.copied(l) }})
+				_, err = s.submit(followCtx, command{plan: func(time.Duration) (List, any, error) { return s.planReplicated(l) }})
 			}
 			return err
 		})
@@ -207,18 +207,18 @@
 		if ctx.Err() == nil {
 			s.log.Info("primary_watch_ended", "addr", addr, "err", err)
 		}
-		pause(ctx, jittered(2*tick))
+		sleep(ctx, jitter(2*tickInterval))
 	}
 }
 
 // copied takes over a list of the primary's, unless it is older than what is known: then it comes from a server that
 // has been deposed, or has lost its folder.
-func (s *Server) copied(l List) (List, any, error) {
-	switch head := s.cat.Head(); {
+func (s *Server) planReplicated(l List) (List, any, error) {
+	switch head := s.catalog.Head(); {
 	case !s.is(roleFollower):
-		return List{}, nil, errPrimary
+		return List{}, nil, errAlreadyPrimary
 	case l.Revision < head:
-		return List{}, nil, fmt.Errorf("%w: %d after %d", errBehind, l.Revision, head)
+		return List{}, nil, fmt.Errorf("%w: %d after %d", errStaleList, l.Revision, head)
 	case l.Revision == head:
 		return List{}, nil, nil
 	}
@@ -226,7 +226,7 @@
 }
 
 // pause waits, or until ctx ends.
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/internal/registry/revision.go
+++ b/internal/registry/revision.go
@@ -21,7 +21,7 @@
 )
 
 // firstOf is the revision that an epoch begins with.
-func firstOf(e Epoch) Revision { return Revision(e) << epochBits }
+func firstRevision(e Epoch) Revision { return Revision(e) << epochBits }
 
 // Epoch is the epoch of the revision.
 func (r Revision) Epoch() Epoch { return Epoch(r >> epochBits) }
@@ -30,7 +30,7 @@
 func (e Epoch) Owner() int { return int(e % maxServers) }
 
 // next is the first epoch after e that a server owns.
-func (e Epoch) next(server int) (Epoch, error) {
+func (e Epoch) nextOwnedBy(server int) (Epoch, error) {
 	n := (e/maxServers+1)*maxServers + Epoch(server)
 	if n > maxEpoch {
 		return 0, fmt.Errorf("there is no epoch after %d", e)
@@ -45,14 +45,14 @@
 }
 
 // maxLineage bounds how many epochs are remembered; who comes from an older one gets the whole list.
-const maxLineage = 64
+const maxLineageEpochs = 64
 
 // lineage is a server's past, oldest epoch first, without the present epoch.
 type lineage []Boundary
 
 // holds tells whether a revision not after head lies in the past that leads to head. A revision that another server
 // made after the two parted does not: what changed after it can't be told, only the whole list can.
-func (l lineage) holds(r, head Revision) bool {
+func (l lineage) contains(r, head Revision) bool {
 	if r > head {
 		return false
 	}
@@ -64,10 +64,10 @@
 }
 
 // after is the lineage of the epoch that begins when head is left behind.
-func (l lineage) after(head Revision) lineage {
+func (l lineage) extend(head Revision) lineage {
 	if head == 0 {
 		return nil // nothing was ever said before
 	}
 	l = append(slices.Clone(l), Boundary{head.Epoch(), head})
-	return l[max(0, len(l)-maxLineage):]
+	return l[max(0, len(l)-maxLineageEpochs):]
 }
--- a/internal/registry/floor_test.go
+++ b/internal/registry/rollout_test.go
@@ -13,8 +13,8 @@
 )
 
 // Who watches the table of nodes hears of each claim, and of each revision.
-func TestTheTableIsWatched(t *testing.T) {
-	a := start(t, testConfig(t), listen(t, "127.0.0.1:0"))
+func TestNodeTableWatch(t *testing.T) {
+	a := startServer(t, testConfig(t), listen(t, "127.0.0.1:0"))
 	resp, err := http.Get("http://" + a.addr + "/registry/nodes?watch=1")
 	if err != nil {
 		t.Fatal(err)
@@ -49,8 +49,8 @@
 
 // What a follower remembers of a withdrawal has the clock of the server that decided it, and a floor goes with the list: to
 // the follower, over a restart, and away again.
-func TestFloorsAndTimesAreCopied(t *testing.T) {
-	a, b := pair(t)
+func TestFloorAndChangeTimesAreReplicated(t *testing.T) {
+	a, b := startPair(t)
 	a.register(1, 10_000)
 	eventually(t, "the follower has the instance", func() bool {
 		code, text := b.call("GET", "/registry/instances", "")
@@ -59,7 +59,7 @@
 	if code, said := a.call("DELETE", "/registry/instances/s1", `{"owner":"p1"}`); code != http.StatusNoContent {
 		t.Fatal(code, said)
 	}
-	history := func(x *site) (h auditlog.History) {
+	history := func(x *testServer) (h auditlog.History) {
 		_, text := x.call("GET", "/registry/history", "")
 		if err := json.Unmarshal([]byte(text), &h); err != nil {
 			t.Fatal(err)
@@ -99,7 +99,7 @@
 	if mine, other := last(history(a)), last(history(b)); mine.AtMS == 0 || mine != other {
 		t.Errorf("decided %+v, copied %+v", mine, other)
 	}
-	again := a.again()
+	again := a.restart()
 	if l := again.list(); l.Floor != nil && l.Floor.Build != "" {
 		t.Errorf("after a restart %+v", l.Floor)
 	}
--- a/internal/registry/server_test.go
+++ b/internal/registry/server_test.go
@@ -16,21 +16,21 @@
 	"time"
 )
 
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
 // site is a server of a test on loopback sockets.
-type site struct {
+type testServer struct {
 	t       *testing.T
 	cfg     Config
 	addr    string
-	console string
+	opsAddr string
 	s       *Server
 	stop    func()
 }
 
 func testConfig(t *testing.T) Config {
 	return Config{
-		Bootstrap: true, State: t.TempDir(), Options: DefaultOptions(), Coalesce: time.Millisecond, MaxWatchers: 64,
+		Bootstrap: true, StateDir: t.TempDir(), Options: DefaultOptions(), Coalesce: time.Millisecond, MaxWatchers: 64,
 	}
 }
 
@@ -44,7 +44,7 @@
 }
 
 // start runs a server until the test ends, or stop is called.
-func start(t *testing.T, cfg Config, ln net.Listener) *site {
+func startServer(t *testing.T, cfg Config, ln net.Listener) *testServer {
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(t.Output(), nil))
 	s, err := New(cfg, log)
@@ -54,20 +54,20 @@
 	}
 	console := listen(t, "127.0.0.1:0")
 	ctx, cancel := context.WithCancel(context.Background())
-	fronts := []*http.Server{s.HTTPServer(s.Handler(), 200, log), s.HTTPServer(s.Console(), 16, log)}
+	httpServers := []*http.Server{s.HTTPServer(s.Handler(), 200, log), s.HTTPServer(s.OpsHandler(), 16, log)}
 	ended := make(chan error, 3)
-	go func() { ended <- fronts[0].Serve(ln) }()
-	go func() { ended <- fronts[1].Serve(console) }()
+	go func() { ended <- httpServers[0].Serve(ln) }()
+	go func() { ended <- httpServers[1].Serve(console) }()
 	go func() { ended <- s.Run(ctx) }()
 	done := false
-	at := &site{t: t, cfg: cfg, addr: ln.Addr().String(), console: console.Addr().String(), s: s}
-	at.stop = func() {
+	ts := &testServer{t: t, cfg: cfg, addr: ln.Addr().String(), opsAddr: console.Addr().String(), s: s}
+	ts.stop = func() {
 		if done {
 			return
 		}
 		done = true
 		cancel()
-		for _, f := range fronts {
+		for _, f := range httpServers {
 			f.Close()
 		}
 		for range 3 {
@@ -76,35 +76,35 @@
 			}
 		}
 	}
-	t.Cleanup(at.stop)
-	return at
+	t.Cleanup(ts.stop)
+	return ts
 }
 
 // again starts the server on the same folder and address.
-func (a *site) again() *site {
+func (a *testServer) restart() *testServer {
 	a.t.Helper()
 	a.stop()
-	return start(a.t, a.cfg, listen(a.t, a.addr))
+	return startServer(a.t, a.cfg, listen(a.t, a.addr))
 }
 
 // pair are two servers that know each other; the first has begun a list.
-func pair(t *testing.T) (*site, *site) {
+func startPair(t *testing.T) (*testServer, *testServer) {
 	t.Helper()
 	lns := []net.Listener{listen(t, "127.0.0.1:0"), listen(t, "127.0.0.1:0")}
-	var sites [2]*site
-	for i := range sites {
+	var servers [2]*testServer
+	for i := range servers {
 		cfg := testConfig(t)
 		cfg.Number, cfg.Bootstrap = i, i == 0
 		cfg.Peers = []string{lns[0].Addr().String(), lns[1].Addr().String()}
-		sites[i] = start(t, cfg, lns[i])
+		servers[i] = startServer(t, cfg, lns[i])
 	}
-	eventually(t, "the first is the primary", func() bool { return sites[0].s.is(rolePrimary) })
-	return sites[0], sites[1]
+	eventually(t, "the first is the primary", func() bool { return servers[0].s.is(rolePrimary) })
+	return servers[0], servers[1]
 }
 
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !holds(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("never: %s", what)
 		}
@@ -131,29 +131,29 @@
 	return resp.StatusCode, string(raw)
 }
 
-func (a *site) call(method, path, body string) (int, string) {
+func (a *testServer) call(method, path, body string) (int, string) {
 	a.t.Helper()
 	return call(a.t, method, "http://"+a.addr+path, body)
 }
 
-func (a *site) operate(method, path string) (int, string) {
+func (a *testServer) callOps(method, path string) (int, string) {
 	a.t.Helper()
-	return call(a.t, method, "http://"+a.console+path, "")
+	return call(a.t, method, "http://"+a.opsAddr+path, "")
 }
 
 // claimOf is a good registration.
-func claimOf(n int, leaseMS int) string {
+func registrationBody(n int, leaseMS int) string {
 	return fmt.Sprintf(`{"host_port":"127.0.0.1:%d","locality":"a","flavor":"m","cell":3,"owner":"p%d","lease_ms":%d}`, 1000+n, n, leaseMS)
 }
 
-func (a *site) register(n, leaseMS int) {
+func (a *testServer) register(n, leaseMS int) {
 	a.t.Helper()
-	if code, said := a.call("PUT", fmt.Sprintf("/registry/instances/s%d", n), claimOf(n, leaseMS)); code != 200 {
+	if code, said := a.call("PUT", fmt.Sprintf("/registry/instances/s%d", n), registrationBody(n, leaseMS)); code != 200 {
 		a.t.Fatalf("register: %d %s", code, said)
 	}
 }
 
-func (a *site) list() List {
+func (a *testServer) list() List {
 	a.t.Helper()
 	code, text := a.call("GET", "/registry/instances", "")
 	if code != 200 {
@@ -172,31 +172,31 @@
 }
 
 // watching follows a server's list.
-type watching struct {
-	view
+type testWatch struct {
+	watcherView
 	lines *bufio.Scanner
 	body  io.Closer
 }
 
-func (a *site) watch(after Revision) *watching {
+func (a *testServer) watch(after Revision) *testWatch {
 	a.t.Helper()
 	resp, err := http.Get(fmt.Sprintf("http://%s/registry/instances?watch=1&after=%d", a.addr, after))
 	if err != nil {
 		a.t.Fatal(err)
 	}
 	a.t.Cleanup(func() { resp.Body.Close() })
-	w := &watching{view{after, map[string]Member{}}, bufio.NewScanner(resp.Body), resp.Body}
+	w := &testWatch{watcherView{after, map[string]Member{}}, bufio.NewScanner(resp.Body), resp.Body}
 	w.lines.Buffer(nil, 1<<22)
 	return w
 }
 
 // next takes the next line that says something.
-func (w *watching) next(t *testing.T) List {
+func (w *testWatch) next(t *testing.T) List {
 	t.Helper()
 	for w.lines.Scan() {
 		if text := w.lines.Text(); text != "" {
 			l := parse(t, text)
-			w.take(l)
+			w.apply(l)
 			return l
 		}
 	}
@@ -204,15 +204,15 @@
 	return List{}
 }
 
-func TestAnInstanceComesAndGoes(t *testing.T) {
-	a := start(t, testConfig(t), listen(t, "127.0.0.1:0"))
+func TestInstanceLifecycle(t *testing.T) {
+	a := startServer(t, testConfig(t), listen(t, "127.0.0.1:0"))
 	w := a.watch(0)
 	if l := w.next(t); !l.Complete || len(l.Members) != 0 {
 		t.Fatalf("the first line is %+v", l)
 	}
 	step := func(method, path, body string, code int, phase string) {
 		t.Helper()
-		before := w.at
+		before := w.revision
 		if got, said := a.call(method, path, body); got != code {
 			t.Fatalf("%s %s: %d %s", method, path, got, said)
 		}
@@ -227,20 +227,20 @@
 			t.Errorf("a watcher is told of the lease: %+v", m)
 		}
 	}
-	step("PUT", "/registry/instances/s1", claimOf(1, 10_000), 200, Serving)
+	step("PUT", "/registry/instances/s1", registrationBody(1, 10_000), 200, Serving)
 	step("POST", "/registry/instances/s1/renew", `{"owner":"p1"}`, 200, "")
 	step("PUT", "/registry/instances/s1/phase", `{"owner":"p1","phase":"DRAINING"}`, 204, Draining)
 	step("DELETE", "/registry/instances/s1", `{"owner":"p1"}`, 204, Deleted)
 	step("POST", "/registry/instances/s1/renew", `{"owner":"p1"}`, 404, "")
-	if l := a.list(); !l.Complete || len(l.Members) != 0 || l.Revision != w.at {
+	if l := a.list(); !l.Complete || len(l.Members) != 0 || l.Revision != w.revision {
 		t.Errorf("the list is %+v", l)
 	}
 }
 
-func TestALapsedLeaseIsTold(t *testing.T) {
+func TestLeaseExpiryIsReported(t *testing.T) {
 	cfg := testConfig(t)
 	cfg.Options.Grace = 0
-	a := start(t, cfg, listen(t, "127.0.0.1:0"))
+	a := startServer(t, cfg, listen(t, "127.0.0.1:0"))
 	w := a.watch(0)
 	w.next(t)
 	a.register(1, 1000)
@@ -250,13 +250,13 @@
 	if l := w.next(t); l.Members[0].Phase != Deleted {
 		t.Errorf("got %+v", l)
 	}
-	if _, text := a.operate("GET", "/ops/stats"); !strings.Contains(text, "registry.lapsed:1|c") {
+	if _, text := a.callOps("GET", "/ops/stats"); !strings.Contains(text, "registry.lapsed:1|c") {
 		t.Errorf("figures: %s", text)
 	}
 }
 
-func TestBadCallsChangeNothing(t *testing.T) {
-	a := start(t, testConfig(t), listen(t, "127.0.0.1:0"))
+func TestInvalidCallsChangeNothing(t *testing.T) {
+	a := startServer(t, testConfig(t), listen(t, "127.0.0.1:0"))
 	a.register(1, 10_000)
 	before := a.list()
 	const at, ok = "/registry/instances/s2", `"host_port":"127.0.0.1:9","locality":"a","flavor":"m","cell":1,"owner":"o"`
@@ -277,7 +277,7 @@
 		{"PUT", at, strings.Replace("{"+ok+"}", "127.0.0.1:9", "nowhere", 1), 400, "nowhere"},
 		{"PUT", at, strings.Replace("{"+ok+"}", `"cell":1,`, "", 1), 400, "cell"},
 		{"PUT", at, strings.Replace("{"+ok+"}", `"owner":"o"`, `"owner":""`, 1), 400, "owner"},
-		{"PUT", at, "{" + ok + `,"locality":"` + strings.Repeat("x", maxClaim) + `"}`, 413, "too large"},
+		{"PUT", at, "{" + ok + `,"locality":"` + strings.Repeat("x", maxBodyBytes) + `"}`, 413, "too large"},
 		{"PUT", "/registry/instances/%20", "{" + ok + "}", 400, "visible"},
 		{"PUT", "/registry/instances/s1", "{" + ok + "}", 409, "taken"},
 		{"PUT", at, strings.Replace("{"+ok+"}", "127.0.0.1:9", "127.0.0.1:1001", 1), 409, "taken"},
@@ -292,7 +292,7 @@
 		{"GET", "/registry/else", "", 404, ""},
 		{"POST", "/reports", "{", 400, "notice 1"},
 		{"POST", "/reports", `{"id":"a","state":"failed"}` + "\n" + `{"id":"a","state":"lost"}`, 400, "notice 2"},
-		{"POST", "/reports", strings.Repeat("x", maxPost+1), 413, "too large"},
+		{"POST", "/reports", strings.Repeat("x", maxReportsBodyBytes+1), 413, "too large"},
 	} {
 		if code, said := a.call(c.method, c.path, c.body); code != c.code || !strings.Contains(said, c.says) {
 			t.Errorf("%s %s %.80s: %d %s, want %d with %q", c.method, c.path, c.body, code, said, c.code, c.says)
@@ -302,7 +302,7 @@
 		"/ops/instances/phase?id=s9&phase=DRAINING": 404, "/ops/instances/phase?id=s1&phase=x": 400,
 		"/ops/instances/withdraw?id=s9": 404, "/ops/promote": 409,
 	} {
-		if got, said := a.operate("PUT", path); got != code {
+		if got, said := a.callOps("PUT", path); got != code {
 			t.Errorf("%s: %d %s", path, got, said)
 		}
 	}
@@ -317,7 +317,7 @@
 // Clients that say nothing, or stop in the middle, are closed in time.
 func TestSilentClientsAreClosed(t *testing.T) {
 	t.Parallel()
-	a := start(t, testConfig(t), listen(t, "127.0.0.1:0"))
+	a := startServer(t, testConfig(t), listen(t, "127.0.0.1:0"))
 	for _, text := range []string{"", "GET /registry", "PUT /registry/instances/a HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\n{"} {
 		t.Run(fmt.Sprintf("%.12q", text), func(t *testing.T) {
 			t.Parallel()
@@ -329,7 +329,7 @@
 			if _, err := io.WriteString(nc, text); err != nil {
 				t.Fatal(err)
 			}
-			if err := nc.SetDeadline(time.Now().Add(patience)); err != nil {
+			if err := nc.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 				t.Fatal(err)
 			}
 			began := time.Now()
@@ -344,9 +344,9 @@
 }
 
 // narrow gives connections small buffers, so that a client that does not read stops the server soon.
-type narrow struct{ net.Listener }
+type smallBufferListener struct{ net.Listener }
 
-func (l narrow) Accept() (net.Conn, error) {
+func (l smallBufferListener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err == nil {
 		err = nc.(*net.TCPConn).SetWriteBuffer(4096)
@@ -355,9 +355,9 @@
 }
 
 // A watcher that reads nothing is closed, and nobody waits for it.
-func TestAStuckWatcherDelaysNobody(t *testing.T) {
+func TestStuckWatcherDelaysNoOther(t *testing.T) {
 	t.Parallel()
-	a := start(t, testConfig(t), narrow{listen(t, "127.0.0.1:0")})
+	a := startServer(t, testConfig(t), smallBufferListener{listen(t, "127.0.0.1:0")})
 	for n := range 400 {
 		a.register(n, 60_000)
 	}
@@ -374,7 +374,7 @@
 	}
 	w := a.watch(0)
 	w.next(t)
-	eventually(t, "both watch", func() bool { return a.s.figures.watchers.Load() == 2 })
+	eventually(t, "both watch", func() bool { return a.s.stats.watchers.Load() == 2 })
 	for n := range 20 {
 		began := time.Now()
 		if code, said := a.call("PUT", fmt.Sprintf("/registry/instances/s%d/phase", n), fmt.Sprintf(`{"owner":"p%d","phase":"DRAINING"}`, n)); code != 204 {
@@ -387,8 +387,8 @@
 			t.Errorf("change %d took %v", n, took)
 		}
 	}
-	eventually(t, "the stuck watcher is closed", func() bool { return a.s.figures.slow.Load() == 1 })
-	if got := a.s.figures.watchers.Load(); got != 1 {
+	eventually(t, "the stuck watcher is closed", func() bool { return a.s.stats.slowWatchers.Load() == 1 })
+	if got := a.s.stats.watchers.Load(); got != 1 {
 		t.Errorf("%d watchers are left", got)
 	}
 }
@@ -396,7 +396,7 @@
 func TestWatchersAndConnectionsAreBounded(t *testing.T) {
 	cfg := testConfig(t)
 	cfg.MaxWatchers = 2
-	a := start(t, cfg, listen(t, "127.0.0.1:0"))
+	a := startServer(t, cfg, listen(t, "127.0.0.1:0"))
 	for range 2 {
 		a.watch(0).next(t)
 	}
@@ -416,11 +416,11 @@
 		}
 		open = append(open, nc)
 	}
-	eventually(t, "somebody is turned away", func() bool { return a.s.figures.turnedAway.Load() > 0 })
+	eventually(t, "somebody is turned away", func() bool { return a.s.stats.rejectedConnections.Load() > 0 })
 }
 
-func TestALateWatcherIsToldTheChangesInOneLine(t *testing.T) {
-	a := start(t, testConfig(t), listen(t, "127.0.0.1:0"))
+func TestLateWatcherGetsChangesInOneLine(t *testing.T) {
+	a := startServer(t, testConfig(t), listen(t, "127.0.0.1:0"))
 	a.register(1, 60_000)
 	before := a.list().Revision
 	for n := 2; n < 8; n++ {
@@ -437,10 +437,10 @@
 	}
 }
 
-func TestChangesOfAShortSpanAreToldTogether(t *testing.T) {
+func TestChangesAreCoalesced(t *testing.T) {
 	cfg := testConfig(t)
 	cfg.Coalesce = 300 * time.Millisecond
-	a := start(t, cfg, listen(t, "127.0.0.1:0"))
+	a := startServer(t, cfg, listen(t, "127.0.0.1:0"))
 	w := a.watch(0)
 	w.next(t)
 	for n := range 10 {
@@ -456,13 +456,13 @@
 	}
 }
 
-func TestARestartKeepsTheListAndItsRevision(t *testing.T) {
-	a := start(t, testConfig(t), listen(t, "127.0.0.1:0"))
+func TestRestartKeepsListAndRevision(t *testing.T) {
+	a := startServer(t, testConfig(t), listen(t, "127.0.0.1:0"))
 	for n := range 5 {
 		a.register(n, 60_000)
 	}
 	before := a.list()
-	a = a.again()
+	a = a.restart()
 	if after := a.list(); fmt.Sprint(after) != fmt.Sprint(before) {
 		t.Errorf("was %+v, is %+v", before, after)
 	}
@@ -476,13 +476,13 @@
 }
 
 // What a cut tail had said may have been heard: its revisions are not given out again.
-func TestAfterATornTailRevisionsRise(t *testing.T) {
-	a := start(t, testConfig(t), listen(t, "127.0.0.1:0"))
+func TestRevisionsRiseAfterTornTail(t *testing.T) {
+	a := startServer(t, testConfig(t), listen(t, "127.0.0.1:0"))
 	a.register(1, 60_000)
 	a.register(2, 60_000)
 	heard := a.list().Revision
 	a.stop()
-	path := a.cfg.State + "/" + logName
+	path := a.cfg.StateDir + "/" + logFile
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -490,15 +490,15 @@
 	if err := os.WriteFile(path, raw[:len(raw)-3], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	a = a.again()
+	a = a.restart()
 	a.register(3, 60_000)
 	if l := a.watch(heard).next(t); !l.Complete || l.Revision <= heard || len(l.Members) != 2 {
 		t.Errorf("a watcher at %d is told %+v", heard, l)
 	}
 }
 
-func TestADiskThatIsFull(t *testing.T) {
-	a := start(t, testConfig(t), listen(t, "127.0.0.1:0"))
+func TestFullDisk(t *testing.T) {
+	a := startServer(t, testConfig(t), listen(t, "127.0.0.1:0"))
 	a.register(1, 60_000)
 	before := a.list()
 	full, err := os.OpenFile("/dev/full", os.O_RDWR, 0)
@@ -508,14 +508,14 @@
 	good := a.s.store.path
 	inLoop := func(do func()) {
 		t.Helper()
-		if _, err := a.s.do(t.Context(), order{plan: func(time.Duration) (List, any, error) { do(); return List{}, nil, nil }}); err != nil {
+		if _, err := a.s.submit(t.Context(), command{plan: func(time.Duration) (List, any, error) { do(); return List{}, nil, nil }}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	var file *os.File
-	inLoop(func() { file, a.s.store.f, a.s.store.path = a.s.store.f, full, "/nowhere/list.log" })
+	inLoop(func() { file, a.s.store.file, a.s.store.path = a.s.store.file, full, "/nowhere/list.log" })
 	for range 3 {
-		if code, said := a.call("PUT", "/registry/instances/s2", claimOf(2, 60_000)); code != 503 {
+		if code, said := a.call("PUT", "/registry/instances/s2", registrationBody(2, 60_000)); code != 503 {
 			t.Fatalf("a write that can't be kept: %d %s", code, said)
 		}
 	}
@@ -527,19 +527,19 @@
 	}
 	inLoop(func() { a.s.store.path = good }) // room again
 	eventually(t, "writes are taken again", func() bool {
-		code, _ := a.call("PUT", "/registry/instances/s2", claimOf(2, 60_000))
+		code, _ := a.call("PUT", "/registry/instances/s2", registrationBody(2, 60_000))
 		return code == 200
 	})
 	file.Close()
 	before = a.list()
-	a = a.again()
+	a = a.restart()
 	if after := a.list(); fmt.Sprint(after) != fmt.Sprint(before) || len(after.Members) != 2 {
 		t.Errorf("was %+v, after a restart %+v", before, after)
 	}
 }
 
-func TestNoticesAreKept(t *testing.T) {
-	a := start(t, testConfig(t), listen(t, "127.0.0.1:0"))
+func TestNoticesSurviveRestart(t *testing.T) {
+	a := startServer(t, testConfig(t), listen(t, "127.0.0.1:0"))
 	post := func(id string) {
 		t.Helper()
 		if code, said := a.call("POST", "/reports", fmt.Sprintf(`{"id":%q,"state":"returned","after_ms":500}`+"\n", id)); code != 204 {
@@ -548,7 +548,7 @@
 	}
 	post("a")
 	post("b")
-	a = a.again()
+	a = a.restart()
 	post("c")
 	_, page := a.call("GET", "/reports?after=1", "")
 	var ids []string
@@ -567,10 +567,10 @@
 	}
 }
 
-func TestNoticesAreBounded(t *testing.T) {
+func TestNoticeLogIsBounded(t *testing.T) {
 	dir := t.TempDir()
 	const most = 16 << 10
-	r, err := openReports(dir, most)
+	r, err := openNoticeLog(dir, most)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -583,7 +583,7 @@
 		t.Fatal(err)
 	}
 	var sum int64
-	for _, name := range []string{reportsName, reportsName + ".old"} {
+	for _, name := range []string{reportsFile, reportsFile + ".old"} {
 		info, err := os.Stat(dir + "/" + name)
 		if err != nil {
 			t.Fatal(err)
@@ -593,16 +593,16 @@
 	if sum > most || sum < most/2 {
 		t.Errorf("%d bytes are kept", sum)
 	}
-	if err := os.WriteFile(dir+"/"+reportsName, append(must(os.ReadFile(dir+"/"+reportsName)), `{"seq":`...), 0o600); err != nil {
+	if err := os.WriteFile(dir+"/"+reportsFile, append(must(os.ReadFile(dir+"/"+reportsFile)), `{"seq":`...), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if r, err = openReports(dir, most); err != nil {
+	if r, err = openNoticeLog(dir, most); err != nil {
 		t.Fatal(err)
 	}
 	defer r.close()
-	page, err := r.since(1990)
-	if err != nil || bytes.Count(page, []byte("\n")) != 10 || r.next != 2001 {
-		t.Errorf("got %s, %v; next %d", page, err, r.next)
+	page, err := r.pageAfter(1990)
+	if err != nil || bytes.Count(page, []byte("\n")) != 10 || r.nextSeq != 2001 {
+		t.Errorf("got %s, %v; next %d", page, err, r.nextSeq)
 	}
 }
 
@@ -613,12 +613,12 @@
 	return v
 }
 
-func FuzzReadNotices(f *testing.F) {
+func FuzzParseNotices(f *testing.F) {
 	f.Add([]byte(`{"id":"a","state":"failed"}` + "\n" + `{"id":"b","state":"returned","after_ms":5}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		notices, err := readNotices(raw)
+		notices, err := parseNotices(raw)
 		for _, n := range notices {
-			if err == nil && (n.ID == "" || len(n.ID) > maxReportID || n.AfterMS < 0) {
+			if err == nil && (n.ID == "" || len(n.ID) > maxReportIDLen || n.AfterMS < 0) {
 				t.Errorf("took %+v", n)
 			}
 		}
@@ -627,20 +627,20 @@
 
 // The log does not grow with the changes, and what it holds outlasts its being written anew. While that can't be done
 // it goes on growing, and changes are taken.
-func TestTheLogIsBounded(t *testing.T) {
-	a := start(t, testConfig(t), listen(t, "127.0.0.1:0"))
+func TestLogIsBounded(t *testing.T) {
+	a := startServer(t, testConfig(t), listen(t, "127.0.0.1:0"))
 	change := func(n int) {
 		t.Helper()
 		m := instance(n % 20)
 		m.Size = float64(2 + n)
-		if _, err := a.s.do(t.Context(), order{plan: a.s.asPrimary(func(now time.Duration) (List, any, error) {
-			l, err := a.s.cat.Register(now, 1, m)
+		if _, err := a.s.submit(t.Context(), command{plan: a.s.primaryOnly(func(now time.Duration) (List, any, error) {
+			l, err := a.s.catalog.Register(now, 1, m)
 			return l, nil, err
 		})}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	size := func() int64 { return a.s.figures.logBytes.Load() }
+	size := func() int64 { return a.s.stats.logBytes.Load() }
 	const changes = 1500 // about 220 bytes each
 	n := 0
 	for range changes {
@@ -650,14 +650,14 @@
 	eventually(t, "the log is written anew", func() bool {
 		n++
 		change(n)
-		return size() < minCompact/2
+		return size() < minCompactBytes/2
 	})
 	want := a.list()
-	a = a.again()
+	a = a.restart()
 	if got := a.list(); fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Errorf("was %+v, after a restart %+v", want, got)
 	}
-	if _, err := a.s.do(t.Context(), order{plan: func(time.Duration) (List, any, error) {
+	if _, err := a.s.submit(t.Context(), command{plan: func(time.Duration) (List, any, error) {
 		a.s.store.path = "/nowhere/list.log"
 		return List{}, nil, nil
 	}}); err != nil {
@@ -667,17 +667,17 @@
 		n++
 		change(n)
 	}
-	if size() <= minCompact {
+	if size() <= minCompactBytes {
 		t.Errorf("%d bytes: the log was not to be written anew", size())
 	}
 }
 
 // A list that is begun anew says that it may lack some, to whoever asks and also at a follower, until it has settled; then
 // everybody hears so, and a restart does not begin it again.
-func TestAListThatIsBegunAnewSettles(t *testing.T) {
+func TestNewListSettles(t *testing.T) {
 	cfg := testConfig(t)
-	cfg.Settle = 300 * time.Millisecond
-	a := start(t, cfg, listen(t, "127.0.0.1:0"))
+	cfg.SettleTime = 300 * time.Millisecond
+	a := startServer(t, cfg, listen(t, "127.0.0.1:0"))
 	list := func() string {
 		_, body := call(t, "GET", "http://"+a.addr+"/registry/instances", "")
 		return body
@@ -700,7 +700,7 @@
 	if len(told) < 2 || !strings.Contains(told[0], "settling") {
 		t.Errorf("a watcher is told %q", told)
 	}
-	a = a.again()
+	a = a.restart()
 	if got := list(); strings.Contains(got, "settling") {
 		t.Errorf("after a restart: %s", got)
 	}
@@ -708,10 +708,10 @@
 
 // Whoever begins is served at the server's rate; the others are told when to come, to the millisecond and each at another
 // time. Renewals and other servers pass.
-func TestAStartIsServedAtTheServersPace(t *testing.T) {
+func TestStartIsRateLimited(t *testing.T) {
 	cfg := testConfig(t)
 	cfg.StartRate = 10
-	a := start(t, cfg, listen(t, "127.0.0.1:0"))
+	a := startServer(t, cfg, listen(t, "127.0.0.1:0"))
 	ask := func(query string) (int, http.Header) {
 		resp, err := http.Get("http://" + a.addr + "/registry/instances" + query)
 		if err != nil {
@@ -748,7 +748,7 @@
 	if code, h := ask("?after=0&turn=" + turn); code != http.StatusServiceUnavailable || h.Get("Registry-Turn") != turn {
 		t.Errorf("a turn that comes too soon is told %d %v", code, h)
 	}
-	if _, text := call(t, "GET", "http://"+a.console+"/ops/stats", ""); !strings.Contains(text, "registry.turns_out:") {
+	if _, text := call(t, "GET", "http://"+a.opsAddr+"/ops/stats", ""); !strings.Contains(text, "registry.turns_out:") {
 		t.Errorf("no turns in %s", text)
 	}
 }
--- a/internal/registry/store.go
+++ b/internal/registry/store.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	logName    = "list.log"
-	lockName   = "lock"
-	minCompact = 256 << 10 // a smaller log is not worth writing anew
-	growth     = 4         // a log is written anew at so many times the size of its whole list
+	logFile             = "list.log"
+	lockFile            = "lock"
+	minCompactBytes     = 256 << 10 // a smaller log is not worth writing anew
+	compactGrowthFactor = 4         // a log is written anew at so many times the size of its whole list
 )
 
 // errStoreDown is told while the log needs to be written anew before it may grow again.
-var errStoreDown = errors.New("the log can't be written")
+var errStoreUnavailable = errors.New("the log can't be written")
 
 // Store is the folder that the list outlasts its process in. What Append or Compact has taken is on the disk.
 type Store struct {
-	path   string
-	lock   *os.File
-	f      *os.File
-	size   int64 // good bytes of the log
-	whole  int64 // of them, its first record
-	broken bool  // bytes that do not hold may stand behind size
-	Cut    int64 // bytes of a torn tail that were cut when the log was opened
+	path           string
+	lock           *os.File
+	file           *os.File
+	size           int64 // good bytes of the log
+	snapshotSize   int64 // of them, its first record
+	dirtyTail      bool  // bytes that do not hold may stand behind size
+	TruncatedBytes int64 // bytes of a torn tail that were cut when the log was opened
 }
 
 // OpenStore opens the folder for this process alone and returns the lists in its log; none if it is new.
@@ -34,14 +34,14 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, nil, fmt.Errorf("store: %w", err)
 	}
-	lock, err := os.OpenFile(filepath.Join(dir, lockName), os.O_RDWR|os.O_CREATE, 0o600)
+	lock, err := os.OpenFile(filepath.Join(dir, lockFile), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, nil, fmt.Errorf("store: %w", err)
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		return nil, nil, errors.Join(fmt.Errorf("store: another process has %s: %w", dir, err), lock.Close())
 	}
-	s := &Store{path: filepath.Join(dir, logName), lock: lock}
+	s := &Store{path: filepath.Join(dir, logFile), lock: lock}
 	lists, err := s.open()
 	if err != nil {
 		return nil, nil, errors.Join(fmt.Errorf("store: %w", err), s.Close())
@@ -61,28 +61,28 @@
 	if err != nil {
 		return nil, err
 	}
-	lists, good, err := readLog(s.path, raw)
+	lists, validBytes, err := readLog(s.path, raw)
 	if err != nil {
 		return nil, err
 	}
-	if s.f, err = os.OpenFile(s.path, os.O_RDWR, 0o600); err != nil {
+	if s.file, err = os.OpenFile(s.path, os.O_RDWR, 0o600); err != nil {
 		return nil, err
 	}
-	s.size, s.Cut = good, int64(len(raw))-good
-	if s.Cut > 0 {
-		if err := errors.Join(s.f.Truncate(good), s.f.Sync()); err != nil {
+	s.size, s.TruncatedBytes = validBytes, int64(len(raw))-validBytes
+	if s.TruncatedBytes > 0 {
+		if err := errors.Join(s.file.Truncate(validBytes), s.file.Sync()); err != nil {
 			return nil, err
 		}
 	}
 	first, err := appendRecord([]byte(logMagic), lists[0])
-	s.whole = int64(len(first))
+	s.snapshotSize = int64(len(first))
 	return lists, err
 }
 
 // Append writes changes down. After an error none of them holds.
 func (s *Store) Append(lists ...List) error {
-	if s.f == nil || s.broken {
-		return errStoreDown
+	if s.file == nil || s.dirtyTail {
+		return errStoreUnavailable
 	}
 	var raw []byte
 	for _, l := range lists {
@@ -91,14 +91,14 @@
 			return fmt.Errorf("store: %w", err)
 		}
 	}
-	_, err := s.f.WriteAt(raw, s.size)
+	_, err := s.file.WriteAt(raw, s.size)
 	if err == nil {
-		err = s.f.Sync()
+		err = s.file.Sync()
 	}
 	if err != nil {
 		// A part may stand there, and after a failed sync nobody knows what does.
-		cut := errors.Join(s.f.Truncate(s.size), s.f.Sync())
-		s.broken = cut != nil
+		cut := errors.Join(s.file.Truncate(s.size), s.file.Sync())
+		s.dirtyTail = cut != nil
 		return fmt.Errorf("store: %w", errors.Join(err, cut))
 	}
 	s.size += int64(len(raw))
@@ -106,22 +106,24 @@
 }
 
 // Large tells whether the log is worth writing anew.
-func (s *Store) Large() bool { return s.size > max(minCompact, growth*s.whole) }
+func (s *Store) ShouldCompact() bool {
+	return s.size > max(minCompactBytes, compactGrowthFactor*s.snapshotSize)
+}
 
 // Down tells whether only a log written anew can be appended to.
-func (s *Store) Down() bool { return s.f == nil || s.broken }
+func (s *Store) Unwritable() bool { return s.file == nil || s.dirtyTail }
 
 // Size is how many bytes the log has.
 func (s *Store) Size() int64 { return s.size }
 
 // Compact writes the log anew, with a whole list in place of all that led to it. After an error the old one holds.
-func (s *Store) Compact(whole List) error {
-	raw, err := appendRecord([]byte(logMagic), whole)
+func (s *Store) Compact(snapshot List) error {
+	raw, err := appendRecord([]byte(logMagic), snapshot)
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
-	fresh := s.path + ".new"
-	f, err := os.OpenFile(fresh, os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
+	newPath := s.path + ".new"
+	f, err := os.OpenFile(newPath, os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
@@ -130,13 +132,13 @@
 		err = f.Sync()
 	}
 	if err == nil {
-		err = os.Rename(fresh, s.path)
+		err = os.Rename(newPath, s.path)
 	}
 	if err != nil {
-		return fmt.Errorf("store: %w", errors.Join(err, f.Close(), os.Remove(fresh)))
+		return fmt.Errorf("store: %w", errors.Join(err, f.Close(), os.Remove(newPath)))
 	}
-	old := s.f
-	s.f, s.size, s.whole, s.broken = f, int64(len(raw)), int64(len(raw)), false
+	old := s.file
+	s.file, s.size, s.snapshotSize, s.dirtyTail = f, int64(len(raw)), int64(len(raw)), false
 	if old != nil {
 		err = old.Close()
 	}
@@ -155,8 +157,8 @@
 // Close gives the folder back.
 func (s *Store) Close() error {
 	var err error
-	if s.f != nil {
-		err = s.f.Close()
+	if s.file != nil {
+		err = s.file.Close()
 	}
 	return errors.Join(err, s.lock.Close())
 }
--- a/internal/registry/store_test.go
+++ b/internal/registry/store_test.go
@@ -9,16 +9,16 @@
 )
 
 // filled is a log of a whole list and some changes, and what its revisions are.
-func filled(t *testing.T, dir string, changes int) (raw []byte, lists []List) {
+func filledLog(t *testing.T, dir string, changes int) (raw []byte, lists []List) {
 	t.Helper()
 	s, none, err := OpenStore(dir)
 	if err != nil || none != nil {
 		t.Fatal(none, err)
 	}
 	defer s.Close()
-	c := newList(t, 2)
-	lists = append(lists, c.Whole())
-	if err := s.Compact(c.Whole()); err != nil {
+	c := newTestCatalog(t, 2)
+	lists = append(lists, c.Snapshot())
+	if err := s.Compact(c.Snapshot()); err != nil {
 		t.Fatal(err)
 	}
 	for n := range changes {
@@ -28,7 +28,7 @@
 			t.Fatal(err)
 		}
 	}
-	raw, err = os.ReadFile(filepath.Join(dir, logName))
+	raw, err = os.ReadFile(filepath.Join(dir, logFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 func reopen(t *testing.T, raw []byte) (*Store, []List, error) {
 	t.Helper()
 	dir := t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, logName), raw, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, logFile), raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	s, lists, err := OpenStore(dir)
@@ -49,8 +49,8 @@
 }
 
 // A kill can leave any part of a write behind. Whole records hold, the part is cut, and the log can be appended to.
-func TestAKillAtAnyByteOfAWrite(t *testing.T) {
-	raw, want := filled(t, t.TempDir(), 3)
+func TestTornWriteIsTruncated(t *testing.T) {
+	raw, want := filledLog(t, t.TempDir(), 3)
 	first, err := appendRecord([]byte(logMagic), want[0])
 	if err != nil {
 		t.Fatal(err)
@@ -74,8 +74,8 @@
 		if err != nil {
 			t.Fatalf("cut at %d: %v", size, err)
 		}
-		if len(lists) != whole || s.Cut != int64(size-ends[whole-1]) {
-			t.Fatalf("cut at %d: %d lists, want %d; %d bytes cut", size, len(lists), whole, s.Cut)
+		if len(lists) != whole || s.TruncatedBytes != int64(size-ends[whole-1]) {
+			t.Fatalf("cut at %d: %d lists, want %d; %d bytes cut", size, len(lists), whole, s.TruncatedBytes)
 		}
 		next := List{Revision: lists[whole-1].Revision + 1}
 		if err := s.Append(next); err != nil {
@@ -92,8 +92,8 @@
 }
 
 // A record that can't be read in front of others is no torn tail: to go on would lose what it says.
-func TestACorruptMiddleIsAnErrorWithItsOffset(t *testing.T) {
-	raw, want := filled(t, t.TempDir(), 3)
+func TestCorruptMiddleRecordIsErrorWithOffset(t *testing.T) {
+	raw, want := filledLog(t, t.TempDir(), 3)
 	first, err := appendRecord([]byte(logMagic), want[0])
 	if err != nil {
 		t.Fatal(err)
@@ -119,9 +119,9 @@
 	}
 }
 
-func TestALogIsWrittenAnew(t *testing.T) {
+func TestCompact(t *testing.T) {
 	dir := t.TempDir()
-	filled(t, dir, 3)
+	filledLog(t, dir, 3)
 	s, lists, err := OpenStore(dir)
 	if err != nil {
 		t.Fatal(err)
@@ -132,7 +132,7 @@
 		c.Apply(0, l)
 	}
 	before := s.Size()
-	if err := s.Compact(c.Whole()); err != nil {
+	if err := s.Compact(c.Snapshot()); err != nil {
 		t.Fatal(err)
 	}
 	if s.Size() >= before {
@@ -142,12 +142,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if again, _, err := readLog("log", raw); err != nil || len(again) != 1 || !reflect.DeepEqual(again[0], c.Whole()) {
-		t.Errorf("got %+v, %v, want %+v", again, err, c.Whole())
+	if again, _, err := readLog("log", raw); err != nil || len(again) != 1 || !reflect.DeepEqual(again[0], c.Snapshot()) {
+		t.Errorf("got %+v, %v, want %+v", again, err, c.Snapshot())
 	}
 }
 
-func TestAFolderHasOneProcess(t *testing.T) {
+func TestStateDirIsLocked(t *testing.T) {
 	dir := t.TempDir()
 	s, _, err := OpenStore(dir)
 	if err != nil {
@@ -168,7 +168,7 @@
 
 func FuzzReadLog(f *testing.F) {
 	c := NewCatalog(DefaultOptions())
-	raw, err := appendRecord([]byte(logMagic), c.Whole())
+	raw, err := appendRecord([]byte(logMagic), c.Snapshot())
 	if err != nil {
 		f.Fatal(err)
 	}
