--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -33,7 +33,7 @@
 	Registry    *ListService    `json:"registry" toml:"registry" doc:"the project's own list service, in place of discovery"`
 	Membership  *Membership     `json:"membership" toml:"membership" doc:"nodes tell each other who is there"`
 	Audit       *Audit          `json:"audit" toml:"audit" doc:"nodes tell the list service what they act on"`
-	Delivery    wire.Config     `json:"settings" toml:"delivery"`
+	Delivery    wire.Conf       `json:"settings" toml:"delivery"`
 	KnownList   listwatch.List  `json:"known" toml:"-"` // the list as the node last held it
 	Settings    choice.Settings `json:"-" toml:"-"`     // Deployment, for the module
 	Names       wire.Names      `json:"-" toml:"-"`     // of Deployment
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -11,7 +11,7 @@
 // Config has the settings of a deployment, as in the Born line of the simulator's protocol and in the configuration
 // file of a node. The platform writes them as JSON, people write them as TOML with longer keys; both are decoded into
 // this type. A value that is zero was not given.
-type Config struct {
+type Conf struct {
 	FleetSize      int          `json:"fleetSize" toml:"fleet_size" default:"1" min:"1" max:"100000" doc:"nodes altogether"`
 	Number         int          `json:"myNumber" toml:"number" min:"0" max:"99999" doc:"this node's place among the peers, from 0"`
 	Zones          []string     `json:"failureDomains" toml:"zones" doc:"names of the zones, as the list says them in locality"`
@@ -73,7 +73,7 @@
 
 // Settings converts the settings of a Born line.
 func Settings(raw json.RawMessage) (choice.Settings, error) {
-	var c Config
+	var c Conf
 	if err := json.Unmarshal(raw, &c); err != nil {
 		return choice.Settings{}, fmt.Errorf("settings: %w", err)
 	}
@@ -81,7 +81,7 @@
 }
 
 // Settings converts the configuration to the settings of package choice.
-func (c *Config) Settings() (choice.Settings, error) {
+func (c *Conf) Settings() (choice.Settings, error) {
 	s := choice.Settings{
 		FleetSize: c.FleetSize, Number: c.Number, PeerDatagrams: c.Limits.Datagrams, Slots: c.Calls.Slots, MaxOpenMessages: c.Limits.MaxOpenMessages,
 		MaxAttempts: c.Limits.MaxAttempts, MayDuplicate: c.Limits.MayDuplicate, MayProbe: c.Limits.Probes,
@@ -132,7 +132,7 @@
 }
 
 // Names returns the names in the configuration.
-func (c *Config) Names() Names {
+func (c *Conf) Names() Names {
 	n := Names{Kinds: c.Kinds, Zones: c.Zones}
 	for _, k := range c.Classes {
 		n.Classes = append(n.Classes, k.Name)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -137,7 +137,7 @@
 }
 
 func TestSettingsNames(t *testing.T) {
-	var c Config
+	var c Conf
 	err := json.Unmarshal([]byte(`{"categories":[{"name":"a"},{"name":"b"}],"flavors":["big"],"failureDomains":["z1","z2"]}`), &c)
 	want := Names{Classes: []string{"a", "b"}, Kinds: []string{"big"}, Zones: []string{"z1", "z2"}}
 	if got := c.Names(); err != nil || !reflect.DeepEqual(got, want) {
