--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -8,7 +8,7 @@
 	"harrierramp/internal/units"
 )
 
-// Config has the settings of a deployment, as in the Born line of the simulator's protocol and in the configuration
+// Conf has the settings of a deployment, as in the Born line of the simulator's protocol and in the configuration
 // file of a node. The platform writes them as JSON, people write them as TOML with longer keys; both are decoded into
 // this type. A value that is zero was not given.
 type Conf struct {
