--- a/internal/lab/cli/cli.go
+++ b/internal/lab/cli/cli.go
@@ -145,7 +145,7 @@
 }
 
 func (t *tracer) Observe(e *model.Event) {
-	if e.Msg == t.msg || e.First == t.msg && t.msg != "" {
+	if e.Msg == t.msg || e.FirstID == t.msg && t.msg != "" {
 		t.found = true
 		fmt.Fprintln(t.w, judge.Describe(e))
 	}
--- a/internal/lab/cli/loopback.go
+++ b/internal/lab/cli/loopback.go
@@ -45,8 +45,8 @@
 			if err := experiment.Day(c.OutOrStdout(), experiment.Line{Job: j, Result: r}); err != nil {
 				return err
 			}
-			if r.Broken > 0 {
-				return fmt.Errorf("%d rules broken", r.Broken)
+			if r.ViolationCount > 0 {
+				return fmt.Errorf("%d rules broken", r.ViolationCount)
 			}
 			return nil
 		},
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -139,11 +139,11 @@
 				return d, fmt.Errorf("trouble %s: no node %d", t.Kind, i)
 			}
 		}
-		one := model.Trouble{Kind: t.Kind, At: seconds(t.At), Len: seconds(t.For), Dests: t.Dests, Nodes: t.Nodes, Zone: -1, Size: t.Size}
+		one := model.Fault{Kind: t.Kind, At: seconds(t.At), Duration: seconds(t.For), Dests: t.Dests, Nodes: t.Nodes, Zone: -1, Size: t.Size}
 		if t.Zone != nil {
 			one.Zone = *t.Zone
 		}
-		d.Troubles = append(d.Troubles, one)
+		d.Faults = append(d.Faults, one)
 	}
 	return d, nil
 }
@@ -281,12 +281,12 @@
 		switch {
 		case l.Failed != "":
 			out = append(out, fmt.Sprintf("%s on %s, %d nodes, seed %d: %s", l.Policy, l.Day, l.Nodes, l.Seed, l.Failed))
-		case l.Result.Broken > 0:
+		case l.Result.ViolationCount > 0:
 			rules := map[string]int{}
 			for _, v := range l.Result.Violations {
 				rules[v.Rule]++
 			}
-			out = append(out, fmt.Sprintf("%s on %s, %d nodes, seed %d: %d rules broken, of those told %v", l.Policy, l.Day, l.Nodes, l.Seed, l.Result.Broken, rules))
+			out = append(out, fmt.Sprintf("%s on %s, %d nodes, seed %d: %d rules broken, of those told %v", l.Policy, l.Day, l.Nodes, l.Seed, l.Result.ViolationCount, rules))
 		}
 	}
 	slices.Sort(out)
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -123,7 +123,7 @@
 			t.Fatal(err)
 		}
 		spoil(&d)
-		if r := played(t, d); r.Broken > 0 {
+		if r := played(t, d); r.ViolationCount > 0 {
 			t.Errorf("%s: %+v", name, r.Violations[0])
 		}
 	}
--- a/internal/lab/experiment/report.go
+++ b/internal/lab/experiment/report.go
@@ -138,11 +138,11 @@
 func Day(w io.Writer, l Line) error {
 	r := l.Result
 	fmt.Fprintf(w, "%s on %s, %d nodes, seed %d\n", l.Policy, l.Day, l.Nodes, l.Seed)
-	fmt.Fprintf(w, "served %.3f, worst 10 s %.3f, worst class %.3f, prices %.4f, score %.3f\n", r.Served, r.Worst, r.WorstClass, r.Prices, r.Score)
+	fmt.Fprintf(w, "served %.3f, worst 10 s %.3f, worst class %.3f, prices %.4f, score %.3f\n", r.Served, r.WorstWindow, r.WorstClass, r.Costs, r.Score)
 	fmt.Fprintf(w, "offered %d, delivered %d, in time %d, refused %d, failed %d, lost %d; runs beyond the first %d\n",
-		r.Offered, r.Delivered, r.InTime, r.Refused, r.Failed, r.Lost, r.Repeated)
+		r.Offered, r.Delivered, r.InTime, r.Refused, r.Failed, r.Lost, r.DuplicateRuns)
 	fmt.Fprintf(w, "calls %d, over a limit %d, across zones %d, handshakes %d, datagrams %d of %d bytes, destinations that fell over %d\n",
-		r.Calls, r.OverLimit, r.Crossed, r.Handshakes, r.Datagrams, r.PeerBytes, r.Fell)
+		r.Calls, r.OverLimit, r.CrossZoneCalls, r.Handshakes, r.Datagrams, r.PeerBytes, r.Collapses)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "from\toffered\tin time\tlate\trefused\tfailed\tcalls\tover limit\tworth\t")
 	for i, x := range r.Windows {
@@ -153,7 +153,7 @@
 	}
 	for _, v := range r.Violations {
 		fmt.Fprintf(w, "rule %s at %v, node %d, message %s: %s\n", v.Rule, v.At, v.Node, v.Msg, v.Text)
-		for _, a := range v.Around {
+		for _, a := range v.Context {
 			fmt.Fprintln(w, "   ", a)
 		}
 	}
@@ -178,7 +178,7 @@
 		if !ok || b.Result == nil || l.Result == nil {
 			continue
 		}
-		rules += l.Result.Broken - b.Result.Broken
+		rules += l.Result.ViolationCount - b.Result.ViolationCount
 		g := group{l.Policy, l.Day, l.Nodes}
 		if by[g] == nil {
 			order = append(order, g)
--- a/internal/lab/experiment/stats.go
+++ b/internal/lab/experiment/stats.go
@@ -66,7 +66,7 @@
 			}
 			r, n := l.Result, float64(max(l.Result.Offered, 1))
 			s.Runs++
-			if r.Broken > 0 {
+			if r.ViolationCount > 0 {
 				s.Broken++
 			}
 			served, score = append(served, r.Served), append(score, r.Score)
--- a/internal/lab/judge/judge.go
+++ b/internal/lab/judge/judge.go
@@ -11,92 +11,92 @@
 )
 
 const (
-	slack      = 50 * time.Millisecond  // every time limit is so much longer
-	noticeLate = 300 * time.Millisecond // a final answer may come so late after its message's time
-	backGrace  = 1500 * time.Millisecond
-	crossed    = 100 * time.Millisecond // a wait lets calls through that were on their way
-	maxKept    = 20                     // violations that are told in full
-	ringSize   = 1 << 13
-	windowSize = 5 * time.Second
-	worstSize  = 10 * time.Second
+	timingSlack     = 50 * time.Millisecond  // every time limit is so much longer
+	maxNoticeDelay  = 300 * time.Millisecond // a final answer may come so late after its message's time
+	restartGrace    = 1500 * time.Millisecond
+	inTransitGrace  = 100 * time.Millisecond // a wait lets calls through that were on their way
+	maxViolations   = 20                     // violations that are told in full
+	ringSize        = 1 << 13
+	windowSize      = 5 * time.Second
+	worstWindowSize = 10 * time.Second
 )
 
 // Violation is a broken rule.
 type Violation struct {
-	Rule   string        `json:"rule"`
-	At     time.Duration `json:"at"`
-	Msg    string        `json:"msg,omitempty"`
-	Node   int           `json:"node"`
-	Text   string        `json:"text"`
-	Around []string      `json:"around,omitempty"`
+	Rule    string        `json:"rule"`
+	At      time.Duration `json:"at"`
+	Msg     string        `json:"msg,omitempty"`
+	Node    int           `json:"node"`
+	Text    string        `json:"text"`
+	Context []string      `json:"around,omitempty"`
 }
 
 // Judge is the ledger of one run. It is an Observer.
 type Judge struct {
-	day   *model.Day
-	msgs  map[string]*entry
-	tries map[string]*try
-	nodes []nodeEntry
-	dests []destEntry
-	place map[string]int // of endpoints, their destination
-	ring  []model.Event
-	seen  int
-	now   time.Duration
-	res   Result
+	day         *model.Day
+	submissions map[string]*submission
+	requests    map[string]*request
+	nodes       []nodeState
+	dests       []destState
+	destOf      map[string]int // of endpoints, their destination
+	ring        []model.Event
+	eventCount  int
+	now         time.Duration
+	result      Result
 }
 
 // entry is a message as it was handed in once.
-type entry struct {
-	first, id   string
-	class, dest int
-	node        int
-	deadline    time.Duration
-	taken, over bool
-	delivered   bool
-	attempts    []attempt
+type submission struct {
+	firstID, id        string
+	class, dest        int
+	node               int
+	deadline           time.Duration
+	accepted, answered bool
+	delivered          bool
+	attempts           []attempt
 }
 
 type attempt struct {
-	sentAt      time.Duration
-	began, done bool
-	notRun      bool
-	zone        int
-	endpoint    string
+	sentAt          time.Duration
+	received, ended bool
+	notRun          bool
+	zone            int
+	endpoint        string
 }
 
 // try is a client's first try and all that came of it.
-type try struct {
-	at        time.Duration
-	class     int
-	tenant    int
-	dest      int
-	inShare   bool
-	earned    float64
-	delivered bool
-	late      bool
-	answered  bool
-	end       choice.Outcome
+type request struct {
+	submittedAt time.Duration
+	class       int
+	tenant      int
+	dest        int
+	inQuota     bool
+	earned      float64
+	delivered   bool
+	late        bool
+	answered    bool
+	outcome     choice.Outcome
 }
 
-type nodeEntry struct {
-	up     bool
-	upAt   time.Duration
-	open   []*entry // handed in there; some are over
-	waits  map[string]until
-	drains map[string]time.Duration
+type nodeState struct {
+	up          bool
+	startedAt   time.Duration
+	submissions []*submission // handed in there; some are over
+	waits       map[string]waitSpan
+	withdrawnAt map[string]time.Duration
 }
 
-type until struct{ from, to time.Duration }
+type waitSpan struct{ from, to time.Duration }
 
-type destEntry struct {
-	apart     bool
-	down      int // endpoints of it that are
-	downAt    time.Duration
-	witnesses map[int]bool
-	sends     []sender // in the last span of the cold budget
+type destState struct {
+	separateRoutes bool
+	endpointsDown  int // endpoints of it that are
+	downAt         time.Duration
+	awareNodes     map[int]bool
+	recentCalls    []callRecord // in the last span of the cold budget
 }
 
-type sender struct {
+type callRecord struct {
 	at   time.Duration
 	node int
 }
@@ -104,35 +104,35 @@
 // New makes the ledger of one run of a day.
 func New(day *model.Day) *Judge {
 	j := &Judge{
-		day: day, msgs: map[string]*entry{}, tries: map[string]*try{}, place: map[string]int{},
-		nodes: make([]nodeEntry, len(day.Nodes)), dests: make([]destEntry, len(day.Dests)), ring: make([]model.Event, 0, 256),
+		day: day, submissions: map[string]*submission{}, requests: map[string]*request{}, destOf: map[string]int{},
+		nodes: make([]nodeState, len(day.Nodes)), dests: make([]destState, len(day.Dests)), ring: make([]model.Event, 0, 256),
 	}
 	for i, d := range day.Dests {
-		j.dests[i] = destEntry{apart: d.Kind < len(day.Settings.Kinds) && day.Settings.Kinds[d.Kind].SeparateRoutes, witnesses: map[int]bool{}}
+		j.dests[i] = destState{separateRoutes: d.Kind < len(day.Settings.Kinds) && day.Settings.Kinds[d.Kind].SeparateRoutes, awareNodes: map[int]bool{}}
 		for _, e := range d.Endpoints {
-			j.place[e.ID] = i
+			j.destOf[e.ID] = i
 		}
 	}
 	return j
 }
 
 // broken notes a violation.
-func (j *Judge) broken(rule string, e *model.Event, format string, args ...any) {
-	j.res.Broken++
-	if len(j.res.Violations) >= maxKept {
+func (j *Judge) addViolation(rule string, e *model.Event, format string, args ...any) {
+	j.result.ViolationCount++
+	if len(j.result.Violations) >= maxViolations {
 		return
 	}
-	v := Violation{Rule: rule, At: e.At - model.Start(), Msg: e.Msg, Node: e.Node, Text: fmt.Sprintf(format, args...)}
+	v := Violation{Rule: rule, At: e.At - model.StartTime(), Msg: e.Msg, Node: e.Node, Text: fmt.Sprintf(format, args...)}
 	for i := range j.ring {
-		o := &j.ring[(j.seen+i)%len(j.ring)]
+		o := &j.ring[(j.eventCount+i)%len(j.ring)]
 		if e.Msg != "" && o.Msg == e.Msg || e.Msg == "" && o.Node == e.Node && e.At-o.At < time.Second {
-			v.Around = append(v.Around, Describe(o))
+			v.Context = append(v.Context, Describe(o))
 		}
 	}
-	if n := len(v.Around); n > 40 {
-		v.Around = v.Around[n-40:]
+	if n := len(v.Context); n > 40 {
+		v.Context = v.Context[n-40:]
 	}
-	j.res.Violations = append(j.res.Violations, v)
+	j.result.Violations = append(j.result.Violations, v)
 }
 
 // Observe takes what happens. (model.Observer)
@@ -141,149 +141,149 @@
 	if len(j.ring) < ringSize {
 		j.ring = append(j.ring, *e)
 	} else {
-		j.ring[j.seen%ringSize] = *e
-	}
-	j.seen++
-	j.res.Events++
-	switch e.What {
-	case model.HandedIn:
-		j.handedIn(e)
-	case model.TakenOn:
-		if m := j.msgs[e.Msg]; m != nil {
-			m.taken = true
+		j.ring[j.eventCount%ringSize] = *e
+	}
+	j.eventCount++
+	j.result.Events++
+	switch e.Kind {
+	case model.Submitted:
+		j.submitted(e)
+	case model.Accepted:
+		if m := j.submissions[e.Msg]; m != nil {
+			m.accepted = true
 		}
 	case model.Answered:
 		j.answered(e)
 	case model.Sent:
 		j.sent(e)
-	case model.Began:
-		j.began(e)
-	case model.Ran:
-		j.ran(e)
-	case model.Ended:
-		j.ended(e)
-	case model.Refused:
-		j.res.OverLimit++
+	case model.RequestReceived:
+		j.requestReceived(e)
+	case model.Executed:
+		j.executed(e)
+	case model.AttemptEnded:
+		j.attemptEnded(e)
+	case model.LimitExceeded:
+		j.result.OverLimit++
 		j.window().OverLimit++
-	case model.ToldList:
+	case model.WithdrawalReceived:
 		n := &j.nodes[e.Node]
-		if n.drains == nil {
-			n.drains = map[string]time.Duration{}
+		if n.withdrawnAt == nil {
+			n.withdrawnAt = map[string]time.Duration{}
 		}
-		if _, told := n.drains[e.Endpoint]; !told {
-			n.drains[e.Endpoint] = e.At
+		if _, told := n.withdrawnAt[e.Endpoint]; !told {
+			n.withdrawnAt[e.Endpoint] = e.At
 		}
 	case model.OutageBegan, model.OutageEnded:
 		d := &j.dests[e.Dest]
-		if e.What == model.OutageEnded {
-			d.down--
+		if e.Kind == model.OutageEnded {
+			d.endpointsDown--
 			break
 		}
-		if d.down++; d.down == 1 {
+		if d.endpointsDown++; d.endpointsDown == 1 {
 			if e.At-d.downAt > j.day.Settings.WarmUpTime {
-				clear(d.witnesses)
+				clear(d.awareNodes)
 			}
 			d.downAt = e.At
 		}
-	case model.Fell:
-		j.fell(e)
-	case model.Died:
+	case model.DestinationCollapsed:
+		j.collapsed(e)
+	case model.NodeStopped:
 		n := &j.nodes[e.Node]
 		n.up, n.waits = false, nil
-		j.died(e)
-	case model.Started:
-		j.nodes[e.Node].up, j.nodes[e.Node].upAt = true, e.At
-	case model.Datagram:
-		j.res.PeerBytes += int64(e.Attempt)
-		j.res.Datagrams++
-	case model.Handshake:
-		j.res.Handshakes++
-	case model.Strange:
-		j.broken("malformed", e, "%s", e.Text)
+		j.nodeStopped(e)
+	case model.NodeStarted:
+		j.nodes[e.Node].up, j.nodes[e.Node].startedAt = true, e.At
+	case model.DatagramDelivered:
+		j.result.PeerBytes += int64(e.Attempt)
+		j.result.Datagrams++
+	case model.ConnectionOpened:
+		j.result.Handshakes++
+	case model.InvalidAction:
+		j.addViolation("malformed", e, "%s", e.Text)
 	}
 }
 
-func (j *Judge) handedIn(e *model.Event) {
-	m := &entry{first: e.First, id: e.Msg, class: e.Class, dest: e.Dest, node: e.Node, deadline: e.Deadline}
-	j.msgs[e.Msg] = m
-	j.nodes[e.Node].open = append(j.nodes[e.Node].open, m)
-	if e.Msg != e.First {
-		j.res.Again++
+func (j *Judge) submitted(e *model.Event) {
+	m := &submission{firstID: e.FirstID, id: e.Msg, class: e.Class, dest: e.Dest, node: e.Node, deadline: e.Deadline}
+	j.submissions[e.Msg] = m
+	j.nodes[e.Node].submissions = append(j.nodes[e.Node].submissions, m)
+	if e.Msg != e.FirstID {
+		j.result.Resubmitted++
 		return
 	}
-	j.tries[e.First] = &try{at: e.At, class: e.Class, tenant: e.Tenant, dest: e.Dest, inShare: e.InShare}
-	j.res.Offered++
+	j.requests[e.FirstID] = &request{submittedAt: e.At, class: e.Class, tenant: e.Tenant, dest: e.Dest, inQuota: e.InQuota}
+	j.result.Offered++
 	j.window().Offered++
 }
 
 func (j *Judge) answered(e *model.Event) {
-	m, t := j.msgs[e.Msg], j.tries[e.First]
+	m, t := j.submissions[e.Msg], j.requests[e.FirstID]
 	if m == nil || t == nil {
-		j.broken("answer", e, "an answer to a message that nobody handed in")
+		j.addViolation("answer", e, "an answer to a message that nobody handed in")
 		return
 	}
-	if m.over {
-		j.broken("answer", e, "a second final answer")
+	if m.answered {
+		j.addViolation("answer", e, "a second final answer")
 		return
 	}
-	m.over = true
-	if late := e.At - m.deadline; m.taken && late > j.day.Settings.AnswerGrace+noticeLate && e.At > j.nodes[e.Node].upAt+backGrace {
-		j.broken("answer", e, "the final answer comes %v late", late)
+	m.answered = true
+	if late := e.At - m.deadline; m.accepted && late > j.day.Settings.AnswerGrace+maxNoticeDelay && e.At > j.nodes[e.Node].startedAt+restartGrace {
+		j.addViolation("answer", e, "the final answer comes %v late", late)
 	}
 	// What a client hears last counts; a delivery outlives a refusal heard elsewhere.
 	t.answered = true
 	if !t.delivered {
-		t.end = e.Outcome
+		t.outcome = e.Outcome
 	}
 	if e.Outcome != choice.Success {
 		return
 	}
 	if !m.delivered {
-		j.broken("answer", e, "told as delivered, and it has not run")
+		j.addViolation("answer", e, "told as delivered, and it has not run")
 	}
 	if !t.delivered {
-		t.delivered, t.end = true, choice.Success
+		t.delivered, t.outcome = true, choice.Success
 		t.earned, t.late = j.worth(t, e.At)
 	}
 }
 
 // worth is what a delivery at a moment earns, and whether it is past the aim.
-func (j *Judge) worth(t *try, at time.Duration) (float64, bool) {
-	return Worth(&j.day.Settings, t.class, j.asked(t), at-t.at)
+func (j *Judge) worth(t *request, at time.Duration) (float64, bool) {
+	return Worth(&j.day.Settings, t.class, j.maxWorth(t), at-t.submittedAt)
 }
 
 // Worth is what a message of a class that asks for so much earns if it is delivered at an age, and whether that is past its
 // aim.
-func Worth(s *choice.Settings, class int, asked float64, age time.Duration) (float64, bool) {
+func Worth(s *choice.Settings, class int, maxWorth float64, age time.Duration) (float64, bool) {
 	c := s.Classes[class]
 	switch {
 	case age <= c.Aim:
-		return asked, false
-	case age > c.Deadline+s.AnswerGrace+slack:
+		return maxWorth, false
+	case age > c.Deadline+s.AnswerGrace+timingSlack:
 		return 0, true
 	case s.WorthHalves:
-		w := asked
+		w := maxWorth
 		for late := age - c.Aim; late > 0; late -= c.Aim {
 			w /= 2
 		}
-		return max(w, asked*c.LateWorth), true
+		return max(w, maxWorth*c.LateWorth), true
 	}
 	part := float64(age-c.Aim) / float64(max(c.Deadline-c.Aim, 1))
-	return asked * (1 - (1-c.LateWorth)*part), true
+	return maxWorth * (1 - (1-c.LateWorth)*part), true
 }
 
-func (j *Judge) asked(t *try) float64 { return Asked(&j.day.Settings, t.class, t.inShare) }
+func (j *Judge) maxWorth(t *request) float64 { return MaxWorth(&j.day.Settings, t.class, t.inQuota) }
 
 // Asked is what a message of a class can earn at most, in its tenant's share or beyond it.
-func Asked(s *choice.Settings, class int, inShare bool) float64 {
-	if inShare {
+func MaxWorth(s *choice.Settings, class int, inQuota bool) float64 {
+	if inQuota {
 		return s.Classes[class].Worth
 	}
 	return s.Classes[class].Worth * s.OverQuotaWorth
 }
 
-func (j *Judge) attempt(e *model.Event) (*entry, *attempt) {
-	m := j.msgs[e.Msg]
+func (j *Judge) attempt(e *model.Event) (*submission, *attempt) {
+	m := j.submissions[e.Msg]
 	if m == nil || e.Attempt < 0 || e.Attempt >= len(m.attempts) {
 		return m, nil
 	}
@@ -291,137 +291,137 @@
 }
 
 func (j *Judge) sent(e *model.Event) {
-	m := j.msgs[e.Msg]
+	m := j.submissions[e.Msg]
 	if m == nil {
 		return
 	}
 	m.attempts = append(m.attempts, attempt{sentAt: e.At, zone: e.Zone, endpoint: e.Endpoint})
 	if e.Dest != m.dest {
-		j.broken("endpoint", e, "sent to %s of destination %d, and it is for %d", e.Endpoint, e.Dest, m.dest)
+		j.addViolation("endpoint", e, "sent to %s of destination %d, and it is for %d", e.Endpoint, e.Dest, m.dest)
 	}
 }
 
-func (j *Judge) began(e *model.Event) {
-	j.res.Calls++
+func (j *Judge) requestReceived(e *model.Event) {
+	j.result.Calls++
 	j.window().Calls++
 	if j.day.Nodes[e.Node].Zone != e.Zone {
-		j.res.Crossed++
+		j.result.CrossZoneCalls++
 	}
 	m, a := j.attempt(e)
 	if a == nil {
 		return
 	}
-	a.began = true
+	a.received = true
 	c := j.day.Settings.Classes[m.class]
 	for i := range m.attempts[:e.Attempt] {
 		o := &m.attempts[i]
-		if o.began && !o.done && !j.day.Settings.MayDuplicate {
-			j.broken("copies", e, "attempt %d is still out", i)
+		if o.received && !o.ended && !j.day.Settings.MayDuplicate {
+			j.addViolation("copies", e, "attempt %d is still out", i)
 		}
-		mayRun := !o.notRun && (o.began || !o.done)
+		mayRun := !o.notRun && (o.received || !o.ended)
 		if !mayRun {
 			continue
 		}
 		switch {
 		case c.Effect == choice.AtMostOnce:
-			j.broken("repeat", e, "attempt %d may have run", i)
-		case c.Effect == choice.Deduplicated && e.At-o.sentAt > c.DedupWindow+slack:
-			j.broken("repeat", e, "attempt %d may have run %v ago", i, e.At-o.sentAt)
+			j.addViolation("repeat", e, "attempt %d may have run", i)
+		case c.Effect == choice.Deduplicated && e.At-o.sentAt > c.DedupWindow+timingSlack:
+			j.addViolation("repeat", e, "attempt %d may have run %v ago", i, e.At-o.sentAt)
 		case c.Effect == choice.Deduplicated && !c.AllEndpointsDeduplicate && o.zone != e.Zone:
-			j.broken("repeat", e, "attempt %d may have run in another zone", i)
+			j.addViolation("repeat", e, "attempt %d may have run in another zone", i)
 		}
 	}
 	n := &j.nodes[e.Node]
-	if told, ok := n.drains[e.Endpoint]; ok && e.Wrote > told+j.day.Settings.DrainTimeout+slack {
-		j.broken("drain", e, "sent %v after the node was told", e.Wrote-told)
+	if told, ok := n.withdrawnAt[e.Endpoint]; ok && e.WrittenAt > told+j.day.Settings.DrainTimeout+timingSlack {
+		j.addViolation("drain", e, "sent %v after the node was told", e.WrittenAt-told)
 	}
-	if w, ok := n.waits[j.waitKey(e)]; ok && e.Wrote < w.to-slack && e.Wrote > w.from+crossed {
-		j.broken("wait", e, "sent %v before the end of a wait", w.to-e.Wrote)
+	if w, ok := n.waits[j.limitKey(e)]; ok && e.WrittenAt < w.to-timingSlack && e.WrittenAt > w.from+inTransitGrace {
+		j.addViolation("wait", e, "sent %v before the end of a wait", w.to-e.WrittenAt)
 	}
 	d := &j.dests[e.Dest]
-	d.sends = append(d.sends, sender{e.At, e.Node})
-	if len(d.sends) > 4096 {
-		j.trim(d, e.At)
+	d.recentCalls = append(d.recentCalls, callRecord{e.At, e.Node})
+	if len(d.recentCalls) > 4096 {
+		j.dropOldCalls(d, e.At)
 	}
 }
 
-func (j *Judge) waitKey(e *model.Event) string {
-	if j.dests[e.Dest].apart {
+func (j *Judge) limitKey(e *model.Event) string {
+	if j.dests[e.Dest].separateRoutes {
 		return e.Endpoint
 	}
 	return fmt.Sprint(e.Dest)
 }
 
-func (j *Judge) trim(d *destEntry, now time.Duration) {
+func (j *Judge) dropOldCalls(d *destState, now time.Duration) {
 	keep := 0
-	for keep < len(d.sends) && now-d.sends[keep].at > j.day.Settings.OverloadDuration {
+	for keep < len(d.recentCalls) && now-d.recentCalls[keep].at > j.day.Settings.OverloadDuration {
 		keep++
 	}
-	d.sends = append(d.sends[:0], d.sends[keep:]...)
+	d.recentCalls = append(d.recentCalls[:0], d.recentCalls[keep:]...)
 }
 
-func (j *Judge) ran(e *model.Event) {
-	m := j.msgs[e.Msg]
+func (j *Judge) executed(e *model.Event) {
+	m := j.submissions[e.Msg]
 	if m == nil {
 		return
 	}
 	if m.delivered {
-		j.res.Repeated++
+		j.result.DuplicateRuns++
 	}
 	m.delivered = true
 }
 
-func (j *Judge) ended(e *model.Event) {
+func (j *Judge) attemptEnded(e *model.Event) {
 	_, a := j.attempt(e)
 	if a != nil {
-		a.done = true
+		a.ended = true
 		a.notRun = e.Outcome == choice.Rejected || e.Outcome == choice.ConnectFailed || e.Outcome == choice.NotSent
-		if a.began && (e.Outcome == choice.ConnectFailed || e.Outcome == choice.NotSent) {
+		if a.received && (e.Outcome == choice.ConnectFailed || e.Outcome == choice.NotSent) {
 			a.notRun = false
 		}
 	}
 	n := &j.nodes[e.Node]
-	if e.Wait > 0 {
+	if e.RetryAfter > 0 {
 		if n.waits == nil {
-			n.waits = map[string]until{}
+			n.waits = map[string]waitSpan{}
 		}
-		k := j.waitKey(e)
-		if w := n.waits[k]; e.At+e.Wait > w.to {
-			n.waits[k] = until{e.At, e.At + e.Wait}
+		k := j.limitKey(e)
+		if w := n.waits[k]; e.At+e.RetryAfter > w.to {
+			n.waits[k] = waitSpan{e.At, e.At + e.RetryAfter}
 		}
 	}
-	if d := &j.dests[e.Dest]; d.down > 0 && e.Outcome != choice.Success && e.Outcome != choice.NotSent && e.Outcome != choice.Cancelled {
-		d.witnesses[e.Node] = true
+	if d := &j.dests[e.Dest]; d.endpointsDown > 0 && e.Outcome != choice.Success && e.Outcome != choice.NotSent && e.Outcome != choice.Cancelled {
+		d.awareNodes[e.Node] = true
 	}
 }
 
 // fell tells who pushed a cold destination over.
-func (j *Judge) fell(e *model.Event) {
+func (j *Judge) collapsed(e *model.Event) {
 	d := &j.dests[e.Dest]
-	j.trim(d, e.At)
-	knew := 0
-	for _, s := range d.sends {
-		if d.witnesses[s.node] {
-			knew++
+	j.dropOldCalls(d, e.At)
+	fromAware := 0
+	for _, s := range d.recentCalls {
+		if d.awareNodes[s.node] {
+			fromAware++
 		}
 	}
-	j.res.Fell++
-	if len(d.sends) > 0 && 3*knew >= 2*len(d.sends) {
-		j.broken("cold", e, "destination %d fell over; %d of its last %d calls came from nodes that knew", e.Dest, knew, len(d.sends))
+	j.result.Collapses++
+	if len(d.recentCalls) > 0 && 3*fromAware >= 2*len(d.recentCalls) {
+		j.addViolation("cold", e, "destination %d fell over; %d of its last %d calls came from nodes that knew", e.Dest, fromAware, len(d.recentCalls))
 	}
 }
 
 // died ends what was out at a node.
-func (j *Judge) died(e *model.Event) {
-	open := j.nodes[e.Node].open[:0]
-	for _, m := range j.nodes[e.Node].open {
-		if m.over {
+func (j *Judge) nodeStopped(e *model.Event) {
+	open := j.nodes[e.Node].submissions[:0]
+	for _, m := range j.nodes[e.Node].submissions {
+		if m.answered {
 			continue
 		}
 		for i := range m.attempts {
-			m.attempts[i].done = true
+			m.attempts[i].ended = true
 		}
 		open = append(open, m)
 	}
-	j.nodes[e.Node].open = open
+	j.nodes[e.Node].submissions = open
 }
--- a/internal/lab/judge/judge_test.go
+++ b/internal/lab/judge/judge_test.go
@@ -12,14 +12,16 @@
 	"harrierramp/internal/lab/model"
 )
 
-func ours(_ *model.World, s choice.Settings, seed uint64) model.Policy { return choice.New(s, seed) }
+func newSender(_ *model.World, s choice.Settings, seed uint64) model.Policy {
+	return choice.New(s, seed)
+}
 
 // hasher keeps a trace of everything that happens.
-type hasher struct{ b bytes.Buffer }
+type traceRecorder struct{ b bytes.Buffer }
 
-func (h *hasher) Observe(e *model.Event) { fmt.Fprintln(&h.b, Describe(e)) }
+func (h *traceRecorder) Observe(e *model.Event) { fmt.Fprintln(&h.b, Describe(e)) }
 
-func play(t *testing.T, day model.Day, maker model.Maker, more ...model.Observer) *Result {
+func runDay(t *testing.T, day model.Day, maker model.PolicyFactory, more ...model.Observer) *Result {
 	t.Helper()
 	j := New(&day)
 	if err := model.New(day, maker, append(model.Observers{j}, more...)).Run(t.Context()); err != nil {
@@ -28,7 +30,7 @@
 	return j.Result()
 }
 
-func draw(t *testing.T, kind string, nodes int, seed uint64) model.Day {
+func drawDay(t *testing.T, kind string, nodes int, seed uint64) model.Day {
 	t.Helper()
 	day, err := model.Draw(kind, nodes, seed)
 	if err != nil {
@@ -38,11 +40,11 @@
 }
 
 // The project's own sender keeps every rule on every kind of day, and the ledger adds up.
-func TestCorrectSendersAreNotCaught(t *testing.T) {
+func TestCorrectSenderKeepsEveryRule(t *testing.T) {
 	for _, kind := range model.Kinds {
 		for seed := range uint64(3) {
-			r := play(t, draw(t, kind, 20, seed), ours)
-			if r.Broken > 0 {
+			r := runDay(t, drawDay(t, kind, 20, seed), newSender)
+			if r.ViolationCount > 0 {
 				t.Errorf("%s, seed %d: %+v", kind, seed, r.Violations[0])
 			}
 			if sum := r.Delivered + r.Refused + r.Failed; sum != r.Offered || r.Offered == 0 {
@@ -53,10 +55,10 @@
 }
 
 // The same day and seed give the same events to the byte.
-func TestRunsAreTheSameAgain(t *testing.T) {
+func TestRunIsDeterministic(t *testing.T) {
 	for kind, nodes := range map[string]int{"split": 20, "roll": 20, "herd": 20, "trouble": 100} { // the last has an endpoint with many calls crash
-		var a, b hasher
-		r, s := play(t, draw(t, kind, nodes, 5), ours, &a), play(t, draw(t, kind, nodes, 5), ours, &b)
+		var a, b traceRecorder
+		r, s := runDay(t, drawDay(t, kind, nodes, 5), newSender, &a), runDay(t, drawDay(t, kind, nodes, 5), newSender, &b)
 		if !bytes.Equal(a.b.Bytes(), b.b.Bytes()) {
 			x, y := strings.Split(a.b.String(), "\n"), strings.Split(b.b.String(), "\n")
 			for i := range min(len(x), len(y)) {
@@ -76,17 +78,17 @@
 }
 
 // breaker is the project's own sender with something wrong on purpose.
-type breaker struct {
+type faultySender struct {
 	model.Policy
-	w      *model.World
-	spoil  func(b *breaker, now time.Duration, events []choice.Event, actions []choice.Action) []choice.Action
-	last   choice.Send
-	sends  map[string]choice.Send
-	listed map[string]choice.Entry
-	ran    map[string]string
+	w            *model.World
+	corrupt      func(b *faultySender, now time.Duration, events []choice.Event, actions []choice.Action) []choice.Action
+	lastSend     choice.Send
+	sends        map[string]choice.Send
+	listed       map[string]choice.Entry
+	mayHaveRunAt map[string]string
 }
 
-func (b *breaker) Step(now time.Duration, events []choice.Event) []choice.Action {
+func (b *faultySender) Step(now time.Duration, events []choice.Event) []choice.Action {
 	for _, e := range events {
 		if l, ok := e.(choice.ListUpdate); ok {
 			for _, x := range l.Entries {
@@ -97,15 +99,15 @@
 	actions := b.Policy.Step(now, events)
 	for _, a := range actions {
 		if s, ok := a.(choice.Send); ok {
-			b.last, b.sends[s.ID] = s, s
+			b.lastSend, b.sends[s.ID] = s, s
 		}
 	}
-	return b.spoil(b, now, events, actions)
+	return b.corrupt(b, now, events, actions)
 }
 
-func spoiled(spoil func(b *breaker, now time.Duration, events []choice.Event, actions []choice.Action) []choice.Action) model.Maker {
+func newFaultySender(spoil func(b *faultySender, now time.Duration, events []choice.Event, actions []choice.Action) []choice.Action) model.PolicyFactory {
 	return func(w *model.World, s choice.Settings, seed uint64) model.Policy {
-		return &breaker{Policy: choice.New(s, seed), w: w, spoil: spoil, sends: map[string]choice.Send{}, listed: map[string]choice.Entry{}, ran: map[string]string{}}
+		return &faultySender{Policy: choice.New(s, seed), w: w, corrupt: spoil, sends: map[string]choice.Send{}, listed: map[string]choice.Entry{}, mayHaveRunAt: map[string]string{}}
 	}
 }
 
@@ -119,31 +121,31 @@
 }
 
 // Senders that break each rule on purpose are caught, by the rule's name.
-func TestEachRuleIsHeld(t *testing.T) {
+func TestEachRuleViolationIsDetected(t *testing.T) {
 	type actions = []choice.Action
 	for rule, c := range map[string]struct {
 		kind  string
-		spoil func(b *breaker, now time.Duration, events []choice.Event, a actions) actions
+		spoil func(b *faultySender, now time.Duration, events []choice.Event, a actions) actions
 	}{
-		"answer": {"trouble", func(_ *breaker, _ time.Duration, _ []choice.Event, a actions) actions {
+		"answer": {"trouble", func(_ *faultySender, _ time.Duration, _ []choice.Event, a actions) actions {
 			return without(a, func(a choice.Action) bool { _, ok := a.(choice.Refuse); return ok })
 		}},
-		"copies": {"calm", func(b *breaker, _ time.Duration, _ []choice.Event, a actions) actions {
-			if b.last.ID != "" {
-				a = append(a, b.last)
-				b.last = choice.Send{}
+		"copies": {"calm", func(b *faultySender, _ time.Duration, _ []choice.Event, a actions) actions {
+			if b.lastSend.ID != "" {
+				a = append(a, b.lastSend)
+				b.lastSend = choice.Send{}
 			}
 			return a
 		}},
-		"repeat": {"trouble", func(b *breaker, _ time.Duration, events []choice.Event, a actions) actions {
+		"repeat": {"trouble", func(b *faultySender, _ time.Duration, events []choice.Event, a actions) actions {
 			for _, e := range events { // one that may have run goes to the other zone
 				if x, ok := e.(choice.AttemptEnded); ok && (x.Outcome == choice.TimedOut || x.Outcome == choice.ServerError || x.Outcome == choice.ConnReset) {
-					b.ran[x.ID] = b.sends[x.ID].Endpoint
+					b.mayHaveRunAt[x.ID] = b.sends[x.ID].Endpoint
 				}
 			}
 			for i := range a {
 				s, ok := a[i].(choice.Send)
-				if first := b.listed[b.ran[s.ID]]; ok && first.Endpoint != "" {
+				if first := b.listed[b.mayHaveRunAt[s.ID]]; ok && first.Endpoint != "" {
 					for id, at := range b.listed {
 						if at.Dest == first.Dest && at.Zone != first.Zone {
 							s.Endpoint = id
@@ -154,7 +156,7 @@
 			}
 			return a
 		}},
-		"endpoint": {"calm", func(b *breaker, _ time.Duration, _ []choice.Event, a actions) actions {
+		"endpoint": {"calm", func(b *faultySender, _ time.Duration, _ []choice.Event, a actions) actions {
 			for i := range a {
 				if s, ok := a[i].(choice.Send); ok {
 					for id, x := range b.listed {
@@ -167,12 +169,12 @@
 			}
 			return a
 		}},
-		"malformed": {"calm", func(_ *breaker, _ time.Duration, _ []choice.Event, a actions) actions {
+		"malformed": {"calm", func(_ *faultySender, _ time.Duration, _ []choice.Event, a actions) actions {
 			return append(a, choice.Fail{ID: "nobody's"})
 		}},
 	} {
-		day := draw(t, c.kind, 10, 2)
-		r := play(t, day, spoiled(c.spoil))
+		day := drawDay(t, c.kind, 10, 2)
+		r := runDay(t, day, newFaultySender(c.spoil))
 		got := map[string]int{}
 		for _, v := range r.Violations {
 			got[v.Rule]++
@@ -185,25 +187,25 @@
 
 // What the model's network code holds back by itself, as a node's does, and what no sender does alone, is told here.
 func TestRulesOfTheNetworkCode(t *testing.T) {
-	day := draw(t, "quiet", 3, 1)
+	day := drawDay(t, "quiet", 3, 1)
 	at := day.Dests[0].Endpoints[0]
-	second := func(s float64) time.Duration { return model.Start() + time.Duration(s*float64(time.Second)) }
+	second := func(s float64) time.Duration { return model.StartTime() + time.Duration(s*float64(time.Second)) }
 	try := func(node int, msg string, attempt int, when float64) []model.Event {
-		e := model.Event{At: second(when), Node: node, Msg: msg, First: msg, Endpoint: at.ID, Zone: at.Zone, Attempt: attempt, Deadline: second(20)}
+		e := model.Event{At: second(when), Node: node, Msg: msg, FirstID: msg, Endpoint: at.ID, Zone: at.Zone, Attempt: attempt, Deadline: second(20)}
 		in, sent, began := e, e, e
-		in.What, sent.What, began.What = model.HandedIn, model.Sent, model.Began
-		began.Wrote = e.At
+		in.Kind, sent.Kind, began.Kind = model.Submitted, model.Sent, model.RequestReceived
+		began.WrittenAt = e.At
 		return []model.Event{in, sent, began}
 	}
 	ended := func(node int, msg string, when float64, o choice.Outcome, wait time.Duration) model.Event {
-		return model.Event{What: model.Ended, At: second(when), Node: node, Msg: msg, Endpoint: at.ID, Outcome: o, Wait: wait}
+		return model.Event{Kind: model.AttemptEnded, At: second(when), Node: node, Msg: msg, Endpoint: at.ID, Outcome: o, RetryAfter: wait}
 	}
-	told := model.Event{What: model.ToldList, At: second(1), Endpoint: at.ID}
-	down := model.Event{What: model.OutageBegan, At: second(0.5), Endpoint: at.ID}
-	up := model.Event{What: model.OutageEnded, At: second(2), Endpoint: at.ID}
-	fell := model.Event{What: model.Fell, At: second(3)}
-	taken := model.Event{What: model.TakenOn, At: second(1), Msg: "a", First: "a"}
-	answered := model.Event{What: model.Answered, At: second(2), Msg: "a", First: "a", Outcome: choice.Rejected}
+	told := model.Event{Kind: model.WithdrawalReceived, At: second(1), Endpoint: at.ID}
+	down := model.Event{Kind: model.OutageBegan, At: second(0.5), Endpoint: at.ID}
+	up := model.Event{Kind: model.OutageEnded, At: second(2), Endpoint: at.ID}
+	fell := model.Event{Kind: model.DestinationCollapsed, At: second(3)}
+	taken := model.Event{Kind: model.Accepted, At: second(1), Msg: "a", FirstID: "a"}
+	answered := model.Event{Kind: model.Answered, At: second(2), Msg: "a", FirstID: "a", Outcome: choice.Rejected}
 	late := answered
 	late.At = second(30)
 	join := func(parts ...[]model.Event) (out []model.Event) {
@@ -228,14 +230,14 @@
 		"answered twice":               {"answer", join(try(0, "a", 0, 1)[:1], []model.Event{taken, answered, answered})},
 		"answered late":                {"answer", join(try(0, "a", 0, 1)[:1], []model.Event{taken, late})},
 		"never answered":               {"answer", join(try(0, "a", 0, 1)[:1], []model.Event{taken})},
-		"told as delivered, never ran": {"answer", join(try(0, "a", 0, 1)[:1], []model.Event{taken, {What: model.Answered, At: second(2), Msg: "a", First: "a"}})},
+		"told as delivered, never ran": {"answer", join(try(0, "a", 0, 1)[:1], []model.Event{taken, {Kind: model.Answered, At: second(2), Msg: "a", FirstID: "a"}})},
 	} {
 		j := New(&day)
 		for i := range c.events {
 			j.Observe(&c.events[i])
 		}
 		r := j.Result()
-		if (c.rule == "") != (r.Broken == 0) || c.rule != "" && (len(r.Violations) == 0 || r.Violations[0].Rule != c.rule) {
+		if (c.rule == "") != (r.ViolationCount == 0) || c.rule != "" && (len(r.Violations) == 0 || r.Violations[0].Rule != c.rule) {
 			t.Errorf("%s: %+v", name, r.Violations)
 		}
 	}
--- a/internal/lab/judge/property_test.go
+++ b/internal/lab/judge/property_test.go
@@ -11,7 +11,7 @@
 
 // Whatever goes wrong together (kills, partitions, deafness, lost datagrams and answers, outages, lowered limits), every
 // message that was taken on has one answer in time, waits and drains are heeded, and nothing is repeated beyond its class.
-func TestRulesHoldWhateverGoesWrong(t *testing.T) {
+func TestRulesHoldUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		day, err := model.Draw("quiet", rapid.IntRange(2, 25).Draw(t, "nodes"), rapid.Uint64Max(1000).Draw(t, "seed"))
 		if err != nil {
@@ -19,22 +19,22 @@
 		}
 		day.Length = 10 * time.Second
 		day.Net.DatagramLoss = rapid.Float64Range(0, 0.5).Draw(t, "datagrams lost")
-		day.Net.DatagramTo = time.Duration(rapid.IntRange(2, 800).Draw(t, "datagrams late, ms")) * time.Millisecond
+		day.Net.DatagramDelayMax = time.Duration(rapid.IntRange(2, 800).Draw(t, "datagrams late, ms")) * time.Millisecond
 		kinds := []string{
-			model.Kill, model.Kill, model.Deaf, model.CutZone, model.Vanish, model.Crash, model.FastFail, model.Shut, model.Lost,
-			model.Lower, model.Slow, model.WrongOK, model.Surge, model.Restart, model.Replace, model.Stale,
+			model.Kill, model.Kill, model.DatagramsBlocked, model.ZonePartition, model.Unresponsive, model.Crash, model.FastErrors, model.RejectAll, model.LostResponses,
+			model.LowerLimit, model.Slow, model.SpuriousRejects, model.Surge, model.RollingRestart, model.ReplaceEndpoints, model.ListDelay,
 		}
 		for range rapid.IntRange(1, 5).Draw(t, "troubles") {
 			kind := rapid.SampledFrom(kinds).Draw(t, "kind")
-			trouble := model.Trouble{
+			trouble := model.Fault{
 				Kind: kind, At: time.Duration(rapid.IntRange(0, 8000).Draw(t, "at")) * time.Millisecond,
-				Len: time.Duration(rapid.IntRange(100, 6000).Draw(t, "for")) * time.Millisecond, Zone: -1,
-				Size: map[string]float64{model.Lower: 0.5, model.Slow: 4, model.Surge: 2, model.Stale: 5}[kind],
+				Duration: time.Duration(rapid.IntRange(100, 6000).Draw(t, "for")) * time.Millisecond, Zone: -1,
+				Size: map[string]float64{model.LowerLimit: 0.5, model.Slow: 4, model.Surge: 2, model.ListDelay: 5}[kind],
 			}
 			if trouble.Size == 0 {
 				trouble.Size = rapid.Float64Range(0.05, 0.9).Draw(t, "size")
 			}
-			if kind == model.CutZone {
+			if kind == model.ZonePartition {
 				trouble.Zone = rapid.IntRange(0, 1).Draw(t, "zone")
 			}
 			for i := range day.Dests {
@@ -47,15 +47,15 @@
 					trouble.Nodes = append(trouble.Nodes, i)
 				}
 			}
-			day.Troubles = append(day.Troubles, trouble)
+			day.Faults = append(day.Faults, trouble)
 		}
 		j := New(&day)
-		if err := model.New(day, ours, j).Run(t.Context()); err != nil {
+		if err := model.New(day, newSender, j).Run(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 		for _, v := range j.Result().Violations {
 			if v.Rule != "cold" { // a budget that holds with a little slack for chance; the days of CI hold it
-				t.Fatalf("%s: %s, message %s at %v: %v", v.Rule, v.Text, v.Msg, v.At, v.Around)
+				t.Fatalf("%s: %s, message %s at %v: %v", v.Rule, v.Text, v.Msg, v.At, v.Context)
 			}
 		}
 	})
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -98,10 +98,10 @@
 	r.world = model.NewRemote(day, remotes, r, ledger)
 	err = r.ready()
 	if err == nil {
-		for _, t := range day.Troubles {
+		for _, t := range day.Faults {
 			r.parts.Go(func() { r.impair(t) })
 		}
-		err = r.world.RunReal(ctx)
+		err = r.world.RunRealTime(ctx)
 	}
 	cancel()
 	r.parts.Wait()
@@ -136,7 +136,7 @@
 		if err := n.configure(faces); err != nil {
 			return err
 		}
-		n.Begin()
+		n.Start()
 	}
 	for _, n := range r.nodes {
 		for end := time.Now().Add(readyWait); !n.serves(); time.Sleep(10 * time.Millisecond) {
@@ -149,7 +149,7 @@
 }
 
 // open opens the socket of an endpoint and its face, and tells all nodes of it.
-func (r *run) open(e model.Listed) error {
+func (r *run) open(e model.ListEntry) error {
 	r.mu.Lock()
 	p := relay.Party{Kind: relay.Partner, N: len(r.order)}
 	r.order = append(r.order, p)
@@ -193,17 +193,17 @@
 }
 
 // impair plays the troubles of the network that the model leaves to the ways.
-func (r *run) impair(t model.Trouble) {
-	if t.Kind != model.CutZone && t.Kind != model.Deaf || !backoff.Sleep(r.ctx, t.At) {
+func (r *run) impair(t model.Fault) {
+	if t.Kind != model.ZonePartition && t.Kind != model.DatagramsBlocked || !backoff.Sleep(r.ctx, t.At) {
 		return
 	}
 	from, to := relay.Set{}, relay.Set{}
 	var rules []*relay.Rule
 	r.mu.Lock()
 	for p, zone := range r.zones {
-		if t.Kind == model.CutZone && zone == t.Zone {
+		if t.Kind == model.ZonePartition && zone == t.Zone {
 			from[p] = true
-		} else if t.Kind == model.CutZone {
+		} else if t.Kind == model.ZonePartition {
 			to[p] = true
 		} else if p.Kind == relay.Node {
 			from[p] = true
@@ -212,17 +212,17 @@
 	}
 	r.mu.Unlock()
 	rules = append(rules, r.net.Impair(from, to, relay.Fault{Vanish: true}))
-	if t.Kind == model.CutZone {
+	if t.Kind == model.ZonePartition {
 		rules = append(rules, r.net.Impair(to, from, relay.Fault{Vanish: true}))
 	}
-	backoff.Sleep(r.ctx, t.Len)
+	backoff.Sleep(r.ctx, t.Duration)
 	for _, rule := range rules {
 		r.net.Lift(rule)
 	}
 }
 
 // Struck takes an endpoint's machine away or its process down, and back. (model.Sockets)
-func (r *run) Struck(endpoint, kind string, down bool) {
+func (r *run) OutageChanged(endpoint, kind string, down bool) {
 	s := r.socket(endpoint)
 	if s == nil {
 		return
@@ -233,7 +233,7 @@
 		if err := r.net.Down(s.party, down); err != nil {
 			fmt.Fprintf(r.Log, "loopback: endpoint %s: %v\n", endpoint, err)
 		}
-	case model.Vanish:
+	case model.Unresponsive:
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		if rule := r.wait[endpoint]; rule != nil {
@@ -251,7 +251,7 @@
 }
 
 // Opened opens the socket of a new endpoint. (model.Sockets)
-func (r *run) Opened(endpoint string) {
+func (r *run) EndpointAdded(endpoint string) {
 	for _, e := range r.world.List() {
 		if e.Endpoint == endpoint && r.socket(endpoint) == nil {
 			if err := r.open(e); err != nil {
--- a/internal/lab/loopback/loopback_test.go
+++ b/internal/lab/loopback/loopback_test.go
@@ -28,15 +28,15 @@
 		t.Fatal(err)
 	}
 	day.Length = 6 * time.Second
-	day.Troubles = []model.Trouble{
-		{Kind: model.Kill, At: 2 * time.Second, Len: 500 * time.Millisecond, Nodes: []int{0, 1}, Zone: -1},
-		{Kind: model.Crash, At: 3 * time.Second, Len: time.Second, Dests: []int{0}, Zone: -1},
+	day.Faults = []model.Fault{
+		{Kind: model.Kill, At: 2 * time.Second, Duration: 500 * time.Millisecond, Nodes: []int{0, 1}, Zone: -1},
+		{Kind: model.Crash, At: 3 * time.Second, Duration: time.Second, Dests: []int{0}, Zone: -1},
 	}
 	r, err := Play(t.Context(), day, Options{Program: os.Args[0], Log: t.Output()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Broken > 0 {
+	if r.ViolationCount > 0 {
 		t.Errorf("%+v", r.Violations[0])
 	}
 	if r.Lost > 0 || r.Delivered < r.Offered/2 || r.Delivered == 0 {
--- a/internal/lab/loopback/node.go
+++ b/internal/lab/loopback/node.go
@@ -73,7 +73,7 @@
 }
 
 // set changes the list as this node sees it, and tells its watchers.
-func (x *node) set(e model.Listed) {
+func (x *node) set(e model.ListEntry) {
 	socket := x.r.socket(e.Endpoint)
 	if socket == nil {
 		return // it could not be opened, which has been told
@@ -158,9 +158,9 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		told := model.Busy
+		told := model.SubmitRejected
 		if n.State == "failed" {
-			told = model.Failed
+			told = model.SubmitFailed
 		}
 		x.r.world.Do(x.r.ctx, func() { x.r.world.Notice(x.n, n.ID, told, time.Duration(n.AfterMS)*time.Millisecond) })
 	}
@@ -229,13 +229,13 @@
 func tenantName(i int) string { return fmt.Sprint("t", i) }
 
 // Begin starts the process, if it does not run. (model.Remote)
-func (x *node) Begin() { x.failed(x.process.Start()) }
+func (x *node) Start() { x.failed(x.process.Start()) }
 
 // Die kills the process. (model.Remote)
-func (x *node) Die() { x.failed(x.process.Kill()) }
+func (x *node) Kill() { x.failed(x.process.Kill()) }
 
 // Leave tells it to end. (model.Remote)
-func (x *node) Leave() { x.failed(x.process.Leave()) }
+func (x *node) Terminate() { x.failed(x.process.Leave()) }
 
 func (x *node) failed(err error) {
 	if err != nil {
@@ -244,31 +244,31 @@
 }
 
 // Listed tells it of a change of the list. (model.Remote)
-func (x *node) Listed(e model.Listed) { x.set(e) }
+func (x *node) UpdateList(e model.ListEntry) { x.set(e) }
 
 // Hand hands a message in. (model.Remote)
-func (x *node) Hand(m model.Handed) {
+func (x *node) Submit(m model.Submission) {
 	x.r.hands.Go(func() {
-		told, wait := model.Nothing, time.Duration(0)
+		told, wait := model.SubmitUnanswered, time.Duration(0)
 		select {
 		case c := <-x.clients:
 			a, after, _ := c.Enqueue(client.Message{
-				ID: m.ID, Class: className(m.Class), Tenant: tenantName(m.Tenant), Key: m.ID, Dest: m.Dest, TTL: m.Left, Body: []byte("body of " + m.ID),
+				ID: m.ID, Class: className(m.Class), Tenant: tenantName(m.Tenant), Key: m.ID, Dest: m.Dest, TTL: m.TimeLeft, Body: []byte("body of " + m.ID),
 			})
 			x.clients <- c
 			wait = after
 			switch a {
 			case client.Accepted:
-				told = model.Taken
+				told = model.SubmitAccepted
 			case client.Busy:
-				told = model.Busy
+				told = model.SubmitRejected
 			case client.Failed:
-				told = model.Failed
+				told = model.SubmitFailed
 			}
 		case <-x.r.ctx.Done():
 			return
 		}
-		x.r.world.Do(x.r.ctx, func() { x.r.world.Answer(x.n, m.ID, told, wait) })
+		x.r.world.Do(x.r.ctx, func() { x.r.world.HandleSubmitResult(x.n, m.ID, told, wait) })
 	})
 }
 
@@ -280,7 +280,7 @@
 }
 
 func (x *node) close() error {
-	x.Die()
+	x.Kill()
 	if raw, err := os.ReadFile(x.process.Log); err == nil { // one that never ran has none
 		x.r.Log.Write(raw)
 	}
--- a/internal/lab/loopback/socket.go
+++ b/internal/lab/loopback/socket.go
@@ -129,7 +129,7 @@
 		id := req.Header.Get("X-Trace-Id")
 		answers := make(chan outcome, 1)
 		s.r.world.Do(s.r.ctx, func() {
-			s.r.world.Call(from.N, s.endpoint, id, func(o choice.Outcome, wait time.Duration) { answers <- outcome{o, wait} })
+			s.r.world.HandleCall(from.N, s.endpoint, id, func(o choice.Outcome, wait time.Duration) { answers <- outcome{o, wait} })
 		})
 		// The node gives a call up by closing its connection.
 		gone := make(chan struct{})
@@ -145,7 +145,7 @@
 			nc.SetReadDeadline(time.Unix(1, 0))
 			<-gone
 		case <-gone:
-			s.r.world.Do(s.r.ctx, func() { s.r.world.Gone(from.N, id) })
+			s.r.world.Do(s.r.ctx, func() { s.r.world.CallAbandoned(from.N, id) })
 			return
 		case <-s.r.ctx.Done():
 			return
@@ -178,4 +178,4 @@
 	return err == nil
 }
 
-var _ model.Sockets = (*run)(nil)
+var _ model.EndpointObserver = (*run)(nil)
--- a/internal/lab/losses/losses.go
+++ b/internal/lab/losses/losses.go
@@ -23,95 +23,95 @@
 // its best two seconds of the day if that is less: what endpoints serve together hangs on which messages come and where
 // from, and can't be told from the day's description. So room is told too rarely for a destination that never had enough to do.
 const (
-	ArrivalFull Cause = iota // refused at arrival, and the destination was used up
-	ArrivalRoom              // refused at arrival though there was room
-	WaitFull                 // waited for a call, and the destination was used up
-	WaitRoom                 // waited for a call though there was room
-	Cut                      // its sender's zone was cut off
-	Hurt                     // refused or waited while an endpoint of its destination was down, or cold after it
-	OverLimit                // its calls were refused over a limit
-	Dead                     // its calls met an endpoint that was down, or nothing
-	Retried                  // its calls failed otherwise, or their answers were lost
-	Slow                     // it was called in time, and the partner was slow
-	Node                     // its node was dead
-	causes
+	RefusedSaturated    Cause = iota // refused at arrival, and the destination was used up
+	RefusedWithCapacity              // refused at arrival though there was room
+	WaitedSaturated                  // waited for a call, and the destination was used up
+	WaitedWithCapacity               // waited for a call though there was room
+	ZonePartitioned                  // its sender's zone was cut off
+	DestinationDegraded              // refused or waited while an endpoint of its destination was down, or cold after it
+	OverLimit                        // its calls were refused over a limit
+	EndpointDown                     // its calls met an endpoint that was down, or nothing
+	Retried                          // its calls failed otherwise, or their answers were lost
+	SlowEndpoint                     // it was called in time, and the partner was slow
+	NodeDown                         // its node was dead
+	causeCount
 )
 
-var names = [causes]string{
+var causeNames = [causeCount]string{
 	"refused at arrival, used up", "refused at arrival, with room", "waited, used up", "waited, with room", "zone cut off",
 	"endpoints down or cold",
 	"over the limit",
 	"sent to the dead", "failed and tried again", "slow partner", "node was dead",
 }
 
-func (c Cause) String() string { return names[c] }
+func (c Cause) String() string { return causeNames[c] }
 
 const (
-	roomShare  = 0.85
-	binSize    = 500 * time.Millisecond
-	atArrival  = 50 * time.Millisecond // a refusal so soon is one at arrival
-	fairWindow = 10 * time.Second
-	fairLeast  = 3 // messages of a sender in a window, to be counted for fairness
+	saturatedShare      = 0.85
+	binSize             = 500 * time.Millisecond
+	arrivalRefusalTime  = 50 * time.Millisecond // a refusal so soon is one at arrival
+	fairnessWindow      = 10 * time.Second
+	minFairnessMessages = 3 // messages of a sender in a window, to be counted for fairness
 )
 
 // The phases of a day: before its first trouble, while one lasts, and after.
 const (
-	before = iota
-	during
-	after
-	phases
+	beforeFaults = iota
+	duringFaults
+	afterFaults
+	phaseCount
 )
 
-var phaseNames = [phases]string{"before", "during", "after"}
+var phaseNames = [phaseCount]string{"before", "during", "after"}
 
 // message is a client's first try and all that came of it.
 type message struct {
 	at, deadline     time.Duration
 	class, dest      int
 	node, tenant     int
-	asked, earned    float64
+	maxWorth, earned float64
 	deliveredAt      time.Duration // 0 for not
 	refusedAtArrival bool
-	unheard          bool
-	handedIn         time.Duration // last
-	firstSent        time.Duration // 0 for never
-	spent            [causes]time.Duration
+	nodeUnavailable  bool
+	submittedAt      time.Duration // last
+	firstSentAt      time.Duration // 0 for never
+	timeByCause      [causeCount]time.Duration
 	sentAt           map[int]time.Duration // attempts that are out, of the last hand-in
-	endpoint         map[int]string
+	endpointOf       map[int]string
 }
 
 type bin struct {
-	passed, refused int
-	hurt            bool // some endpoint was down or cold
+	executed, overLimit int
+	degraded            bool // some endpoint was down or cold
 }
 
 // Ledger gathers a day. It is an Observer.
 type Ledger struct {
-	day      *model.Day
-	messages map[string]*message
-	order    []*message
-	bins     [][]bin   // by destination
-	can      []float64 // calls a second, by the limit
-	down     map[string]bool
-	bests    []float64       // of best, once the day is over
-	downs    []int           // endpoints of each destination
-	cold     []time.Duration // until then
-	place    map[string]int  // of endpoints
-	waits    []time.Duration // of each sender, the longest for a first call
+	day          *model.Day
+	messages     map[string]*message
+	order        []*message
+	bins         [][]bin   // by destination
+	limitRates   []float64 // calls a second, by the limit
+	down         map[string]bool
+	peakRates    []float64       // of best, once the day is over
+	downCounts   []int           // endpoints of each destination
+	coldUntil    []time.Duration // until then
+	destOf       map[string]int  // of endpoints
+	longestWaits []time.Duration // of each sender, the longest for a first call
 }
 
 // New is for a day.
 func New(day *model.Day) *Ledger {
 	l := &Ledger{
-		day: day, messages: map[string]*message{}, bins: make([][]bin, len(day.Dests)), can: make([]float64, len(day.Dests)),
-		down: map[string]bool{}, downs: make([]int, len(day.Dests)), cold: make([]time.Duration, len(day.Dests)), place: map[string]int{}, waits: make([]time.Duration, len(day.Nodes)),
+		day: day, messages: map[string]*message{}, bins: make([][]bin, len(day.Dests)), limitRates: make([]float64, len(day.Dests)),
+		down: map[string]bool{}, downCounts: make([]int, len(day.Dests)), coldUntil: make([]time.Duration, len(day.Dests)), destOf: map[string]int{}, longestWaits: make([]time.Duration, len(day.Nodes)),
 	}
 	for i, d := range day.Dests {
 		for _, e := range d.Endpoints {
-			l.place[e.ID] = i
+			l.destOf[e.ID] = i
 		}
-		if l.can[i] = d.Limit; d.Kind >= 0 && d.Kind < len(day.Settings.Kinds) && day.Settings.Kinds[d.Kind].SeparateRoutes {
-			l.can[i] *= float64(len(d.Endpoints))
+		if l.limitRates[i] = d.Limit; d.Kind >= 0 && d.Kind < len(day.Settings.Kinds) && day.Settings.Kinds[d.Kind].SeparateRoutes {
+			l.limitRates[i] *= float64(len(d.Endpoints))
 		}
 	}
 	return l
@@ -121,82 +121,82 @@
 	i := int(max(at, 0) / binSize)
 	for len(l.bins[dest]) <= i {
 		begins := time.Duration(len(l.bins[dest])) * binSize
-		l.bins[dest] = append(l.bins[dest], bin{hurt: l.downs[dest] > 0 || begins < l.cold[dest]})
+		l.bins[dest] = append(l.bins[dest], bin{degraded: l.downCounts[dest] > 0 || begins < l.coldUntil[dest]})
 	}
 	return &l.bins[dest][i]
 }
 
 // Observe hears of everything.
 func (l *Ledger) Observe(e *model.Event) {
-	switch e.What {
+	switch e.Kind {
 	case model.OutageBegan:
-		if d, known := l.place[e.Endpoint]; known && !l.down[e.Endpoint] {
+		if d, known := l.destOf[e.Endpoint]; known && !l.down[e.Endpoint] {
 			l.down[e.Endpoint] = true
-			l.bin(d, e.At).hurt = true
-			l.downs[d]++
+			l.bin(d, e.At).degraded = true
+			l.downCounts[d]++
 		}
 		return
 	case model.OutageEnded:
-		if d, known := l.place[e.Endpoint]; known && l.down[e.Endpoint] {
+		if d, known := l.destOf[e.Endpoint]; known && l.down[e.Endpoint] {
 			delete(l.down, e.Endpoint)
-			l.bin(d, e.At).hurt = true
-			l.downs[d]--
-			l.cold[d] = e.At + l.day.Settings.WarmUpTime
+			l.bin(d, e.At).degraded = true
+			l.downCounts[d]--
+			l.coldUntil[d] = e.At + l.day.Settings.WarmUpTime
 		}
 		return
-	case model.Refused:
-		l.bin(e.Dest, e.At).refused++
+	case model.LimitExceeded:
+		l.bin(e.Dest, e.At).overLimit++
 		return
-	case model.Ran:
-		l.bin(e.Dest, e.At).passed++
+	case model.Executed:
+		l.bin(e.Dest, e.At).executed++
 		return
-	case model.HandedIn:
-		l.handedIn(e)
+	case model.Submitted:
+		l.submitted(e)
 		return
 	}
-	m := l.messages[e.First]
+	m := l.messages[e.FirstID]
 	if m == nil {
 		return
 	}
 	l.bin(m.dest, e.At) // as it is at this moment
-	switch e.What {
-	case model.Unheard:
-		m.unheard = true
+	switch e.Kind {
+	case model.NodeUnavailable:
+		m.nodeUnavailable = true
 	case model.Sent:
-		if m.firstSent == 0 {
-			m.firstSent = e.At
-			l.waits[e.Node] = max(l.waits[e.Node], e.At-m.at)
+		if m.firstSentAt == 0 {
+			m.firstSentAt = e.At
+			l.longestWaits[e.Node] = max(l.longestWaits[e.Node], e.At-m.at)
 		}
-		m.sentAt[e.Attempt], m.endpoint[e.Attempt] = e.At, e.Endpoint
-	case model.Ended:
-		l.ended(m, e)
+		m.sentAt[e.Attempt], m.endpointOf[e.Attempt] = e.At, e.Endpoint
+	case model.AttemptEnded:
+		l.attemptEnded(m, e)
 	case model.Answered:
 		switch {
 		case e.Outcome == choice.Success && m.deliveredAt == 0:
 			m.deliveredAt = e.At
-			m.earned, _ = judge.Worth(&l.day.Settings, m.class, m.asked, e.At-m.at)
-		case e.Outcome == choice.Rejected && m.firstSent == 0 && e.At-m.handedIn <= atArrival:
+			m.earned, _ = judge.Worth(&l.day.Settings, m.class, m.maxWorth, e.At-m.at)
+		case e.Outcome == choice.Rejected && m.firstSentAt == 0 && e.At-m.submittedAt <= arrivalRefusalTime:
 			m.refusedAtArrival = true
 		}
 	}
 }
 
-func (l *Ledger) handedIn(e *model.Event) {
-	m := l.messages[e.First]
+func (l *Ledger) submitted(e *model.Event) {
+	m := l.messages[e.FirstID]
 	if m == nil {
 		m = &message{
 			at: e.At, deadline: e.Deadline, class: e.Class, dest: e.Dest, node: e.Node, tenant: e.Tenant,
-			asked: judge.Asked(&l.day.Settings, e.Class, e.InShare),
+			maxWorth: judge.MaxWorth(&l.day.Settings, e.Class, e.InQuota),
 		}
-		l.messages[e.First] = m
+		l.messages[e.FirstID] = m
 		l.order = append(l.order, m)
 	}
 	l.bin(m.dest, e.At)
-	m.handedIn, m.unheard, m.sentAt, m.endpoint = e.At, false, map[int]time.Duration{}, map[int]string{}
+	m.submittedAt, m.nodeUnavailable, m.sentAt, m.endpointOf = e.At, false, map[int]time.Duration{}, map[int]string{}
 }
 
 // ended books the time that an attempt took to the cause that its outcome names.
-func (l *Ledger) ended(m *message, e *model.Event) {
+func (l *Ledger) attemptEnded(m *message, e *model.Event) {
 	began, out := m.sentAt[e.Attempt]
 	if !out {
 		return
@@ -204,35 +204,35 @@
 	took, cause := e.At-began, Retried
 	switch {
 	case e.Outcome == choice.Success:
-		cause = Slow
+		cause = SlowEndpoint
 	case e.Outcome == choice.Rejected:
 		cause = OverLimit
-	case e.Outcome == choice.ConnectFailed || l.down[m.endpoint[e.Attempt]]:
-		cause = Dead
+	case e.Outcome == choice.ConnectFailed || l.down[m.endpointOf[e.Attempt]]:
+		cause = EndpointDown
 	}
-	m.spent[cause] += max(took, time.Millisecond)
+	m.timeByCause[cause] += max(took, time.Millisecond)
 	delete(m.sentAt, e.Attempt)
 }
 
-const bestBins = 4
+const peakBins = 4
 
 // best is what a destination passed in a second of its best two.
-func best(bins []bin) float64 {
+func peakRate(bins []bin) float64 {
 	sum, most := 0, 0
 	for i, b := range bins {
-		if sum += b.passed; i >= bestBins {
-			sum -= bins[i-bestBins].passed
+		if sum += b.executed; i >= peakBins {
+			sum -= bins[i-peakBins].executed
 		}
 		most = max(most, sum)
 	}
-	return float64(most) / (bestBins * binSize.Seconds())
+	return float64(most) / (peakBins * binSize.Seconds())
 }
 
 // room tells whether a destination could have taken more in a span, and whether all its endpoints were well.
-func (l *Ledger) room(dest int, from, to time.Duration) (room, well bool) {
+func (l *Ledger) hadCapacity(dest int, from, to time.Duration) (room, well bool) {
 	well = true
-	passed, refused, most, can := 0, 0, 0.0, l.bests[dest]
-	if limit := l.can[dest]; limit > 0 {
+	passed, refused, most, can := 0, 0, 0.0, l.peakRates[dest]
+	if limit := l.limitRates[dest]; limit > 0 {
 		can = min(can, limit)
 	}
 	first, last := int(max(from, 0)/binSize), int(max(to, from, 0)/binSize)
@@ -241,20 +241,20 @@
 		if i < len(l.bins[dest]) {
 			b = l.bins[dest][i]
 		}
-		most += roomShare * can * l.part(dest, time.Duration(i)*binSize) * binSize.Seconds()
-		passed, refused, well = passed+b.passed, refused+b.refused, well && !b.hurt
+		most += saturatedShare * can * l.capacityFactor(dest, time.Duration(i)*binSize) * binSize.Seconds()
+		passed, refused, well = passed+b.executed, refused+b.overLimit, well && !b.degraded
 	}
 	return refused == 0 && float64(passed) < most, well
 }
 
 // part is how much of what it can a destination could at a moment, by the day's troubles.
-func (l *Ledger) part(dest int, at time.Duration) float64 {
+func (l *Ledger) capacityFactor(dest int, at time.Duration) float64 {
 	part := 1.0
-	at -= model.Start()
-	for _, t := range l.day.Troubles {
+	at -= model.StartTime()
+	for _, t := range l.day.Faults {
 		switch {
-		case at < t.At || at >= t.At+t.Len || !slices.Contains(t.Dests, dest):
-		case t.Kind == model.Lower:
+		case at < t.At || at >= t.At+t.Duration || !slices.Contains(t.Dests, dest):
+		case t.Kind == model.LowerLimit:
 			part *= t.Size
 		case t.Kind == model.Slow && t.Size > 1:
 			part /= t.Size
@@ -264,10 +264,10 @@
 }
 
 // cut tells whether a node's zone was cut off at some moment of a span.
-func (l *Ledger) cut(node int, from, to time.Duration) bool {
-	for _, t := range l.day.Troubles {
-		begins := t.At + model.Start()
-		if t.Kind == model.CutZone && t.Zone == l.day.Nodes[node].Zone && from < begins+t.Len && to >= begins {
+func (l *Ledger) partitioned(node int, from, to time.Duration) bool {
+	for _, t := range l.day.Faults {
+		begins := t.At + model.StartTime()
+		if t.Kind == model.ZonePartition && t.Zone == l.day.Nodes[node].Zone && from < begins+t.Duration && to >= begins {
 			return true
 		}
 	}
@@ -277,31 +277,31 @@
 // cause is what took most of a message's time, of what it lost worth by.
 func (l *Ledger) cause(m *message) Cause {
 	full := func(room, full Cause, from, to time.Duration) Cause {
-		switch some, well := l.room(m.dest, from, to); {
-		case l.cut(m.node, from, to):
-			return Cut
+		switch some, well := l.hadCapacity(m.dest, from, to); {
+		case l.partitioned(m.node, from, to):
+			return ZonePartitioned
 		case !well:
-			return Hurt
+			return DestinationDegraded
 		case some:
 			return room
 		}
 		return full
 	}
 	aim := l.day.Settings.Classes[m.class].Aim // by then it would have been worth all
-	if m.firstSent == 0 {
+	if m.firstSentAt == 0 {
 		switch {
-		case m.unheard:
-			return Node
+		case m.nodeUnavailable:
+			return NodeDown
 		case m.refusedAtArrival:
-			return full(ArrivalRoom, ArrivalFull, m.handedIn, m.handedIn+aim)
+			return full(RefusedWithCapacity, RefusedSaturated, m.submittedAt, m.submittedAt+aim)
 		}
-		return full(WaitRoom, WaitFull, m.at, m.deadline)
+		return full(WaitedWithCapacity, WaitedSaturated, m.at, m.deadline)
 	}
-	best, most := full(WaitRoom, WaitFull, m.at, m.firstSent), m.firstSent-m.at
+	best, most := full(WaitedWithCapacity, WaitedSaturated, m.at, m.firstSentAt), m.firstSentAt-m.at
 	if m.refusedAtArrival { // it came again, and the time in between is the refusal's
-		best = full(ArrivalRoom, ArrivalFull, m.at, m.at+aim)
+		best = full(RefusedWithCapacity, RefusedSaturated, m.at, m.at+aim)
 	}
-	for c, spent := range m.spent {
+	for c, spent := range m.timeByCause {
 		if spent > most {
 			best, most = Cause(c), spent
 		}
@@ -310,60 +310,60 @@
 }
 
 func (l *Ledger) phase(at time.Duration) int {
-	at -= model.Start()
+	at -= model.StartTime()
 	begins, ends := time.Duration(math.MaxInt64), time.Duration(0)
-	for _, t := range l.day.Troubles {
-		begins, ends = min(begins, t.At), max(ends, t.At+t.Len)
+	for _, t := range l.day.Faults {
+		begins, ends = min(begins, t.At), max(ends, t.At+t.Duration)
 	}
 	switch {
 	case at < begins:
-		return before
+		return beforeFaults
 	case at < ends:
-		return during
+		return duringFaults
 	}
-	return after
+	return afterFaults
 }
 
 // Report is where the worth of a day went, as shares of all that was asked for, and how fairly senders were served.
 type Report struct {
-	Served float64                       `json:"served"`
-	Lost   map[string]float64            `json:"lost"`     // by cause
-	Phases map[string]map[string]float64 `json:"by_phase"` // and phase
-	Kinds  map[int]map[string]float64    `json:"by_kind"`  // and kind of destination
-	Fair   map[string]float64            `json:"fair"`
+	Served   float64                       `json:"served"`
+	Lost     map[string]float64            `json:"lost"`     // by cause
+	ByPhase  map[string]map[string]float64 `json:"by_phase"` // and phase
+	ByKind   map[int]map[string]float64    `json:"by_kind"`  // and kind of destination
+	Fairness map[string]float64            `json:"fair"`
 }
 
 // Report closes the ledger.
 func (l *Ledger) Report() Report {
-	l.bests = make([]float64, len(l.bins))
+	l.peakRates = make([]float64, len(l.bins))
 	for i, b := range l.bins {
-		l.bests[i] = best(b)
+		l.peakRates[i] = peakRate(b)
 	}
-	r := Report{Lost: map[string]float64{}, Phases: map[string]map[string]float64{}, Kinds: map[int]map[string]float64{}}
+	r := Report{Lost: map[string]float64{}, ByPhase: map[string]map[string]float64{}, ByKind: map[int]map[string]float64{}}
 	total := 0.0
 	for _, m := range l.order {
-		total += m.asked
+		total += m.maxWorth
 		r.Served += m.earned
 	}
 	add := func(to map[string]float64, cause Cause, lost float64) { to[cause.String()] += lost / total }
 	for _, m := range l.order {
-		lost := m.asked - m.earned
+		lost := m.maxWorth - m.earned
 		if lost <= 0 {
 			continue
 		}
 		c, phase, kind := l.cause(m), phaseNames[l.phase(m.at)], l.day.Dests[m.dest].Kind
-		if r.Phases[phase] == nil {
-			r.Phases[phase] = map[string]float64{}
+		if r.ByPhase[phase] == nil {
+			r.ByPhase[phase] = map[string]float64{}
 		}
-		if r.Kinds[kind] == nil {
-			r.Kinds[kind] = map[string]float64{}
+		if r.ByKind[kind] == nil {
+			r.ByKind[kind] = map[string]float64{}
 		}
 		add(r.Lost, c, lost)
-		add(r.Phases[phase], c, lost)
-		add(r.Kinds[kind], c, lost)
+		add(r.ByPhase[phase], c, lost)
+		add(r.ByKind[kind], c, lost)
 	}
 	r.Served /= max(total, 1e-9)
-	r.Fair = l.fairness()
+	r.Fairness = l.fairness()
 	return r
 }
 
@@ -386,18 +386,18 @@
 		if s == nil {
 			s = &sum{}
 		}
-		s.asked, s.earned, s.count = s.asked+m.asked, s.earned+m.earned, s.count+1
+		s.asked, s.earned, s.count = s.asked+m.maxWorth, s.earned+m.earned, s.count+1
 		return s
 	}
 	for _, m := range l.order {
-		k := key{m.at / fairWindow, m.node}
+		k := key{m.at / fairnessWindow, m.node}
 		by[k], tenants[m.tenant] = into(by[k], m), into(tenants[m.tenant], m)
 		zone := l.day.Nodes[m.node].Zone
 		zones[zone] = into(zones[zone], m)
 	}
 	windows := map[time.Duration][]float64{}
 	for k, s := range by {
-		if s.count >= fairLeast && s.asked > 0 {
+		if s.count >= minFairnessMessages && s.asked > 0 {
 			windows[k.window] = append(windows[k.window], s.earned/s.asked)
 		}
 	}
@@ -408,7 +408,7 @@
 			out["worst_10s"] = min(out["worst_10s"], x)
 		}
 	}
-	for _, w := range l.waits {
+	for _, w := range l.longestWaits {
 		out["wait_longest_s"] = max(out["wait_longest_s"], w.Seconds())
 	}
 	for name, of := range map[string]map[int]*sum{"tenant": tenants, "zone": zones} {
--- a/internal/lab/losses/print.go
+++ b/internal/lab/losses/print.go
@@ -11,7 +11,7 @@
 // Print writes a report for people: points are hundredths of the worth that was asked for.
 func (r Report) Print(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	kinds := slices.Sorted(maps.Keys(r.Kinds))
+	kinds := slices.Sorted(maps.Keys(r.ByKind))
 	fmt.Fprint(t, "lost points\tall\t")
 	for _, p := range phaseNames {
 		fmt.Fprintf(t, "%s\t", p)
@@ -20,17 +20,17 @@
 		fmt.Fprintf(t, "kind %d\t", k)
 	}
 	fmt.Fprintln(t)
-	for c := range causes {
+	for c := range causeCount {
 		name := c.String()
 		if r.Lost[name] == 0 {
 			continue
 		}
 		fmt.Fprintf(t, "%s\t%.2f\t", name, 100*r.Lost[name])
 		for _, p := range phaseNames {
-			fmt.Fprintf(t, "%.2f\t", 100*r.Phases[p][name])
+			fmt.Fprintf(t, "%.2f\t", 100*r.ByPhase[p][name])
 		}
 		for _, k := range kinds {
-			fmt.Fprintf(t, "%.2f\t", 100*r.Kinds[k][name])
+			fmt.Fprintf(t, "%.2f\t", 100*r.ByKind[k][name])
 		}
 		fmt.Fprintln(t)
 	}
@@ -38,8 +38,8 @@
 		return err
 	}
 	fmt.Fprintf(w, "served %.4f\n", r.Served)
-	for _, name := range slices.Sorted(maps.Keys(r.Fair)) {
-		fmt.Fprintf(w, "%s %.3f\n", name, r.Fair[name])
+	for _, name := range slices.Sorted(maps.Keys(r.Fairness)) {
+		fmt.Fprintf(w, "%s %.3f\n", name, r.Fairness[name])
 	}
 	return nil
 }
--- a/internal/lab/model/call.go
+++ b/internal/lab/model/call.go
@@ -8,63 +8,63 @@
 
 // call is one attempt on its way.
 type call struct {
-	h       *host
-	life    int // of the node, when it was made
-	number  int // of all calls of the day
-	msg     *held
-	id      string
-	class   int
-	attempt int
-	ep      *endpoint
-	began   time.Duration
-	notPast time.Duration
-	written bool          // its last byte is out,
-	wrote   time.Duration // since then
-	done    bool          // the node has its outcome
-	reused  bool
-	ran     bool
-	remote  *remoteCall // of a real process; nil for one that is played here
+	node        *simNode
+	incarnation int // of the node, when it was made
+	number      int // of all calls of the day
+	msg         *message
+	id          string
+	class       int
+	attempt     int
+	endpoint    *endpoint
+	startedAt   time.Duration
+	abandonAt   time.Duration
+	written     bool          // its last byte is out,
+	writtenAt   time.Duration // since then
+	done        bool          // the node has its outcome
+	reusedConn  bool
+	executed    bool
+	remote      *remoteCall // of a real process; nil for one that is played here
 }
 
-func (c *call) event(what What) Event {
+func (c *call) event(kind EventKind) Event {
 	n := 0
-	if c.h != nil {
-		n = c.h.n
+	if c.node != nil {
+		n = c.node.number
 	} else {
 		n = c.remote.node
 	}
 	return Event{
-		What: what, Node: n, Msg: c.id, First: c.msg.first, Class: c.class, Dest: c.ep.dest.id, Endpoint: c.ep.id, Zone: c.ep.zone, Attempt: c.attempt,
+		Kind: kind, Node: n, Msg: c.id, FirstID: c.msg.firstID, Class: c.class, Dest: c.endpoint.dest.id, Endpoint: c.endpoint.id, Zone: c.endpoint.zone, Attempt: c.attempt,
 	}
 }
 
 // start makes the call: over an idle connection, or a new one.
 func (c *call) start() {
-	w, e, h := c.h.w, c.ep, c.h
-	c.began = w.now
-	w.q.add(max(c.notPast, w.now), c.expire)
-	if c.reused = h.takeIdle(e); c.reused {
+	w, e, h := c.node.w, c.endpoint, c.node
+	c.startedAt = w.now
+	w.events.add(max(c.abandonAt, w.now), c.expire)
+	if c.reusedConn = h.takeIdleConn(e); c.reusedConn {
 		c.write()
 		return
 	}
-	there := w.delay(h.zone, e.zone)
+	oneWay := w.delay(h.zone, e.zone)
 	switch {
-	case w.cut(h.zone, e.zone) || e.is(Vanish):
+	case w.partitioned(h.zone, e.zone) || e.hasOutage(Unresponsive):
 		w.after(w.Day.Settings.DialTimeout, func() { c.end(choice.ConnectFailed, 0) })
 		return
-	case e.is(Crash) || (e.dest.spec.Conns > 0 && e.conns >= e.dest.spec.Conns):
-		w.after(2*there, func() { c.end(choice.ConnectFailed, 0) })
+	case e.hasOutage(Crash) || (e.dest.spec.MaxConns > 0 && e.conns >= e.dest.spec.MaxConns):
+		w.after(2*oneWay, func() { c.end(choice.ConnectFailed, 0) })
 		return
 	}
 	e.conns++
-	w.tell(c.event(Handshake))
-	round := float64(2 * there)
-	w.after(time.Duration(round*w.Day.Net.Handshake), func() {
+	w.emit(c.event(ConnectionOpened))
+	roundTrip := float64(2 * oneWay)
+	w.after(time.Duration(roundTrip*w.Day.Net.HandshakeRoundTrips), func() {
 		switch {
 		case c.done:
 			e.conns--
-		case h.closedTo(e):
-			h.giveIdle(e)
+		case h.sendForbidden(e):
+			h.putIdleConn(e)
 			c.end(choice.NotSent, 0)
 		default:
 			c.write()
@@ -74,27 +74,27 @@
 
 // write sends the request.
 func (c *call) write() {
-	w := c.h.w
-	c.written, c.wrote = true, w.now
-	if w.cut(c.h.zone, c.ep.zone) {
+	w := c.node.w
+	c.written, c.writtenAt = true, w.now
+	if w.partitioned(c.node.zone, c.endpoint.zone) {
 		return // it never arrives, and nobody says so
 	}
-	w.after(w.delay(c.h.zone, c.ep.zone), func() { c.ep.begin(c) })
+	w.after(w.delay(c.node.zone, c.endpoint.zone), func() { c.endpoint.receive(c) })
 }
 
 // answer sends an answer back.
-func (c *call) answer(o choice.Outcome, wait time.Duration) {
+func (c *call) respond(o choice.Outcome, wait time.Duration) {
 	if c.remote != nil {
-		c.remote.answer(c, o, wait)
+		c.remote.respond(c, o, wait)
 		return
 	}
-	w := c.h.w
-	if w.cut(c.h.zone, c.ep.zone) {
+	w := c.node.w
+	if w.partitioned(c.node.zone, c.endpoint.zone) {
 		return
 	}
-	w.after(w.delay(c.ep.zone, c.h.zone), func() {
-		if !c.done && c.life == c.h.life {
-			c.h.giveIdle(c.ep)
+	w.after(w.delay(c.endpoint.zone, c.node.zone), func() {
+		if !c.done && c.incarnation == c.node.incarnation {
+			c.node.putIdleConn(c.endpoint)
 		}
 		c.end(o, wait)
 	})
@@ -103,32 +103,32 @@
 // reset breaks the connection.
 func (c *call) reset() {
 	if c.remote != nil {
-		c.remote.answer(c, choice.ConnReset, 0)
+		c.remote.respond(c, choice.ConnReset, 0)
 		return
 	}
-	w := c.h.w
-	w.after(w.delay(c.ep.zone, c.h.zone), func() {
+	w := c.node.w
+	w.after(w.delay(c.endpoint.zone, c.node.zone), func() {
 		if !c.done {
-			c.ep.conns--
+			c.endpoint.conns--
 		}
 		c.end(choice.ConnReset, 0)
 	})
 }
 
 // expire is the end of the node's patience.
-func (c *call) expire() { c.giveUp(choice.TimedOut) }
+func (c *call) expire() { c.abort(choice.TimedOut) }
 
 // cancel gives the call up.
-func (c *call) cancel() { c.giveUp(choice.Cancelled) }
+func (c *call) cancel() { c.abort(choice.Cancelled) }
 
 // giveUp closes the connection; a call whose last byte was not out has not run.
-func (c *call) giveUp(o choice.Outcome) {
+func (c *call) abort(o choice.Outcome) {
 	switch {
 	case c.done:
 	case !c.written:
 		c.end(choice.ConnectFailed, 0)
 	default:
-		c.ep.conns--
+		c.endpoint.conns--
 		c.end(o, 0)
 	}
 }
@@ -139,29 +139,29 @@
 		return
 	}
 	c.done = true
-	h := c.h
-	if c.life != h.life || !h.up {
+	h := c.node
+	if c.incarnation != h.incarnation || !h.up {
 		return
 	}
-	delete(h.out, key{c.id, c.attempt})
+	delete(h.inProgress, attemptKey{c.id, c.attempt})
 	switch o {
 	case choice.Rejected, choice.ConnectFailed, choice.NotSent:
-		c.msg.sends[c.attempt].notRun, c.msg.sends[c.attempt].failed = true, true
+		c.msg.attempts[c.attempt].notRun, c.msg.attempts[c.attempt].failed = true, true
 	case choice.Success:
 	default:
-		c.msg.sends[c.attempt].failed = true
+		c.msg.attempts[c.attempt].failed = true
 	}
-	e := c.event(Ended)
-	e.Outcome, e.Wait = o, wait
-	h.w.tell(e)
+	e := c.event(AttemptEnded)
+	e.Outcome, e.RetryAfter = o, wait
+	h.w.emit(e)
 	if wait > 0 {
-		until := h.waitOf(c.ep)
+		until := h.retryAtFor(c.endpoint)
 		*until = max(*until, h.w.now+wait)
 	}
-	if o == choice.Success && !c.msg.over {
+	if o == choice.Success && !c.msg.finished {
 		h.finish(c.msg, choice.Success, 0)
 	}
-	h.deliver(choice.AttemptEnded{
-		ID: c.id, Attempt: c.attempt, Endpoint: c.ep.id, Outcome: o, Took: h.w.now - c.began, MessageDone: o == choice.Success, RetryAfter: wait, ReusedConn: c.reused,
+	h.postEvent(choice.AttemptEnded{
+		ID: c.id, Attempt: c.attempt, Endpoint: c.endpoint.id, Outcome: o, Took: h.w.now - c.startedAt, MessageDone: o == choice.Success, RetryAfter: wait, ReusedConn: c.reusedConn,
 	})
 }
--- a/internal/lab/model/queue.go
+++ b/internal/lab/model/queue.go
@@ -21,12 +21,12 @@
 	q.seq++
 	q.heap = append(q.heap, pending{at, q.seq, run})
 	for i := len(q.heap) - 1; i > 0; {
-		up := (i - 1) / 4
-		if !q.heap[i].before(q.heap[up]) {
+		parent := (i - 1) / 4
+		if !q.heap[i].before(q.heap[parent]) {
 			break
 		}
-		q.heap[i], q.heap[up] = q.heap[up], q.heap[i]
-		i = up
+		q.heap[i], q.heap[parent] = q.heap[parent], q.heap[i]
+		i = parent
 	}
 }
 
@@ -37,16 +37,16 @@
 	q.heap[last] = pending{}
 	q.heap = q.heap[:last]
 	for i := 0; ; {
-		least := i
+		smallest := i
 		for c := 4*i + 1; c <= 4*i+4 && c < last; c++ {
-			if q.heap[c].before(q.heap[least]) {
-				least = c
+			if q.heap[c].before(q.heap[smallest]) {
+				smallest = c
 			}
 		}
-		if least == i {
+		if smallest == i {
 			return first
 		}
-		q.heap[i], q.heap[least] = q.heap[least], q.heap[i]
-		i = least
+		q.heap[i], q.heap[smallest] = q.heap[smallest], q.heap[i]
+		i = smallest
 	}
 }
--- a/internal/lab/policy/bound.go
+++ b/internal/lab/policy/oracle.go
@@ -10,7 +10,7 @@
 // newBound is a policy that sees the true state of every endpoint and what all nodes have on the way: it sends only
 // where there is room now, and takes on what it has a place for. No real one can do that; what it reaches is about what
 // can be had.
-func newBound() model.Maker {
+func newOracle() model.PolicyFactory {
 	type shared struct {
 		w   *model.World
 		out map[string]int // calls on the way, by what limits them
@@ -22,21 +22,21 @@
 		}
 		zone := w.Day.Nodes[cfg.Number].Zone
 		all := s
-		t := newTextbook(w, cfg, seed, nil, func(*rand.Rand) admission { return &none{} })
-		t.pick = func(t *textbook, fit []*point) *point {
-			var best *point
+		t := newReferenceSender(w, cfg, seed, nil, func(*rand.Rand) admission { return &admitAll{} })
+		t.pick = func(t *referenceSender, fit []*endpoint) *endpoint {
+			var best *endpoint
 			most := 0
 			for _, p := range fit {
-				room := w.Room(p.id, zone) - all.out[w.Limiter(p.id)]
+				room := w.SpareCapacity(p.id, zone) - all.out[w.LimitKey(p.id)]
 				if room > most || room == most && room > 0 && p.zone == zone {
 					best, most = p, room
 				}
 			}
 			if best != nil {
-				at := w.Limiter(best.id)
+				at := w.LimitKey(best.id)
 				all.out[at]++
 				// It has arrived by then, and counts among what the endpoint has.
-				w.After(w.Reach(zone, best.zone), func() { all.out[at]-- })
+				w.After(w.OneWayDelay(zone, best.zone), func() { all.out[at]-- })
 			}
 			return best
 		}
--- a/internal/lab/policy/policy.go
+++ b/internal/lab/policy/policy.go
@@ -15,7 +15,7 @@
 )
 
 // Named makes a policy by its name. See Names.
-func Named(name string) (model.Maker, error) {
+func Named(name string) (model.PolicyFactory, error) {
 	switch name {
 	case "ours":
 		return func(_ *model.World, s choice.Settings, seed uint64) model.Policy { return choice.New(s, seed) }, nil
@@ -25,7 +25,7 @@
 			return choice.New(s, seed)
 		}, nil
 	case "bound":
-		return newBound(), nil
+		return newOracle(), nil
 	}
 	pick, admit, _ := strings.Cut(name, "+")
 	p, ok := pickers[pick]
@@ -35,12 +35,12 @@
 	if admit == "" {
 		admit = "none"
 	}
-	a, ok := admitters[admit]
+	a, ok := admissions[admit]
 	if !ok {
-		return nil, fmt.Errorf("policy %q: no admission %q: one of %s", name, admit, strings.Join(sorted(admitters), ", "))
+		return nil, fmt.Errorf("policy %q: no admission %q: one of %s", name, admit, strings.Join(sorted(admissions), ", "))
 	}
 	return func(w *model.World, s choice.Settings, seed uint64) model.Policy {
-		return newTextbook(w, s, seed, p(), a)
+		return newReferenceSender(w, s, seed, p(), a)
 	}, nil
 }
 
@@ -50,7 +50,7 @@
 	for _, p := range sorted(pickers) {
 		out = append(out, p)
 	}
-	for _, a := range sorted(admitters) {
+	for _, a := range sorted(admissions) {
 		if a != "none" {
 			out = append(out, "lrt+"+a)
 		}
@@ -67,296 +67,296 @@
 }
 
 const (
-	margin  = 15 * time.Millisecond  // final answers are given so long before the deadline
-	rest    = 100 * time.Millisecond // of a message after a failure, doubled each time
-	tryFor  = 2.0                    // aims that an attempt may take where a repeat is allowed
-	wakeIn  = 20 * time.Millisecond
-	smooth  = 0.2
-	minSeen = 5 * time.Millisecond
+	answerMargin       = 15 * time.Millisecond  // final answers are given so long before the deadline
+	baseBackoff        = 100 * time.Millisecond // of a message after a failure, doubled each time
+	attemptTimeoutAims = 2.0                    // aims that an attempt may take where a repeat is allowed
+	wakeInterval       = 20 * time.Millisecond
+	ewmaWeight         = 0.2
+	minResponse        = 5 * time.Millisecond
 )
 
 // textbook is a sender with a picker and an admission.
-type textbook struct {
-	w     *model.World
-	cfg   choice.Settings
-	rng   *rand.Rand
-	pick  picker
-	admit newAdmission
-	now   time.Duration
-	acts  []choice.Action
-	dests map[int]*target
-	eps   map[string]*point
-	msgs  map[string]*waiting
-	queue []*waiting // in the order of arrival
-	out   map[try]*flight
-	wake  time.Duration
-	leave bool
+type referenceSender struct {
+	world        *model.World
+	cfg          choice.Settings
+	rng          *rand.Rand
+	pick         picker
+	newGate      newAdmission
+	now          time.Duration
+	actions      []choice.Action
+	destinations map[int]*destination
+	endpoints    map[string]*endpoint
+	messages     map[string]*message
+	queue        []*message // in the order of arrival
+	inProgress   map[attemptKey]*attempt
+	wakeAt       time.Duration
+	shuttingDown bool
 }
 
-type try struct {
-	id string
-	n  int
+type attemptKey struct {
+	id      string
+	attempt int
 }
 
 // target is a destination as a textbook sender knows it.
-type target struct {
-	id    int
-	eps   []*point
-	gate  admission
-	wait  time.Duration
-	queue int
-	out   int
+type destination struct {
+	id         int
+	endpoints  []*endpoint
+	gate       admission
+	retryAt    time.Duration
+	queued     int
+	inProgress int
 }
 
 // point is an endpoint as it knows it.
-type point struct {
-	id       string
-	dest     *target
-	zone     int
-	apart    bool
-	ready    bool
-	out      int
-	response float64 // smoothed, in seconds; 0 for none yet
-	wait     time.Duration
-	weight   float64
+type endpoint struct {
+	id            string
+	dest          *destination
+	zone          int
+	separateRoute bool
+	ready         bool
+	inProgress    int
+	meanResponse  float64 // smoothed, in seconds; 0 for none yet
+	retryAt       time.Duration
+	weight        float64
 }
 
-type waiting struct {
+type message struct {
 	choice.MessageArrived
-	class     choice.Class
-	came      time.Duration
-	attempts  int
-	out       bool
-	touched   bool
-	mayRun    time.Duration
-	zone      int
-	notBefore time.Duration
-	over      bool
+	class          choice.Class
+	arrivedAt      time.Duration
+	attempts       int
+	inProgress     bool
+	mayHaveRun     bool
+	firstRunSentAt time.Duration
+	firstRunZone   int
+	notBefore      time.Duration
+	finished       bool
 }
 
-type flight struct {
-	m    *waiting
-	p    *point
-	sent time.Duration
+type attempt struct {
+	message  *message
+	endpoint *endpoint
+	sentAt   time.Duration
 }
 
-func newTextbook(w *model.World, cfg choice.Settings, seed uint64, p picker, a newAdmission) *textbook {
-	return &textbook{
-		w: w, cfg: cfg, rng: rand.New(rand.NewPCG(seed, 7)), pick: p, admit: a, dests: map[int]*target{}, eps: map[string]*point{},
-		msgs: map[string]*waiting{}, out: map[try]*flight{},
+func newReferenceSender(w *model.World, cfg choice.Settings, seed uint64, p picker, a newAdmission) *referenceSender {
+	return &referenceSender{
+		world: w, cfg: cfg, rng: rand.New(rand.NewPCG(seed, 7)), pick: p, newGate: a, destinations: map[int]*destination{}, endpoints: map[string]*endpoint{},
+		messages: map[string]*message{}, inProgress: map[attemptKey]*attempt{},
 	}
 }
 
 // Step decides. (model.Policy)
-func (t *textbook) Step(now time.Duration, events []choice.Event) []choice.Action {
-	t.now, t.acts = now, nil
+func (t *referenceSender) Step(now time.Duration, events []choice.Event) []choice.Action {
+	t.now, t.actions = now, nil
 	for _, e := range events {
 		switch e := e.(type) {
 		case choice.ListUpdate:
-			t.listed(e)
+			t.updateList(e)
 		case choice.MessageArrived:
 			t.arrived(e)
 		case choice.MessageResumed:
-			m := t.hold(e.MessageArrived)
-			m.attempts, m.touched, m.mayRun, m.zone = e.Attempts, e.MayHaveRun && m.class.Effect != choice.Idempotent, e.FirstRunSentAt, e.Zone
+			m := t.enqueue(e.MessageArrived)
+			m.attempts, m.mayHaveRun, m.firstRunSentAt, m.firstRunZone = e.Attempts, e.MayHaveRun && m.class.Effect != choice.Idempotent, e.FirstRunSentAt, e.Zone
 		case choice.AttemptEnded:
-			t.ended(e)
+			t.attemptEnded(e)
 		case choice.WakeDue:
-			t.wake = 0
+			t.wakeAt = 0
 		case choice.ShuttingDown:
-			t.leave = true
+			t.shuttingDown = true
 		}
 	}
 	t.expire()
-	if !t.leave {
-		t.release()
+	if !t.shuttingDown {
+		t.sendQueued()
 	}
-	t.arm()
-	return t.acts
+	t.scheduleWake()
+	return t.actions
 }
 
-func (t *textbook) do(a choice.Action) { t.acts = append(t.acts, a) }
+func (t *referenceSender) emit(a choice.Action) { t.actions = append(t.actions, a) }
 
-func (t *textbook) target(id int) *target {
-	d := t.dests[id]
+func (t *referenceSender) destination(id int) *destination {
+	d := t.destinations[id]
 	if d == nil {
-		d = &target{id: id, gate: t.admit(t.rng)}
-		if b, ok := d.gate.(*tokens); ok {
-			b.fleet = float64(t.cfg.FleetSize)
+		d = &destination{id: id, gate: t.newGate(t.rng)}
+		if b, ok := d.gate.(*tokenBucket); ok {
+			b.fleetSize = float64(t.cfg.FleetSize)
 		}
-		t.dests[id] = d
+		t.destinations[id] = d
 	}
 	return d
 }
 
-func (t *textbook) listed(l choice.ListUpdate) {
+func (t *referenceSender) updateList(l choice.ListUpdate) {
 	if l.Whole {
-		for _, p := range t.eps {
+		for _, p := range t.endpoints {
 			p.ready = false
 		}
 	}
 	for _, e := range l.Entries {
-		p := t.eps[e.Endpoint]
+		p := t.endpoints[e.Endpoint]
 		if p == nil {
-			d := t.target(e.Dest)
-			p = &point{id: e.Endpoint, dest: d, zone: e.Zone, apart: e.Kind >= 0 && e.Kind < len(t.cfg.Kinds) && t.cfg.Kinds[e.Kind].SeparateRoutes}
-			t.eps[e.Endpoint] = p
-			d.eps = append(d.eps, p)
+			d := t.destination(e.Dest)
+			p = &endpoint{id: e.Endpoint, dest: d, zone: e.Zone, separateRoute: e.Kind >= 0 && e.Kind < len(t.cfg.Kinds) && t.cfg.Kinds[e.Kind].SeparateRoutes}
+			t.endpoints[e.Endpoint] = p
+			d.endpoints = append(d.endpoints, p)
 		}
 		p.ready, p.weight = e.Phase == choice.Ready, e.Weight
 	}
 }
 
-func (t *textbook) hold(a choice.MessageArrived) *waiting {
-	m := &waiting{MessageArrived: a, came: t.now}
+func (t *referenceSender) enqueue(a choice.MessageArrived) *message {
+	m := &message{MessageArrived: a, arrivedAt: t.now}
 	if a.Class >= 0 && a.Class < len(t.cfg.Classes) {
 		m.class = t.cfg.Classes[a.Class]
 	}
-	t.msgs[a.ID] = m
+	t.messages[a.ID] = m
 	t.queue = append(t.queue, m)
-	t.target(a.Dest).queue++
+	t.destination(a.Dest).queued++
 	return m
 }
 
-func (t *textbook) arrived(a choice.MessageArrived) {
-	d := t.target(a.Dest)
+func (t *referenceSender) arrived(a choice.MessageArrived) {
+	d := t.destination(a.Dest)
 	if !d.gate.admit(t.now, d) {
-		t.do(choice.Refuse{ID: a.ID, RetryAfter: t.cfg.MaxRetryAfter})
+		t.emit(choice.Refuse{ID: a.ID, RetryAfter: t.cfg.MaxRetryAfter})
 		return
 	}
-	t.hold(a)
+	t.enqueue(a)
 }
 
-func (t *textbook) finish(m *waiting, a choice.Action) {
-	if m.over {
+func (t *referenceSender) finish(m *message, a choice.Action) {
+	if m.finished {
 		return
 	}
-	m.over = true
-	if !m.out {
-		t.target(m.Dest).queue--
+	m.finished = true
+	if !m.inProgress {
+		t.destination(m.Dest).queued--
 	}
-	delete(t.msgs, m.ID)
+	delete(t.messages, m.ID)
 	if a != nil {
-		t.do(a)
+		t.emit(a)
 	}
 }
 
 // giveUp ends a message as its effect allows.
-func (t *textbook) giveUp(m *waiting) {
-	if m.class.Effect == choice.Idempotent || !m.touched && !m.out {
+func (t *referenceSender) giveUp(m *message) {
+	if m.class.Effect == choice.Idempotent || !m.mayHaveRun && !m.inProgress {
 		t.finish(m, choice.Refuse{ID: m.ID, RetryAfter: t.cfg.MaxRetryAfter})
 		return
 	}
 	t.finish(m, choice.Fail{ID: m.ID})
 }
 
-func (t *textbook) expire() {
-	t.queue = slices.DeleteFunc(t.queue, func(m *waiting) bool {
-		if !m.over && (!m.out && t.now >= m.Deadline-margin-t.cfg.Tick || t.now >= m.Deadline) {
+func (t *referenceSender) expire() {
+	t.queue = slices.DeleteFunc(t.queue, func(m *message) bool {
+		if !m.finished && (!m.inProgress && t.now >= m.Deadline-answerMargin-t.cfg.Tick || t.now >= m.Deadline) {
 			t.giveUp(m)
 		}
-		return m.over
+		return m.finished
 	})
 }
 
-func (t *textbook) ended(e choice.AttemptEnded) {
-	f := t.out[try{e.ID, e.Attempt}]
+func (t *referenceSender) attemptEnded(e choice.AttemptEnded) {
+	f := t.inProgress[attemptKey{e.ID, e.Attempt}]
 	if f == nil {
 		return
 	}
-	delete(t.out, try{e.ID, e.Attempt})
-	m, p := f.m, f.p
-	p.out--
-	p.dest.out--
+	delete(t.inProgress, attemptKey{e.ID, e.Attempt})
+	m, p := f.message, f.endpoint
+	p.inProgress--
+	p.dest.inProgress--
 	if e.RetryAfter > 0 {
-		if until := t.now + e.RetryAfter; p.apart {
-			p.wait = max(p.wait, until)
+		if until := t.now + e.RetryAfter; p.separateRoute {
+			p.retryAt = max(p.retryAt, until)
 		} else {
-			p.dest.wait = max(p.dest.wait, until)
+			p.dest.retryAt = max(p.dest.retryAt, until)
 		}
 	}
-	took := (t.now - f.sent).Seconds()
+	took := (t.now - f.sentAt).Seconds()
 	if e.Outcome != choice.NotSent && e.Outcome != choice.Rejected {
 		if e.Outcome != choice.Success {
 			took = max(took, m.class.Aim.Seconds())
 		}
-		if p.response == 0 {
-			p.response = took
+		if p.meanResponse == 0 {
+			p.meanResponse = took
 		}
-		p.response += smooth * (took - p.response)
+		p.meanResponse += ewmaWeight * (took - p.meanResponse)
 	}
-	p.dest.gate.heard(t.now, (t.now - m.came).Seconds(), e.Outcome == choice.Success)
-	if m.over {
+	p.dest.gate.observe(t.now, (t.now - m.arrivedAt).Seconds(), e.Outcome == choice.Success)
+	if m.finished {
 		return
 	}
-	m.out = false
-	p.dest.queue++
-	ran := e.Outcome == choice.ServerError || e.Outcome == choice.TimedOut || e.Outcome == choice.ConnReset || e.Outcome == choice.Cancelled
-	if ran && m.class.Effect != choice.Idempotent && !m.touched {
-		m.touched, m.mayRun, m.zone = true, f.sent, p.zone
+	m.inProgress = false
+	p.dest.queued++
+	mayHaveRun := e.Outcome == choice.ServerError || e.Outcome == choice.TimedOut || e.Outcome == choice.ConnReset || e.Outcome == choice.Cancelled
+	if mayHaveRun && m.class.Effect != choice.Idempotent && !m.mayHaveRun {
+		m.mayHaveRun, m.firstRunSentAt, m.firstRunZone = true, f.sentAt, p.zone
 	}
 	switch {
 	case e.Outcome == choice.Success || e.MessageDone:
 		t.finish(m, nil)
-	case ran && m.class.Effect == choice.AtMostOnce, t.cfg.MaxAttempts > 0 && m.attempts >= t.cfg.MaxAttempts:
+	case mayHaveRun && m.class.Effect == choice.AtMostOnce, t.cfg.MaxAttempts > 0 && m.attempts >= t.cfg.MaxAttempts:
 		t.giveUp(m)
 	default:
-		m.notBefore = t.now + rest<<min(m.attempts, 5)
+		m.notBefore = t.now + baseBackoff<<min(m.attempts, 5)
 	}
 }
 
 // fit tells that an endpoint may be sent a message now.
-func (t *textbook) fit(m *waiting, p *point) bool {
-	if !p.ready || t.now < p.wait || t.now < p.dest.wait {
+func (t *referenceSender) eligible(m *message, p *endpoint) bool {
+	if !p.ready || t.now < p.retryAt || t.now < p.dest.retryAt {
 		return false
 	}
-	if m.touched && m.class.Effect == choice.Deduplicated {
-		late := t.now > m.mayRun+m.class.DedupWindow-t.cfg.DialTimeout-margin-2*t.cfg.Tick
-		return !late && (m.class.AllEndpointsDeduplicate || p.zone == m.zone)
+	if m.mayHaveRun && m.class.Effect == choice.Deduplicated {
+		windowOver := t.now > m.firstRunSentAt+m.class.DedupWindow-t.cfg.DialTimeout-answerMargin-2*t.cfg.Tick
+		return !windowOver && (m.class.AllEndpointsDeduplicate || p.zone == m.firstRunZone)
 	}
 	return true
 }
 
 // release sends the waiting, the oldest first, while there are slots.
-func (t *textbook) release() {
+func (t *referenceSender) sendQueued() {
 	for _, m := range t.queue {
-		if t.cfg.Slots > 0 && len(t.out) >= t.cfg.Slots {
+		if t.cfg.Slots > 0 && len(t.inProgress) >= t.cfg.Slots {
 			return
 		}
-		if m.over || m.out || t.now < m.notBefore || t.now >= m.Deadline-margin-2*t.cfg.Tick {
+		if m.finished || m.inProgress || t.now < m.notBefore || t.now >= m.Deadline-answerMargin-2*t.cfg.Tick {
 			continue
 		}
-		d := t.target(m.Dest)
-		var fit []*point
-		for _, p := range d.eps {
-			if t.fit(m, p) {
-				fit = append(fit, p)
+		d := t.destination(m.Dest)
+		var eligible []*endpoint
+		for _, p := range d.endpoints {
+			if t.eligible(m, p) {
+				eligible = append(eligible, p)
 			}
 		}
-		if len(fit) == 0 || !d.gate.send(t.now, d) {
+		if len(eligible) == 0 || !d.gate.maySend(t.now, d) {
 			continue
 		}
-		p := t.pick(t, fit)
+		p := t.pick(t, eligible)
 		if p == nil {
 			continue
 		}
-		until := m.Deadline - margin/2
+		abandonAt := m.Deadline - answerMargin/2
 		if m.class.Effect != choice.AtMostOnce {
-			until = min(until, t.now+time.Duration(tryFor*float64(m.class.Aim)))
+			abandonAt = min(abandonAt, t.now+time.Duration(attemptTimeoutAims*float64(m.class.Aim)))
 		}
-		t.out[try{m.ID, m.attempts}] = &flight{m, p, t.now}
+		t.inProgress[attemptKey{m.ID, m.attempts}] = &attempt{m, p, t.now}
 		m.attempts++
-		m.out = true
-		d.queue--
-		d.out++
-		p.out++
-		t.do(choice.Send{ID: m.ID, Endpoint: p.id, AbandonAt: until})
+		m.inProgress = true
+		d.queued--
+		d.inProgress++
+		p.inProgress++
+		t.emit(choice.Send{ID: m.ID, Endpoint: p.id, AbandonAt: abandonAt})
 	}
 }
 
-func (t *textbook) arm() {
-	if len(t.msgs) > 0 && (t.wake <= t.now) {
-		t.wake = t.now + wakeIn
-		t.do(choice.Wake{At: t.wake})
+func (t *referenceSender) scheduleWake() {
+	if len(t.messages) > 0 && (t.wakeAt <= t.now) {
+		t.wakeAt = t.now + wakeInterval
+		t.emit(choice.Wake{At: t.wakeAt})
 	}
 }
--- a/internal/lab/stage/judge_test.go
+++ b/internal/lab/stage/judge_test.go
@@ -174,7 +174,7 @@
 		l.started(0)
 		m := &message{id: "m", class: classOnce, until: time.Second}
 		l.hand(m)
-		l.answered(m, model.Taken, true)
+		l.answered(m, model.SubmitAccepted, true)
 		for _, e := range c.does {
 			e.Endpoint, e.PeerAddr = "p0-0", "127.0.0.1:1"
 			l.partner(0, e)
--- a/internal/lab/stage/ledger.go
+++ b/internal/lab/stage/ledger.go
@@ -170,9 +170,9 @@
 
 // observe tells the judge. The lock is held.
 func (l *ledger) observe(e model.Event) {
-	e.At += model.Start()
-	e.Wrote += model.Start()
-	e.Deadline += model.Start()
+	e.At += model.StartTime()
+	e.WrittenAt += model.StartTime()
+	e.Deadline += model.StartTime()
 	l.judge.Observe(&e)
 }
 
@@ -228,7 +228,7 @@
 	if x.starts == 0 {
 		x.started = at
 	}
-	l.observe(model.Event{At: at, What: model.Started, Node: n, Attempt: x.starts})
+	l.observe(model.Event{At: at, Kind: model.NodeStarted, Node: n, Attempt: x.starts})
 	x.starts++
 }
 
@@ -236,7 +236,7 @@
 	at := l.now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.observe(model.Event{At: at, What: model.Died, Node: n})
+	l.observe(model.Event{At: at, Kind: model.NodeStopped, Node: n})
 }
 
 // crash notes a process that has ended by itself.
@@ -273,37 +273,37 @@
 	l.byID[m.tryID] = m
 	m.tell(at, "handed in as %s until %.3f", m.tryID, m.until.Seconds())
 	l.observe(model.Event{
-		At: at, What: model.HandedIn, Node: m.node, Msg: m.tryID, First: m.id, Class: m.class, Dest: m.dest, Deadline: m.until, InShare: true,
+		At: at, Kind: model.Submitted, Node: m.node, Msg: m.tryID, FirstID: m.id, Class: m.class, Dest: m.dest, Deadline: m.until, InQuota: true,
 	})
 }
 
 // answered notes what a node says to a hand-in. end is whether the client leaves it at that.
-func (l *ledger) answered(m *message, told model.Told, end bool) {
+func (l *ledger) answered(m *message, told model.SubmitResult, end bool) {
 	at := l.now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	m.tell(at, "told %d, end %v", told, end)
 	switch told {
-	case model.Taken:
+	case model.SubmitAccepted:
 		if m.taken || m.over {
 			return
 		}
 		m.taken = true
-		l.observe(model.Event{At: at, What: model.TakenOn, Node: m.node, Msg: m.tryID, First: m.id, Class: m.class, Dest: m.dest, Deadline: m.until})
+		l.observe(model.Event{At: at, Kind: model.Accepted, Node: m.node, Msg: m.tryID, FirstID: m.id, Class: m.class, Dest: m.dest, Deadline: m.until})
 		if m.ranNow > 0 {
 			l.over(m, at, choice.Success, "delivered")
 		}
-	case model.Busy:
+	case model.SubmitRejected:
 		l.bin(at).Busy++
 		if end {
 			l.over(m, at, choice.Rejected, "refused")
 		} else { // the try is over, the message goes on
 			l.observe(l.answer(m, at, choice.Rejected))
 		}
-	case model.Failed:
+	case model.SubmitFailed:
 		l.bin(at).Failed++
 		l.over(m, at, choice.ServerError, "failed")
-	case model.Nothing:
+	case model.SubmitUnanswered:
 		if end {
 			m.over, m.end = true, "unheard"
 		}
@@ -311,7 +311,7 @@
 }
 
 func (l *ledger) answer(m *message, at time.Duration, o choice.Outcome) model.Event {
-	return model.Event{At: at, What: model.Answered, Node: m.node, Msg: m.tryID, First: m.id, Class: m.class, Dest: m.dest, Outcome: o, Deadline: m.until}
+	return model.Event{At: at, Kind: model.Answered, Node: m.node, Msg: m.tryID, FirstID: m.id, Class: m.class, Dest: m.dest, Outcome: o, Deadline: m.until}
 }
 
 // over gives a message its end. The lock is held.
@@ -342,7 +342,7 @@
 	}
 	if !m.taken { // the answer to the hand-in got lost
 		m.taken = true
-		l.observe(model.Event{At: at, What: model.TakenOn, Node: m.node, Msg: m.tryID, First: m.id, Class: m.class, Dest: m.dest, Deadline: m.until})
+		l.observe(model.Event{At: at, Kind: model.Accepted, Node: m.node, Msg: m.tryID, FirstID: m.id, Class: m.class, Dest: m.dest, Deadline: m.until})
 	}
 	if state == "failed" {
 		l.over(m, at, choice.ServerError, "failed late")
@@ -451,10 +451,10 @@
 	}
 	c := &call{endpoint: e.id, from: s.PeerAddr, began: at, attempt: len(m.calls)}
 	m.calls = append(m.calls, c)
-	ev := model.Event{At: at, Node: node, Msg: s.MessageID, First: m.id, Class: m.class, Dest: e.dest, Endpoint: e.id, Attempt: c.attempt, Wrote: at}
-	ev.What = model.Sent
+	ev := model.Event{At: at, Node: node, Msg: s.MessageID, FirstID: m.id, Class: m.class, Dest: e.dest, Endpoint: e.id, Attempt: c.attempt, WrittenAt: at}
+	ev.Kind = model.Sent
 	l.observe(ev)
-	ev.What = model.Began
+	ev.Kind = model.RequestReceived
 	l.observe(ev)
 }
 
@@ -469,7 +469,7 @@
 	}
 	m.tell(at, "%s ends %s with %d", e.id, s.MessageID, o)
 	i := slices.IndexFunc(m.calls, func(c *call) bool { return c.from == s.PeerAddr && c.endpoint == e.id && !c.ended })
-	ev := model.Event{At: at, Node: node, Msg: s.MessageID, First: m.id, Class: m.class, Dest: e.dest, Endpoint: e.id, Outcome: o}
+	ev := model.Event{At: at, Node: node, Msg: s.MessageID, FirstID: m.id, Class: m.class, Dest: e.dest, Endpoint: e.id, Outcome: o}
 	if i < 0 && s.MessageID == m.tryID && o == choice.Success {
 		l.breaks("strange", "%s runs %s without a call of it", e.id, s.MessageID)
 	}
@@ -484,16 +484,16 @@
 		if m.ran++; m.ran == 1 {
 			m.firstRan = at
 		}
-		ev.What = model.Ran
+		ev.Kind = model.Executed
 		l.observe(ev)
 	} else {
-		ev.What = model.Refused
+		ev.Kind = model.LimitExceeded
 		l.observe(ev)
 	}
 	if i < 0 {
 		return
 	}
-	ev.What = model.Ended
+	ev.Kind = model.AttemptEnded
 	l.observe(ev)
 	if o == choice.Success && m.taken {
 		l.over(m, at, choice.Success, "delivered")
--- a/internal/lab/stage/play.go
+++ b/internal/lab/stage/play.go
@@ -395,7 +395,7 @@
 	for again := true; again; {
 		left := m.until - st.ledger.now()
 		if left <= 0 || st.ctx.Err() != nil {
-			st.ledger.answered(m, model.Nothing, true)
+			st.ledger.answered(m, model.SubmitUnanswered, true)
 			return
 		}
 		var told client.Answer
@@ -417,18 +417,18 @@
 		wait += time.Duration(rng.Int64N(int64(wait)/4 + 1))
 		switch told {
 		case client.Accepted:
-			st.ledger.answered(m, model.Taken, true)
+			st.ledger.answered(m, model.SubmitAccepted, true)
 			return
 		case client.Failed:
-			st.ledger.answered(m, model.Failed, true)
+			st.ledger.answered(m, model.SubmitFailed, true)
 			return
 		case client.Busy:
 			again = st.ledger.now()+wait < m.until
 			m.next = true
-			st.ledger.answered(m, model.Busy, !again)
+			st.ledger.answered(m, model.SubmitRejected, !again)
 		case client.NoAnswer:
 			again = m.class == classSafe // the other kind may have been taken on
-			st.ledger.answered(m, model.Nothing, !again)
+			st.ledger.answered(m, model.SubmitUnanswered, !again)
 		}
 		if again && !st.sleepTo(st.ledger.now()+wait) {
 			return
--- a/internal/lab/stage/report.go
+++ b/internal/lab/stage/report.go
@@ -181,7 +181,7 @@
 			r.tell(m)
 		}
 	}
-	f["broken"] = float64(l.brokenN + r.Result.Broken)
+	f["broken"] = float64(l.brokenN + r.Result.ViolationCount)
 	return r
 }
 
