--- a/internal/lab/model/call.go
+++ b/internal/lab/model/call.go
@@ -6,11 +6,11 @@
 	"harrierramp/choice"
 )
 
-// call is one attempt on its way.
+// call is one delivery attempt: the HTTP call from a node to an endpoint.
 type call struct {
 	node        *simNode
-	incarnation int // of the node, when it was made
-	number      int // of all calls of the day
+	incarnation int // of the node when the call was made; results for an earlier incarnation are dropped
+	number      int // sequence number over all calls of the run
 	msg         *message
 	id          string
 	class       int
@@ -18,14 +18,15 @@
 	endpoint    *endpoint
 	startedAt   time.Duration
 	abandonAt   time.Duration
-	written     bool          // its last byte is out,
-	writtenAt   time.Duration // since then
-	done        bool          // the node has its outcome
+	written     bool          // the last byte of the request has been written,
+	writtenAt   time.Duration // at this time
+	done        bool          // the node knows the outcome
 	reusedConn  bool
 	executed    bool
-	remote      *remoteCall // of a real process; nil for one that is played here
+	remote      *remoteCall // set if a real process made the call; nil for a simulated node
 }
 
+// event returns an event of the given kind about the call.
 func (c *call) event(kind EventKind) Event {
 	n := 0
 	if c.node != nil {
@@ -38,7 +39,7 @@
 	}
 }
 
-// start makes the call: over an idle connection, or a new one.
+// start makes the call over an idle connection if there is one, otherwise over a new connection.
 func (c *call) start() {
 	w, e, h := c.node.w, c.endpoint, c.node
 	c.startedAt = w.now
@@ -72,17 +73,17 @@
 	})
 }
 
-// write sends the request.
+// write sends the request to the endpoint.
 func (c *call) write() {
 	w := c.node.w
 	c.written, c.writtenAt = true, w.now
 	if w.partitioned(c.node.zone, c.endpoint.zone) {
-		return // it never arrives, and nobody says so
+		return // the request is lost without an error
 	}
 	w.after(w.delay(c.node.zone, c.endpoint.zone), func() { c.endpoint.receive(c) })
 }
 
-// answer sends an answer back.
+// respond sends the endpoint's response, with outcome o and Retry-After wait (0 for none), back to the node.
 func (c *call) respond(o choice.Outcome, wait time.Duration) {
 	if c.remote != nil {
 		c.remote.respond(c, o, wait)
@@ -100,7 +101,7 @@
 	})
 }
 
-// reset breaks the connection.
+// reset breaks the connection; the node sees a connection reset after one network delay.
 func (c *call) reset() {
 	if c.remote != nil {
 		c.remote.respond(c, choice.ConnReset, 0)
@@ -115,13 +116,14 @@
 	})
 }
 
-// expire is the end of the node's patience.
+// expire ends the call as timed out when abandonAt has passed.
 func (c *call) expire() { c.abort(choice.TimedOut) }
 
-// cancel gives the call up.
+// cancel ends the call at the policy's request.
 func (c *call) cancel() { c.abort(choice.Cancelled) }
 
-// giveUp closes the connection; a call whose last byte was not out has not run.
+// abort closes the connection. A call whose last byte was not written cannot have been executed, so that its outcome is
+// ConnectFailed rather than o.
 func (c *call) abort(o choice.Outcome) {
 	switch {
 	case c.done:
@@ -133,7 +135,8 @@
 	}
 }
 
-// end tells the node how the call ended, once, if that life of it still lasts.
+// end reports the outcome of the call to the node, at most once, and only if the incarnation that made the call still
+// runs.
 func (c *call) end(o choice.Outcome, wait time.Duration) {
 	if c.done {
 		return
--- a/internal/lab/model/clients.go
+++ b/internal/lab/model/clients.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// clumpSpan is how long it takes until a clump is handed in.
+// burstSpan is the time over which the messages of a burst are submitted.
 const burstSpan = 300 * time.Millisecond
 
-// front is the clients: it draws messages, hands them in, and comes again after refusals.
+// clients simulates all clients: they draw messages, submit them to nodes, and may retry after refusals.
 type clients struct {
 	w            *World
-	nodeRates    []float64 // cumulative rates
-	destShares   []float64 // cumulative shares
+	nodeRates    []float64 // cumulative, messages per second
+	destShares   []float64 // cumulative
 	quotas       []tenantQuota
 	tenantShares []float64
-	meanLimit    float64 // of a destination, by the traffic that it gets
+	meanLimit    float64 // mean limit of a destination in calls per second, weighted by traffic
 }
 
-// tenantUse is a tenant's allowance as it truly is, over all nodes.
+// tenantQuota is the exact token bucket of a tenant's quota over all nodes.
 type tenantQuota struct {
 	rate, tokens float64
 	updatedAt    time.Duration
@@ -51,7 +51,7 @@
 	return f
 }
 
-// pick is the place of a drawn number in cumulative weights.
+// searchCumulative returns the index that x, drawn from [0, 1), selects among cumulative weights.
 func searchCumulative(cumulative []float64, x float64) int {
 	low, high := 0, len(cumulative)-1
 	for x *= cumulative[high]; low < high; {
@@ -64,7 +64,7 @@
 	return low
 }
 
-// next asks for the next arrival.
+// scheduleNext schedules the next arrival, a single message or a burst, until the period of arrivals ends.
 func (f *clients) scheduleNext() {
 	if len(f.nodeRates) == 0 || len(f.destShares) == 0 {
 		return
@@ -75,7 +75,8 @@
 		return
 	}
 	d := w.Day.Clients
-	// Of n messages one begins a clump of k, so that the clumps hold their share.
+	// The probability that an arrival starts a burst is BurstShare/burst, so that bursts hold about BurstShare of all
+	// messages; the rate of arrivals is lowered accordingly.
 	burst := 1.0
 	if d.BurstShare > 0 {
 		burst = max(1, d.BurstSeconds*f.meanLimit)
@@ -101,7 +102,7 @@
 				tenant = searchCumulative(f.tenantShares, r.Float64())
 			}
 			at := node
-			if i > 0 { // what makes a clump is the destination, not the client
+			if i > 0 { // a burst has one destination, but its messages come through different nodes
 				at = searchCumulative(f.nodeRates, r.Float64())
 			}
 			w.after(burstSpan*time.Duration(i)/time.Duration(count), func() { f.submitFirst(at, dest, class, tenant) })
@@ -110,7 +111,7 @@
 	})
 }
 
-// first is a client's first try.
+// submitFirst submits a new message for the first time.
 func (f *clients) submitFirst(node, dest, class, tenant int) {
 	w := f.w
 	w.messageCount++
@@ -119,6 +120,7 @@
 	f.submit(m, node, f.withinQuota(tenant))
 }
 
+// withinQuota takes a token from the quota of tenant i and reports whether there was one.
 func (f *clients) withinQuota(i int) bool {
 	if i >= len(f.quotas) || f.quotas[i].rate <= 0 {
 		return true
@@ -133,6 +135,7 @@
 	return true
 }
 
+// submit hands a message to a node. If the node is down, the message is resubmitted later.
 func (f *clients) submit(m *message, node int, inQuota bool) {
 	w := f.w
 	w.emit(Event{
@@ -145,7 +148,7 @@
 	f.resubmitLater(m)
 }
 
-// again hands a message in elsewhere whose node is dead.
+// resubmitLater resubmits a message whose node stopped to a randomly chosen node, after a delay.
 func (f *clients) resubmitLater(m *message) {
 	w := f.w
 	d := w.Day.Clients
@@ -156,7 +159,7 @@
 	})
 }
 
-// refused may bring the message back, once.
+// handleRefusal may retry a refused message at the same node, once.
 func (f *clients) handleRefusal(m *message, node int, wait time.Duration) {
 	w, d := f.w, f.w.Day.Clients
 	if m.id != m.firstID || w.rng.clients.Float64() >= d.RetryChance {
@@ -173,6 +176,7 @@
 	})
 }
 
+// retry submits a message again under a new id. A retry counts as within the quota.
 func (f *clients) retry(m *message, node int) {
 	w := f.w
 	w.messageCount++
--- a/internal/lab/model/day.go
+++ b/internal/lab/model/day.go
@@ -1,7 +1,8 @@
-// Package model is a system like the one that nodes serve, in virtual time: clients, nodes, the network between them,
-// the list, and partners with limits that nobody is told. It is written from the published pages alone. Whoever
-// decides for a node is a Policy, most often a choice.Sender; the model judges nothing, it tells an Observer of all
-// that happens. A run is single-threaded and deterministic: a Day and its seed give the same events every time.
+// Package model simulates a fleet of delivery nodes and its surroundings in virtual time: clients, nodes, the network
+// between them, the list of endpoints, and destinations with rate limits that the nodes are not told. It is written
+// from the published documentation alone, independently of the node's own code. A Policy, usually a choice.Sender,
+// decides for each node. The model does not judge the run; it reports every event to an Observer. A simulated run is
+// single-threaded and deterministic: the same Day, with its seed, always gives the same events.
 package model
 
 import (
@@ -13,14 +14,14 @@
 	"harrierramp/choice"
 )
 
-// Day is one day, drawn: everything that a run depends on but the policy.
+// Day describes one simulated run: everything that the run depends on except the policy.
 type Day struct {
 	Name        string
 	Seed        uint64
-	Length      time.Duration // of arrivals; a run goes on until all is answered
+	Length      time.Duration // period during which messages arrive; the run continues until all have been answered
 	Nodes       []NodeSpec
 	Dests       []DestSpec
-	Settings    choice.Settings // as each node gets them, but for its number
+	Settings    choice.Settings // settings of each node, apart from its number
 	Tenants     []TenantSpec
 	Classes     []ClassSpec
 	Zones       int
@@ -28,122 +29,124 @@
 	Clients     ClientSpec
 	List        ListSpec
 	Faults      []Fault
-	KeepJournal bool // what a dead node held is found at its next start
-	KeepMemory  bool // and what it had learnt
+	KeepJournal bool // a restarted node resumes the unfinished messages of its journal
+	KeepMemory  bool // a restarted node gets back its remembered estimates (choice.Memory)
 }
 
-// NodeSpec is one node.
+// NodeSpec describes a node.
 type NodeSpec struct {
 	Zone int
-	Rate float64 // messages a second
+	Rate float64 // messages per second that clients submit to it
 }
 
-// DestSpec is a destination.
+// DestSpec describes a destination.
 type DestSpec struct {
 	Kind             int
 	Share            float64       // of the traffic
-	Limit            float64       // calls a second from all nodes, 0 for none; of each route where routes are apart
-	Window           time.Duration // the limit is a count in spans of this length; 0 for a plain rate
-	CountRejected    bool          // refused calls use up the limit too
-	RetryAfterShare  float64       // share of refusals that tell a wait
-	RetryAfterMin    time.Duration // a plain rate's waits
+	Limit            float64       // calls per second over all nodes, per endpoint if the kind has separate routes; 0 for none
+	Window           time.Duration // length of the fixed windows in which calls are counted; 0 for a token bucket
+	CountRejected    bool          // with a Window: rejected calls count against the limit too
+	RetryAfterShare  float64       // share of rejections that carry a Retry-After
+	RetryAfterMin    time.Duration // range of Retry-After values of a token bucket
 	RetryAfterMax    time.Duration
-	Capacity         float64 // calls a second that its endpoints serve together
-	QueueSeconds     float64 // seconds of capacity that may queue
-	ServiceFactor    float64 // a factor on the classes' work
+	Capacity         float64 // calls per second that all its endpoints serve together
+	QueueSeconds     float64 // queue length, in seconds of capacity
+	ServiceFactor    float64 // factor on the service times of the classes
 	ServiceVariation float64 // coefficient of variation of service times
-	MaxConns         int     // connections that an endpoint takes, 0 for any number
-	ErrorShare       float64 // share of calls that fail by themselves
+	MaxConns         int     // connections that an endpoint accepts; 0 for no limit
+	ErrorShare       float64 // share of calls that fail with a server error
 	Endpoints        []EndpointSpec
-	Weight           float64 // what the list tells
+	Weight           float64 // weight that the list states
 }
 
-// EndpointSpec is one endpoint.
+// EndpointSpec describes an endpoint.
 type EndpointSpec struct {
 	ID   string
 	Zone int
 }
 
-// ClassSpec is a class of messages as clients and partners see it.
+// ClassSpec describes a message class: its share of the traffic and the time that endpoints need to serve it.
 type ClassSpec struct {
 	Share       float64
-	ServiceTime time.Duration // at a partner of usual pace
-	Variation   float64
+	ServiceTime time.Duration // mean, at a destination with ServiceFactor 1
+	Variation   float64       // coefficient of variation
 }
 
-// TenantSpec is a tenant.
+// TenantSpec describes a tenant by its share of the traffic.
 type TenantSpec struct{ Share float64 }
 
-// NetSpec is the network. Delays are one way.
+// NetSpec describes the network. Delays are one-way.
 type NetSpec struct {
 	SameZoneDelay, CrossZoneDelay      time.Duration
-	Jitter                             float64 // share of the delay
-	HandshakeRoundTrips                float64 // in round trips
+	Jitter                             float64 // largest deviation, as a share of the delay
+	HandshakeRoundTrips                float64 // duration of a connection's handshake, in round trips
 	DatagramDelayMin, DatagramDelayMax time.Duration
 	DatagramLoss                       float64
 }
 
-// ClientSpec is how clients behave.
+// ClientSpec describes how clients behave.
 type ClientSpec struct {
-	RetryChance                        float64 // chance to come again after a refusal, once
-	HonourRetryAfter                   float64 // chance to heed the wait that was told
+	RetryChance                        float64 // probability of one retry after a refusal
+	HonourRetryAfter                   float64 // probability that the retry honours the Retry-After
 	Backoff                            time.Duration
-	BurstShare                         float64       // share of messages that come in clumps
-	BurstSeconds                       float64       // size of a clump in seconds of the destination's limit
-	ResubmitDelayMin, ResubmitDelayMax time.Duration // until a message of a dead node is handed in elsewhere
+	BurstShare                         float64       // share of messages that arrive in bursts
+	BurstSeconds                       float64       // size of a burst, in seconds of the destination's limit
+	ResubmitDelayMin, ResubmitDelayMax time.Duration // until a message is resubmitted to another node after its node stopped
 }
 
-// ListSpec is how the list comes.
+// ListSpec describes how long changes of the list take to reach the nodes: a delay between DelayMin and DelayMax that
+// all nodes share, plus up to Spread for each node. New endpoints arrive sooner, after one to two times Spread.
 type ListSpec struct {
 	DelayMin, DelayMax, Spread time.Duration
 }
 
-// Trouble is something that goes wrong for a while.
+// Fault is a temporary disturbance.
 type Fault struct {
 	Kind     string
 	At       time.Duration
 	Duration time.Duration
-	Dests    []int   // struck destinations
-	Zone     int     // struck zone, -1 for none
-	Nodes    []int   // struck nodes
-	Size     float64 // what the kind calls for: a share, a factor, seconds
+	Dests    []int   // affected destinations
+	Zone     int     // affected zone, -1 for none
+	Nodes    []int   // affected nodes
+	Size     float64 // strength, as its kind defines it: a share, a factor, or a time
 }
 
-// The kinds of trouble.
+// The kinds of faults. Size and Duration are the fields of Fault.
 const (
-	Crash            = "crash"        // connections are refused; cold afterwards
-	Unresponsive     = "vanish"       // silence; cold afterwards
-	FastErrors       = "fast_errors"  // a share Size of calls fails at once
-	RejectAll        = "shut"         // all calls are refused
-	Pauses           = "pauses"       // stands still for Size ms every second
-	Slow             = "slow"         // service takes Size times as long
-	SpuriousRejects  = "quick_wrong"  // a share Size is refused as if over a limit, at once
-	LowerLimit       = "limit"        // limits fall to the part Size
-	ListDelay        = "list_late"    // the list comes Size seconds later
-	ZonePartition    = "cut_zone"     // nothing passes between the zone and the others
-	DatagramsBlocked = "deaf"         // nodes hear no datagrams
-	LostResponses    = "answers_lost" // a share Size of answers is lost with the connection
-	Kill             = "kill"         // nodes die and start again after Len
-	RollingRestart   = "restart"      // nodes are restarted in turn over Len, every second one by a kill
-	ReplaceEndpoints = "replace"      // endpoints of the destinations are drained and replaced in turn
-	Flap             = "flap"         // up and down every Size seconds
-	Surge            = "surge"        // traffic is Size times as much
+	Crash            = "crash"        // endpoints refuse connections; they are cold afterwards
+	Unresponsive     = "vanish"       // endpoints do not respond; they are cold afterwards
+	FastErrors       = "fast_errors"  // a share Size of calls fails at once with a server error
+	RejectAll        = "shut"         // endpoints reject all calls
+	Pauses           = "pauses"       // endpoints pause for Size ms at the start of every second
+	Slow             = "slow"         // service times are multiplied by Size
+	SpuriousRejects  = "quick_wrong"  // a share Size of calls is rejected at once, as if over a limit
+	LowerLimit       = "limit"        // rate limits are multiplied by Size
+	ListDelay        = "list_late"    // changes of the list are delayed by Size seconds
+	ZonePartition    = "cut_zone"     // no traffic passes between Zone and the other zones
+	DatagramsBlocked = "deaf"         // nodes receive no datagrams
+	LostResponses    = "answers_lost" // a share Size of responses is lost by a connection reset
+	Kill             = "kill"         // nodes are killed and start again after Duration
+	RollingRestart   = "restart"      // all nodes restart in turn over Duration, every second one by a kill, the others by SIGTERM
+	ReplaceEndpoints = "replace"      // endpoints are drained and replaced in turn over Duration
+	Flap             = "flap"         // endpoints alternate between Size seconds down and Size seconds up
+	Surge            = "surge"        // the traffic is multiplied by Size
 )
 
-// Kinds are the days that Draw knows.
+// Kinds lists the kinds of days that Draw accepts.
 var Kinds = []string{"calm", "trouble", "overload", "herd", "zone", "split", "join", "roll", "quiet"}
 
-// Draw draws a day of a kind for so many nodes, within the ranges of the deployment in BRIEF and its site file.
+// Draw draws a random day of a kind for a fleet of the given size. The ranges are those of the deployment described in
+// BRIEF and its site file. The same kind, size and seed give the same day.
 func Draw(kind string, nodes int, seed uint64) (Day, error) {
 	if nodes < 1 || nodes > 100_000 {
-		return Day{}, fmt.Errorf("%d nodes: from 1 to 100000", nodes)
+		return Day{}, fmt.Errorf("fleet of %d nodes: must be from 1 to 100000", nodes)
 	}
 	r := rand.New(rand.NewPCG(seed, 0xda1))
 	u := func(from, to float64) float64 { return from + (to-from)*r.Float64() }
 	ms := func(from, to float64) time.Duration { return time.Duration(u(from, to) * float64(time.Millisecond)) }
 	load := map[string][2]float64{"quiet": {0.4, 0.59}, "trouble": {0.71, 0.89}, "overload": {1, 1.3}}[kind]
 	if load[1] == 0 {
-		load = [2]float64{0.95, 1.15} // as the days at size show it
+		load = [2]float64{0.95, 1.15} // as the days at full fleet size show it
 	}
 	d := Day{
 		Name: kind, Seed: seed, Length: 24 * time.Second, Zones: 2, KeepJournal: true, KeepMemory: true,
@@ -160,7 +163,7 @@
 	}
 	d.Classes[1].Share = 1 - d.Classes[0].Share
 	perNode := u(3, 6)
-	fullRate := perNode * float64(nodes) // messages a second at load 1
+	fullRate := perNode * float64(nodes) // messages per second at load 1
 	for range nodes {
 		d.Nodes = append(d.Nodes, NodeSpec{Zone: r.IntN(d.Zones), Rate: math.Exp(0.8 * r.NormFloat64())})
 	}
@@ -193,8 +196,8 @@
 	return d, d.drawFaults(kind, r)
 }
 
-// drawDests draws the destinations: a few get much of the traffic, and the large ones are mostly of the kind whose
-// endpoints are routes apart.
+// drawDests draws the destinations. Their shares of the traffic follow a Zipf distribution, so that a few receive much
+// of it, and the large ones are mostly of kind 0, whose endpoints are separate routes.
 func drawDests(r *rand.Rand, fullRate float64) (out []DestSpec) {
 	u := func(from, to float64) float64 { return from + (to-from)*r.Float64() }
 	count, zipf := 12+r.IntN(4), u(0.74, 0.96)
@@ -223,7 +226,7 @@
 			s.Window, s.CountRejected = time.Second, true
 			s.ServiceVariation, s.QueueSeconds = u(0.45, 0.9), u(0.35, 0.83)
 		}
-		s.ServiceFactor *= math.Exp(s.ServiceVariation * 0.5 * r.NormFloat64()) // destinations differ in pace
+		s.ServiceFactor *= math.Exp(s.ServiceVariation * 0.5 * r.NormFloat64()) // destinations differ in speed
 		s.Weight = s.Limit
 		all := s.Limit
 		if s.Kind == 0 {
@@ -238,11 +241,11 @@
 	return out
 }
 
-// trouble adds what goes wrong on a day of the kind.
+// drawFaults adds the faults of a day of the given kind.
 func (d *Day) drawFaults(kind string, r *rand.Rand) error {
 	u := func(from, to float64) float64 { return from + (to-from)*r.Float64() }
 	sec := func(from, to float64) time.Duration { return time.Duration(u(from, to) * float64(time.Second)) }
-	// some are destinations that get about a part of the traffic together.
+	// destsWithShare draws destinations that together receive about the given share of the traffic, and no more.
 	destsWithShare := func(part float64) (out []int) {
 		for _, i := range r.Perm(len(d.Dests)) {
 			if share := d.Dests[i].Share; share <= part {
@@ -254,7 +257,7 @@
 	}
 	nodes := func(share float64) []int { return r.Perm(len(d.Nodes))[:int(math.Ceil(share*float64(len(d.Nodes))))] }
 	add := func(t Fault) { d.Faults = append(d.Faults, t) }
-	addCommonFault := func() { // one more trouble of the deployment's own
+	addCommonFault := func() { // adds one of the faults that are usual in the deployment
 		switch r.IntN(4) {
 		case 0:
 			add(Fault{Kind: Crash, At: sec(5, 10), Duration: sec(4, 8), Dests: destsWithShare(u(0.13, 0.23)), Zone: -1})
@@ -301,7 +304,7 @@
 		add(Fault{Kind: ReplaceEndpoints, At: 5 * time.Second, Duration: 10 * time.Second, Dests: destsWithShare(0.4), Zone: -1})
 		addCommonFault()
 	default:
-		return fmt.Errorf("no day of kind %q: one of %v", kind, Kinds)
+		return fmt.Errorf("unknown kind of day %q: must be one of %v", kind, Kinds)
 	}
 	return nil
 }
--- a/internal/lab/model/destination.go
+++ b/internal/lab/model/destination.go
@@ -8,22 +8,22 @@
 	"harrierramp/choice"
 )
 
-// fallen is how long a destination stays down that fell over.
+// collapseDuration is how long a destination stays down after it collapsed under load while cold.
 const collapseDuration = 8 * time.Second
 
-// dest is a destination as it really is.
+// destination is the true state of a destination, which nodes cannot see.
 type destination struct {
 	w           *World
 	spec        DestSpec
 	id          int
 	endpoints   []*endpoint
-	sharedLimit *limiter // shared by its endpoints; nil where they are routes apart
-	coldLoad    float64  // of the cold budget: calls sent beyond what it could do
-	coldLoadAt  time.Duration
-	coldSince   time.Duration // when it came back; 0 when it is warm
+	sharedLimit *limiter      // shared by its endpoints; nil if they are separate routes
+	coldLoad    float64       // calls received beyond what it can take while cold
+	coldLoadAt  time.Duration // time of the last update of coldLoad
+	coldSince   time.Duration // end of the last outage of an endpoint; 0 once all are warm
 }
 
-// limiter is a limit: a plain rate or a count in spans.
+// limiter enforces a rate limit, by a token bucket or by a count in fixed windows (see DestSpec.Window).
 type limiter struct {
 	tokens      float64
 	updatedAt   time.Duration
@@ -31,7 +31,7 @@
 	windowCount float64
 }
 
-// endpoint is one endpoint.
+// endpoint is the true state of an endpoint: a queue and a number of parallel servers.
 type endpoint struct {
 	dest      *destination
 	id        string
@@ -42,10 +42,10 @@
 	busy      int
 	queue     []*call
 	conns     int
-	outages   []string // kinds of outage that hold
+	outages   []string // kinds of the outages in progress
 	reopens   time.Duration
 	coldSince time.Duration
-	accepted  map[*call]bool // that it has and have not been answered; walked in the order of their numbers
+	accepted  map[*call]bool // calls in service or queued; to be visited in the order of their numbers, for reproducible runs
 }
 
 func newDestination(w *World, i int) *destination {
@@ -59,6 +59,7 @@
 	return d
 }
 
+// addEndpoint adds an endpoint with as many servers as its share of the destination's capacity needs.
 func (d *destination) addEndpoint(s EndpointSpec) *endpoint {
 	e := &endpoint{dest: d, id: s.ID, zone: s.Zone, limit: d.sharedLimit, accepted: map[*call]bool{}}
 	if e.limit == nil {
@@ -70,7 +71,7 @@
 	return e
 }
 
-// work is the mean time of a call in seconds.
+// meanServiceSeconds returns the mean service time of a call, in seconds.
 func (d *destination) meanServiceSeconds() float64 {
 	mean := 0.0
 	for _, c := range d.w.Day.Classes {
@@ -79,10 +80,11 @@
 	return mean * d.spec.ServiceFactor
 }
 
-// rate is the limit in calls a second at this moment.
+// rate returns the current limit in calls per second.
 func (d *destination) rate() float64 { return d.spec.Limit * d.w.faultSize(LowerLimit, d.id, 1) }
 
-// take asks the limit for a call. wait is until there is room again.
+// take counts a call against the limit and reports whether it is allowed. If it is not, wait is the Retry-After: a
+// random time for a token bucket, the rest of the window for a count.
 func (l *limiter) take(d *destination, now time.Duration) (wait time.Duration, ok bool) {
 	rate := d.rate()
 	if d.spec.Limit <= 0 {
@@ -112,7 +114,8 @@
 	return time.Duration(l.window+1)*d.spec.Window - now, false
 }
 
-// warmth is the share of its capacity that an endpoint has now.
+// warmth returns the share of its capacity that an endpoint has now. It rises linearly after an outage, from
+// ColdCapacity to 1 over WarmUpTime.
 func (e *endpoint) warmth() float64 {
 	s := e.dest.w.Day.Settings
 	if e.coldSince == 0 || s.WarmUpTime <= 0 {
@@ -126,7 +129,7 @@
 	return s.ColdCapacity + (1-s.ColdCapacity)*passed
 }
 
-// strike begins an outage.
+// beginOutage begins an outage. A crash resets all calls that the endpoint has accepted.
 func (e *endpoint) beginOutage(kind string) {
 	w := e.dest.w
 	if len(e.outages) == 0 {
@@ -148,7 +151,7 @@
 	}
 }
 
-// recover ends it. An endpoint that answered nobody comes back cold.
+// endOutage ends an outage. When no other outage is in progress, the endpoint is back, with cold capacity.
 func (e *endpoint) endOutage(kind string) {
 	if i := slices.Index(e.outages, kind); i >= 0 {
 		e.outages = slices.Delete(e.outages, i, i+1)
@@ -168,7 +171,7 @@
 
 func (e *endpoint) hasOutage(kind string) bool { return slices.Contains(e.outages, kind) }
 
-// begin takes a call whose last byte has come.
+// receive handles a call whose last byte has arrived: it is answered at once, queued or served.
 func (e *endpoint) receive(c *call) {
 	w, d := e.dest.w, e.dest
 	began := c.event(RequestReceived)
@@ -179,7 +182,7 @@
 		c.reset()
 		return
 	case e.hasOutage(Unresponsive):
-		return // nothing ever
+		return // no response, ever
 	}
 	e.chargeColdBudget()
 	if e.hasOutage(RejectAll) {
@@ -211,6 +214,7 @@
 	e.serve(c)
 }
 
+// reject rejects a call. limited says that a rate limit was the reason.
 func (e *endpoint) reject(c *call, wait time.Duration, limited bool) {
 	w := e.dest.w
 	if limited {
@@ -222,7 +226,8 @@
 	c.respond(choice.Rejected, wait)
 }
 
-// charge books a call against the cold budget, and lets the destination fall over when that is gone.
+// chargeColdBudget counts a call against the load that a cold destination can take: OverloadMultiple times its present
+// capacity, for OverloadDuration. Beyond it the destination collapses: all its endpoints crash for collapseDuration.
 func (e *endpoint) chargeColdBudget() {
 	d, s := e.dest, e.dest.w.Day.Settings
 	if d.coldSince == 0 || s.OverloadDuration <= 0 || s.OverloadMultiple <= 0 {
@@ -238,7 +243,7 @@
 		d.coldSince = 0
 		return
 	}
-	capacity := d.spec.Limit // with headroom 1 a destination is at its limit there
+	capacity := d.spec.Limit // a destination at its rate limit is taken to be at its capacity
 	if d.sharedLimit == nil {
 		capacity *= float64(len(d.endpoints))
 	}
@@ -254,7 +259,7 @@
 	}
 }
 
-// serve begins the work of a call.
+// serve draws the service time of a call and schedules its completion. Service times are log-normal.
 func (e *endpoint) serve(c *call) {
 	w, d := e.dest.w, e.dest
 	e.busy++
@@ -263,7 +268,7 @@
 	took := spec.ServiceTime.Seconds() * d.spec.ServiceFactor * math.Exp(sigma*w.rng.destinations.NormFloat64()-sigma*sigma/2)
 	took *= w.faultSize(Slow, d.id, 1) / e.warmth()
 	if pause := w.faultSize(Pauses, d.id, 0) / 1000; pause > 0 {
-		// It stands still at the beginning of each second.
+		// The endpoint pauses at the beginning of each second.
 		intoSecond := math.Mod(w.now.Seconds(), 1)
 		if intoSecond < pause {
 			took += pause - intoSecond
@@ -273,9 +278,10 @@
 	w.after(time.Duration(took*float64(time.Second)), func() { e.completeCall(c) })
 }
 
+// completeCall ends the service of a call, responds, and serves the next calls of the queue.
 func (e *endpoint) completeCall(c *call) {
 	if !e.accepted[c] {
-		return // lost in a crash
+		return // already reset by a crash
 	}
 	delete(e.accepted, c)
 	e.busy--
--- a/internal/lab/model/event.go
+++ b/internal/lab/model/event.go
@@ -6,37 +6,37 @@
 	"harrierramp/choice"
 )
 
-// What tells what an Event is of.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
-// What happens. Which fields of an Event count is said beside each.
+// The kinds of events, with the fields of Event that are set besides those that identify the message or the call.
 const (
-	Submitted            EventKind = iota // a client hands a message in: Node, Msg, First, Class, Tenant, Dest, Deadline, InShare
-	Accepted                              // the node owes it an end from now on
-	Answered                              // its final answer: Outcome Pass delivered, NoRoom refused or returned (Wait), Fault failed
-	NodeUnavailable                       // the node was dead when it was handed in; the client goes elsewhere
-	Sent                                  // an attempt is made: Endpoint, Attempt
-	RequestReceived                       // its last byte is at the endpoint
-	Executed                              // it has run there
-	AttemptEnded                          // its outcome at the node: Outcome, Wait
-	LimitExceeded                         // an endpoint has refused a call over its limit
-	WithdrawalReceived                    // a node has heard that an endpoint drains or is gone: Endpoint
-	OutageBegan                           // of an endpoint
-	OutageEnded                           // it is back, and cold
-	DestinationCollapsed                  // a cold destination was sent too much, and is down again
-	NodeStopped                           // a node
-	NodeStarted                           // a node: Attempt is its life, from 0
-	DatagramDelivered                     // one was delivered: Attempt is its size
-	ConnectionOpened                      // a new connection to an endpoint
-	InvalidAction                         // a policy did what no node may: Text
+	Submitted            EventKind = iota // a client submits a message: Node, Msg, FirstID, Class, Tenant, Dest, Deadline, InQuota
+	Accepted                              // the node has accepted the message and owes a final answer
+	Answered                              // the final answer: Outcome is Success (delivered), Rejected (refused, with RetryAfter) or ServerError (failed)
+	NodeUnavailable                       // the node was down when the message was submitted; the client goes to another
+	Sent                                  // the node starts an attempt: Endpoint, Attempt
+	RequestReceived                       // the last byte of the call has reached the endpoint: WrittenAt
+	Executed                              // the endpoint has executed the call
+	AttemptEnded                          // the node knows the outcome of the attempt: Outcome, RetryAfter
+	LimitExceeded                         // an endpoint has rejected a call over its rate limit
+	WithdrawalReceived                    // the list has told a node that an endpoint drains or is removed: Endpoint
+	OutageBegan                           // an outage of an endpoint began
+	OutageEnded                           // the endpoint is back, with cold capacity
+	DestinationCollapsed                  // a cold destination received too many calls and is down again
+	NodeStopped                           // the process of a node ended
+	NodeStarted                           // the process of a node started: Attempt is its incarnation, from 0
+	DatagramDelivered                     // a node received a datagram: Attempt is its size in bytes
+	ConnectionOpened                      // a node opens a new connection to an endpoint
+	InvalidAction                         // a policy took an action that is not allowed: Text
 )
 
-// Event is one thing that happens.
+// Event is something that happens in a run.
 type Event struct {
 	At           time.Duration
 	Kind         EventKind
 	Node         int
-	Msg, FirstID string // the message, and the first try that it belongs to
+	Msg, FirstID string // the submission, and the client's first submission of the same message
 	Class        int
 	Tenant       int
 	Dest         int
@@ -51,23 +51,24 @@
 	Text         string
 }
 
-// Observer hears of all events in their order. It must not keep the pointer.
+// Observer receives all events in order. It must not keep the pointer.
 type Observer interface{ Observe(e *Event) }
 
-// Observers are several.
+// Observers is an Observer that passes events on to several others.
 type Observers []Observer
 
-// Observe tells each.
+// Observe passes the event to each observer.
 func (o Observers) Observe(e *Event) {
 	for _, one := range o {
 		one.Observe(e)
 	}
 }
 
-// Policy decides for one node, as a choice.Sender does.
+// Policy makes the decisions of one node, as a choice.Sender does.
 type Policy interface {
 	Step(now time.Duration, events []choice.Event) []choice.Action
 }
 
-// Maker makes the policy of a node's new life. The world is there for policies that know what no node can know.
+// PolicyFactory creates the policy of a node's new incarnation. It gets the World for idealized policies that use
+// knowledge which a real node cannot have.
 type PolicyFactory func(w *World, settings choice.Settings, seed uint64) Policy
--- a/internal/lab/model/queue.go
+++ b/internal/lab/model/queue.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// queue is the events to come, by time and, at equal times, in the order in which they were asked for: so a run is the
-// same whenever it is played again.
+// queue is a 4-ary heap of the scheduled events, ordered by time and, at equal times, by the order in which they were
+// added. The second order makes runs reproducible.
 type queue struct {
 	heap []pending
 	seq  uint64
 }
 
+// pending is a scheduled event.
 type pending struct {
 	at  time.Duration
 	seq uint64
@@ -30,7 +31,7 @@
 	}
 }
 
-// next takes the first event out; there must be one.
+// next removes and returns the first event. The queue must not be empty.
 func (q *queue) next() pending {
 	first, last := q.heap[0], len(q.heap)-1
 	q.heap[0] = q.heap[last]
--- a/internal/lab/model/remote.go
+++ b/internal/lab/model/remote.go
@@ -7,17 +7,17 @@
 	"harrierramp/choice"
 )
 
-// Remote is a node that is a real process, as the driver of real sockets sees it. Its methods are called by the world's
-// goroutine and must not wait.
+// Remote controls a node that runs as a real process, in a run on real sockets. Its methods are called on the world's
+// goroutine and must not block.
 type Remote interface {
-	Start()                 // start the process
-	Kill()                  // kill it
-	Terminate()             // SIGTERM
-	Submit(m Submission)    // hand a message in; the answer comes by World.Told
-	UpdateList(m ListEntry) // tell of a change of the list
+	Start()                 // starts the process
+	Kill()                  // kills the process
+	Terminate()             // sends SIGTERM
+	Submit(m Submission)    // submits a message; the result comes by World.HandleSubmitResult
+	UpdateList(m ListEntry) // publishes a change of the list to the node
 }
 
-// Handed is a message on its way to a real node.
+// Submission is a message that is submitted to a real node.
 type Submission struct {
 	ID          string
 	Class, Dest int
@@ -25,7 +25,7 @@
 	TimeLeft    time.Duration // until its deadline
 }
 
-// Listed is an entry of the list.
+// ListEntry is an entry of the list of endpoints.
 type ListEntry struct {
 	Endpoint         string
 	Zone, Kind, Dest int
@@ -33,24 +33,25 @@
 	Weight           float64
 }
 
-// Sockets is the side of the endpoints: it hears when they go down and come back. It must not wait.
+// EndpointObserver is told when endpoints go down or come back, and of new endpoints, so that it can change their
+// sockets. Its methods must not block.
 type EndpointObserver interface {
 	OutageChanged(endpoint, kind string, down bool)
-	EndpointAdded(endpoint string) // a new one
+	EndpointAdded(endpoint string)
 }
 
-// Told is a node's answer to a hand-in, or a notice of its.
+// SubmitResult is a node's response to a submission, or the result that a notice states.
 type SubmitResult int
 
-// What nodes say.
+// The results of a submission.
 const (
 	SubmitAccepted SubmitResult = iota
 	SubmitRejected
 	SubmitFailed
-	SubmitUnanswered // no answer: the node is dead, or too slow
+	SubmitUnanswered // no response: the node is down or too slow
 )
 
-// remote is a node that is a real process.
+// remoteNode is a node that runs as a real process.
 type remoteNode struct {
 	w           *World
 	number      int
@@ -59,18 +60,19 @@
 	incarnation int
 }
 
+// remoteMessage is a message submitted to a real node.
 type remoteMessage struct {
 	*message
 	accepted, delivered, answered bool
 }
 
-// remoteCall is a call that a real process makes.
+// remoteCall is the part of a call that only a call of a real process has.
 type remoteCall struct {
 	node  int
 	reply func(o choice.Outcome, wait time.Duration)
 }
 
-// NewRemote makes a run of a day in real time whose nodes are real processes.
+// NewRemote creates a run of a day in real time whose nodes are real processes. RunRealTime plays it.
 func NewRemote(day Day, nodes []Remote, sockets EndpointObserver, obs Observer) *World {
 	w := New(day, nil, obs)
 	w.simNodes, w.endpointObserver, w.tasks = nil, sockets, make(chan func(), 1024)
@@ -81,13 +83,15 @@
 	return w
 }
 
+// reportOutage tells the EndpointObserver, if any, that an outage of an endpoint began or ended.
 func (w *World) reportOutage(e *endpoint, kind string, down bool) {
 	if w.endpointObserver != nil {
 		w.endpointObserver.OutageChanged(e.id, kind, down)
 	}
 }
 
-// Do runs a function on the world's goroutine. It waits while much is to be done, and not at all once ctx ends.
+// Do runs a function on the world's goroutine. It blocks while the queue of functions is full, but no longer than ctx
+// lasts.
 func (w *World) Do(ctx context.Context, run func()) {
 	select {
 	case w.tasks <- run:
@@ -95,8 +99,8 @@
 	}
 }
 
-// RunReal plays the day on the wall clock until the last message has its end or ctx ends. settled tells that nothing
-// more is awaited once all arrivals are over.
+// RunRealTime plays the day on the wall clock. It returns when all arrivals are over and every accepted message has its
+// final answer, when settleTime has passed after the arrivals, or when ctx ends.
 func (w *World) RunRealTime(ctx context.Context) error {
 	startedAt := time.Now()
 	for _, n := range w.nodes {
@@ -134,7 +138,7 @@
 	}
 }
 
-// settled tells that every message that was taken on has its end.
+// settled reports whether every accepted message has its final answer.
 func (w *World) settled() bool {
 	for _, n := range w.nodes {
 		for _, m := range n.(*remoteNode).messages {
@@ -146,7 +150,7 @@
 	return true
 }
 
-// List is the list as it is, for a process that starts.
+// List returns the current list of endpoints, for a process that starts.
 func (w *World) List() (out []ListEntry) {
 	for _, d := range w.destinations {
 		for _, e := range d.endpoints {
@@ -160,13 +164,13 @@
 	return ListEntry{e.id, e.zone, e.dest.spec.Kind, e.dest.id, phase, e.dest.spec.Weight}
 }
 
-// Call is a call of a real node that has come to an endpoint, its last byte included. reply is called once, on the
-// world's goroutine, unless the endpoint never answers. It runs on the world's goroutine.
+// HandleCall handles a call of a real node that has reached an endpoint completely. It must run on the world's goroutine,
+// which also calls reply, once, unless the endpoint never responds.
 func (w *World) HandleCall(node int, endpoint, id string, reply func(o choice.Outcome, wait time.Duration)) {
 	e, n := w.endpoints[endpoint], w.nodes[node].(*remoteNode)
 	m := n.messages[id]
 	if e == nil || m == nil {
-		w.emit(Event{Kind: InvalidAction, Node: node, Msg: id, Text: "a call for a message that nobody handed in there"})
+		w.emit(Event{Kind: InvalidAction, Node: node, Msg: id, Text: "call for a message that was not submitted to the node"})
 		reply(choice.ServerError, 0)
 		return
 	}
@@ -179,7 +183,7 @@
 	w.after(w.delay(w.Day.Nodes[node].Zone, e.zone), func() { e.receive(c) })
 }
 
-// answer is the endpoint's answer, which the node has after its way.
+// respond delivers the endpoint's response to the node after the network delay.
 func (r *remoteCall) respond(c *call, o choice.Outcome, wait time.Duration) {
 	w := c.endpoint.dest.w
 	w.after(w.delay(c.endpoint.zone, w.Day.Nodes[r.node].Zone), func() {
@@ -198,7 +202,7 @@
 	})
 }
 
-// Gone says that a real node has given up a call that is out: its connection has ended.
+// CallAbandoned records that a real node has closed the connection of a call in progress.
 func (w *World) CallAbandoned(node int, id string) {
 	m := w.nodes[node].(*remoteNode).messages[id]
 	if m == nil {
@@ -207,7 +211,7 @@
 	w.emit(Event{Kind: AttemptEnded, Node: node, Msg: id, FirstID: m.firstID, Class: m.class, Dest: m.dest, Attempt: len(m.attempts) - 1, Outcome: choice.Cancelled})
 }
 
-// Answer is what a node says to a hand-in. It runs on the world's goroutine.
+// HandleSubmitResult handles the response of a node to a submission. It must run on the world's goroutine.
 func (w *World) HandleSubmitResult(node int, id string, result SubmitResult, wait time.Duration) {
 	m := w.nodes[node].(*remoteNode).messages[id]
 	if m == nil {
@@ -224,7 +228,7 @@
 		w.emit(Event{Kind: NodeUnavailable, Node: node, Msg: id, FirstID: m.firstID, Class: m.class, Dest: m.dest})
 		w.clients.resubmitLater(m.message)
 	case SubmitRejected:
-		m.accepted = true // it has its end with that
+		m.accepted = true // the refusal is its final answer
 		w.answer(m, node, choice.Rejected, wait)
 	case SubmitFailed:
 		m.accepted = true
@@ -232,7 +236,7 @@
 	}
 }
 
-// Notice is a notice of a node's. One for a message that is over does no harm.
+// Notice handles a notice from a node. A notice for a message that has its final answer is ignored.
 func (w *World) Notice(node int, id string, t SubmitResult, wait time.Duration) {
 	m := w.nodes[node].(*remoteNode).messages[id]
 	if m == nil || m.answered {
@@ -245,7 +249,8 @@
 	w.answer(m, node, o, wait)
 }
 
-// end is a message's final answer, once its client has heard that it is taken on.
+// answer records the final answer of a message, once. It does nothing before the submission has its result; a delivery
+// that came earlier is answered with that result.
 func (w *World) answer(m *remoteMessage, node int, o choice.Outcome, wait time.Duration) {
 	if m.answered || !m.accepted {
 		return
--- a/internal/lab/model/simnode.go
+++ b/internal/lab/model/simnode.go
@@ -8,15 +8,18 @@
 	"harrierramp/choice"
 )
 
-// After SIGTERM a node goes on as ever for a while, then sends nothing new, and is gone when it is killed.
+// The restart of a node by SIGTERM, in delays after the signal: the node works normally until shutdownDelay, then starts
+// no new calls, is killed at exitDelay, and starts again at restartDelay.
 const (
-	shutdownDelay  = 1200 * time.Millisecond
-	exitDelay      = 2700 * time.Millisecond
-	restartDelay   = 4300 * time.Millisecond
+	shutdownDelay = 1200 * time.Millisecond
+	exitDelay     = 2700 * time.Millisecond
+	restartDelay  = 4300 * time.Millisecond
+	// idleConnMargin is subtracted from the idle timeout, so that a node does not use a connection that its endpoint is
+	// about to close.
 	idleConnMargin = 400 * time.Millisecond
 )
 
-// host is a node: what the network code does round a policy.
+// simNode is a simulated node. It does what the network code of a real node does around the policy.
 type simNode struct {
 	w             *World
 	number        int
@@ -25,26 +28,27 @@
 	incarnation   int
 	policy        Policy
 	inbox         []choice.Event
-	stepScheduled bool          // a step is asked for
-	wakeAt        time.Duration // the policy's; 0 none
+	stepScheduled bool          // a step is scheduled for the present time
+	wakeAt        time.Duration // the wake-up that the policy requested; 0 for none
 	messages      map[string]*message
-	journal       []*message // the journal, in the order of acceptance
-	openMessages  int        // without their final answer
+	journal       []*message // in the order of acceptance; survives restarts
+	openMessages  int        // messages without a final answer
 	inProgress    map[attemptKey]*call
-	memory        *choice.Memory             // what the last life had learnt,
-	memoryAt      time.Duration              // until then
-	idleConns     map[string][]time.Duration // since when connections stand idle, by endpoint
-	retryAt       map[any]*time.Duration     // told waits: by destination, or by endpoint where routes are apart
-	phases        map[string]choice.Phase
-	listOrder     []string // of list, in the order in which they came
+	memory        *choice.Memory             // estimates that the last incarnation saved,
+	memoryAt      time.Duration              // at this time
+	idleConns     map[string][]time.Duration // since when each idle connection is idle, by endpoint
+	retryAt       map[any]*time.Duration     // end of the last Retry-After, by destination, or by endpoint for separate routes
+	phases        map[string]choice.Phase    // the list as the node knows it
+	listOrder     []string                   // keys of phases, in the order in which they were added
 }
 
+// attemptKey identifies an attempt of a message.
 type attemptKey struct {
 	id      string
 	attempt int
 }
 
-// held is a message at a node, and what its journal has of it.
+// message is a message at a node, with what the node's journal records about it.
 type message struct {
 	id, firstID    string
 	class          int
@@ -53,9 +57,10 @@
 	deadline       time.Duration
 	attempts       []attemptRecord
 	finished       bool
-	awaitingAccept bool // its client waits to hear whether it is taken on
+	awaitingAccept bool // the client waits for the result of the submission
 }
 
+// attemptRecord is an attempt as the journal records it.
 type attemptRecord struct {
 	sentAt         time.Duration
 	zone           int
@@ -73,7 +78,7 @@
 	return h
 }
 
-// begin starts a life of the node, from its journal.
+// start starts a new incarnation of the node, with the messages of its journal.
 func (h *simNode) start() {
 	if h.up {
 		return
@@ -103,6 +108,7 @@
 	}
 }
 
+// resumedEvent returns the event that hands a message of the journal to the policy of a new incarnation.
 func (h *simNode) resumedEvent(m *message) choice.MessageResumed {
 	r := choice.MessageResumed{MessageArrived: h.arrivedEvent(m), Attempts: len(m.attempts)}
 	for _, s := range m.attempts {
@@ -114,11 +120,12 @@
 	return r
 }
 
+// arrivedEvent returns the event that hands a new message to the policy.
 func (h *simNode) arrivedEvent(m *message) choice.MessageArrived {
 	return choice.MessageArrived{ID: m.id, Class: m.class, Tenant: m.tenant, Dest: m.dest, Deadline: m.deadline}
 }
 
-// die ends the process at once.
+// kill ends the process at once and drops its connections. If the journal is not kept, the clients resubmit.
 func (h *simNode) kill() {
 	if !h.up {
 		return
@@ -146,7 +153,7 @@
 	}
 }
 
-// leave ends it by SIGTERM.
+// terminate restarts the node by SIGTERM.
 func (h *simNode) terminate() {
 	incarnation := h.incarnation
 	inThisIncarnation := func(run func()) func() {
@@ -161,7 +168,7 @@
 	h.w.after(restartDelay, h.start)
 }
 
-// hand takes a client's message. It tells whether the node is there to hear it.
+// submit takes a client's message. It returns false if the node is down.
 func (h *simNode) submit(m *message) bool {
 	if !h.up {
 		return false
@@ -180,7 +187,7 @@
 	return true
 }
 
-// deliver hands the policy an event, in the step of this moment.
+// postEvent queues an event for the policy's step at the present time, and schedules that step if necessary.
 func (h *simNode) postEvent(e choice.Event) {
 	if !h.up {
 		return
@@ -197,6 +204,7 @@
 	}
 }
 
+// step runs one step of the policy and performs its actions. A panic of the policy ends the run with an error.
 func (h *simNode) step() {
 	defer func() {
 		if p := recover(); p != nil {
@@ -224,6 +232,7 @@
 	}
 }
 
+// perform performs an action of the policy.
 func (h *simNode) perform(a choice.Action) {
 	switch a := a.(type) {
 	case choice.Send:
@@ -232,13 +241,13 @@
 		if m := h.messages[a.ID]; m != nil {
 			h.finish(m, choice.Rejected, a.RetryAfter)
 		} else {
-			h.reportInvalid("a refusal of %q, which it does not hold", a.ID)
+			h.reportInvalid("refusal of message %q, which the node does not hold", a.ID)
 		}
 	case choice.Fail:
 		if m := h.messages[a.ID]; m != nil {
 			h.finish(m, choice.ServerError, 0)
 		} else {
-			h.reportInvalid("a failure of %q, which it does not hold", a.ID)
+			h.reportInvalid("failure of message %q, which the node does not hold", a.ID)
 		}
 	case choice.Cancel:
 		if c := h.inProgress[attemptKey{a.ID, a.Attempt}]; c != nil {
@@ -263,15 +272,17 @@
 	}
 }
 
+// reportInvalid reports an action of the policy that is not allowed.
 func (h *simNode) reportInvalid(format string, args ...any) {
 	h.w.emit(Event{Kind: InvalidAction, Node: h.number, Text: fmt.Sprintf(format, args...)})
 }
 
+// send starts an attempt. If no slot is free, or MaxAttempts are used up, the attempt ends at once as not sent.
 func (h *simNode) send(a choice.Send) {
 	w := h.w
 	m, e := h.messages[a.ID], w.endpoints[a.Endpoint]
 	if m == nil || m.finished || e == nil {
-		h.reportInvalid("a send of %q to %q, which it does not hold or know", a.ID, a.Endpoint)
+		h.reportInvalid("send of message %q to endpoint %q: unknown message or endpoint, or the message has its final answer", a.ID, a.Endpoint)
 		return
 	}
 	w.callCount++
@@ -299,11 +310,13 @@
 	c.start()
 }
 
-// closedTo is the network code's last look: a list or a told wait that came in between forbids the first byte.
+// sendForbidden is the network code's last check before the first byte is written: a list change or a Retry-After that
+// arrived since the policy's decision forbids the call.
 func (h *simNode) sendForbidden(e *endpoint) bool {
 	return h.phases[e.id] != choice.Ready || h.w.now < *h.retryAtFor(e)
 }
 
+// retryAtFor returns the end of the last Retry-After that applies to an endpoint, for reading and writing.
 func (h *simNode) retryAtFor(e *endpoint) *time.Duration {
 	var at any = e.dest.id
 	if e.dest.sharedLimit == nil {
@@ -315,7 +328,7 @@
 	return h.retryAt[at]
 }
 
-// takeIdle takes an idle connection that the endpoint has not closed by now.
+// takeIdleConn takes an idle connection that the endpoint has not closed yet. It returns false if there is none.
 func (h *simNode) takeIdleConn(e *endpoint) bool {
 	idle := h.idleConns[e.id]
 	for len(idle) > 0 {
@@ -330,12 +343,14 @@
 	return false
 }
 
+// putIdleConn returns a connection to the idle ones.
 func (h *simNode) putIdleConn(e *endpoint) { h.idleConns[e.id] = append(h.idleConns[e.id], h.w.now) }
 
+// sendDatagram sends a datagram to another node. It may be lost.
 func (h *simNode) sendDatagram(a choice.SendDatagram) {
 	w := h.w
 	if a.To < 0 || a.To >= len(w.simNodes) || len(a.Payload) > 256 {
-		h.reportInvalid("a note of %d bytes to node %d", len(a.Payload), a.To)
+		h.reportInvalid("datagram of %d bytes to node %d: unknown node, or more than 256 bytes", len(a.Payload), a.To)
 		return
 	}
 	to, net := w.simNodes[a.To], w.Day.Net
@@ -352,12 +367,12 @@
 	})
 }
 
-// listed is a change of the list that has come.
+// updateList applies a change of the list that has reached the node.
 func (h *simNode) updateList(e *endpoint, phase choice.Phase) {
 	if _, known := h.phases[e.id]; !known {
 		h.listOrder = append(h.listOrder, e.id)
 	}
-	h.phases[e.id] = phase // the agent has it, whether or not the process runs
+	h.phases[e.id] = phase // the discovery agent stores it even while the node's process is down
 	if phase != choice.Ready {
 		h.w.emit(Event{Kind: WithdrawalReceived, Node: h.number, Endpoint: e.id})
 	}
@@ -370,7 +385,7 @@
 	}
 }
 
-// finish gives a message its final answer.
+// finish gives a message its final answer and forgets it.
 func (h *simNode) finish(m *message, o choice.Outcome, wait time.Duration) {
 	if m.finished {
 		return
@@ -381,7 +396,7 @@
 	h.answer(m, o, wait)
 }
 
-// answer tells the client. A message that is delivered has its answer by the endpoint.
+// answer reports the final answer of a message to its client, which may retry after a refusal.
 func (h *simNode) answer(m *message, o choice.Outcome, wait time.Duration) {
 	h.w.emit(Event{
 		Kind: Answered, Node: h.number, Msg: m.id, FirstID: m.firstID, Class: m.class, Tenant: m.tenant, Dest: m.dest, Outcome: o, RetryAfter: wait, Deadline: m.deadline,
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -13,13 +13,14 @@
 )
 
 const (
-	// start is the clock when a run begins: times before it stay above zero for whoever remembers some.
+	// startTime is the clock when a run begins. It is not zero, so that times shortly before the start, which a policy
+	// may remember, are still positive.
 	startTime = time.Minute
-	// tail is how long a run may go on after the last arrival; every message has its end before.
+	// settleTime is how long a run may continue after the last arrival. Every message has its final answer before that.
 	settleTime = 45 * time.Second
 )
 
-// World is one run of a day.
+// World is a run of a day: the state of the simulated fleet, its clients and its destinations.
 type World struct {
 	Day          Day
 	now          time.Duration
@@ -27,22 +28,22 @@
 	observer     Observer
 	newPolicy    PolicyFactory
 	nodes        []node
-	simNodes     []*simNode // those that are played here
+	simNodes     []*simNode // the simulated nodes; nil in a run with real processes
 	destinations []*destination
 	endpoints    map[string]*endpoint
 	rng          streams
-	surgeFactor  float64 // present factor on the traffic
+	surgeFactor  float64 // present factor on the rate of arrivals
 	err          error
-	Steps        int64 // events of the run so far
-	messageCount int   // messages
+	Steps        int64 // scheduled events handled so far
+	messageCount int   // submissions so far; numbers the message ids
 	clients      clients
 
-	endpointObserver EndpointObserver // where nodes are real processes
-	tasks            chan func()      // likewise
-	callCount        int              // made so far
+	endpointObserver EndpointObserver // set if nodes are real processes
+	tasks            chan func()      // functions for the world's goroutine, set if nodes are real processes
+	callCount        int              // calls so far
 }
 
-// node is a node of the fleet: one that is played here, or a real process.
+// node is a node of the fleet: a simulated node or a real process.
 type node interface {
 	start()
 	kill()
@@ -51,7 +52,8 @@
 	updateList(e *endpoint, phase choice.Phase)
 }
 
-// streams keeps apart what draws on chance, so that a policy that asks for more calls does not change the traffic.
+// streams holds an independent random stream for each part of the model, so that, for example, a policy that makes more
+// calls does not change the traffic.
 type streams struct{ traffic, clients, net, destinations, faults, seeds *rand.Rand }
 
 func newStreams(seed uint64) streams {
@@ -59,10 +61,10 @@
 	return streams{s(1), s(2), s(3), s(4), s(5), s(6)}
 }
 
-// ErrPolicy is a policy that panicked or acted malformed; the text tells how to play it again.
+// ErrPolicy reports that a policy panicked. The error's text says how to reproduce the run.
 var ErrPolicy = errors.New("policy")
 
-// New makes a run that Run plays. obs hears of all that happens.
+// New creates a simulated run of a day, to be played by Run. obs receives all its events.
 func New(day Day, policy PolicyFactory, obs Observer) *World {
 	w := &World{Day: day, now: startTime, observer: obs, newPolicy: policy, endpoints: map[string]*endpoint{}, rng: newStreams(day.Seed), surgeFactor: 1}
 	for i := range day.Dests {
@@ -76,13 +78,13 @@
 	return w
 }
 
-// Now is the clock; a day begins after Start.
+// Now returns the present time of the run, which begins at StartTime.
 func (w *World) Now() time.Duration { return w.now }
 
-// Start is the clock when a day begins.
+// StartTime returns the time at which every run begins.
 func StartTime() time.Duration { return startTime }
 
-// Run plays the day to its end. It ends early when ctx does or a policy fails.
+// Run plays the day to its end. It returns early if ctx ends or a policy fails.
 func (w *World) Run(ctx context.Context) error {
 	for _, h := range w.nodes {
 		h.start()
@@ -108,14 +110,16 @@
 	return nil
 }
 
+// after schedules a function to run after d.
 func (w *World) after(d time.Duration, run func()) { w.events.add(w.now+max(d, 0), run) }
 
+// emit passes an event with the present time to the observer.
 func (w *World) emit(e Event) {
 	e.At = w.now
 	w.observer.Observe(&e)
 }
 
-// delay is one way between zones.
+// delay draws the one-way network delay between two zones.
 func (w *World) delay(a, b int) time.Duration {
 	d := w.Day.Net.SameZoneDelay
 	if a != b {
@@ -124,7 +128,7 @@
 	return time.Duration(float64(d) * (1 + w.Day.Net.Jitter*(2*w.rng.net.Float64()-1)))
 }
 
-// cut tells that nothing passes between two zones now.
+// partitioned reports whether a partition separates two zones now.
 func (w *World) partitioned(a, b int) bool {
 	if a == b {
 		return false
@@ -137,11 +141,13 @@
 	return false
 }
 
+// active reports whether a fault is in progress.
 func (w *World) active(t Fault) bool {
 	return w.now >= startTime+t.At && w.now < startTime+t.At+t.Duration
 }
 
-// size is the size of a trouble of the kind that holds now for a destination, or otherwise.
+// faultSize returns the Size of a fault of the kind that is in progress at a destination, or fallback if there is none.
+// With a negative dest it looks for faults at any destination.
 func (w *World) faultSize(kind string, dest int, fallback float64) float64 {
 	for _, t := range w.Day.Faults {
 		if t.Kind == kind && w.active(t) && (dest < 0 || slices.Contains(t.Dests, dest)) {
@@ -151,7 +157,7 @@
 	return fallback
 }
 
-// deaf tells that a node hears no datagrams now.
+// datagramsBlocked reports whether a fault keeps a node from receiving datagrams now.
 func (w *World) datagramsBlocked(node int) bool {
 	for _, t := range w.Day.Faults {
 		if t.Kind == DatagramsBlocked && w.active(t) && (len(t.Nodes) == 0 || slices.Contains(t.Nodes, node)) {
@@ -161,7 +167,8 @@
 	return false
 }
 
-// trouble begins one, and asks for its end.
+// injectFault begins a fault and schedules its end. Kinds that are not listed here are looked up while in progress, by
+// faultSize, partitioned and datagramsBlocked.
 func (w *World) injectFault(t Fault) {
 	switch t.Kind {
 	case Crash, Unresponsive, RejectAll:
@@ -196,12 +203,13 @@
 	}
 }
 
+// scheduleOutage begins an outage of an endpoint and schedules its end.
 func (w *World) scheduleOutage(e *endpoint, t Fault) {
 	e.beginOutage(t.Kind)
 	w.after(t.Duration, func() { e.endOutage(t.Kind) })
 }
 
-// restart restarts all nodes, a tenth at a time: every second one by SIGTERM, the others by a kill.
+// rollingRestart restarts all nodes, a tenth at a time: every second one by SIGTERM, the others by a kill.
 func (w *World) rollingRestart(t Fault) {
 	const parts = 10
 	order := w.rng.faults.Perm(len(w.nodes))
@@ -217,7 +225,7 @@
 	}
 }
 
-// replace drains endpoints in turn, each beside a new one.
+// replaceEndpoints replaces the endpoints in turn: each is drained and later removed while a new one takes over.
 func (w *World) replaceEndpoints(t Fault) {
 	var all []*endpoint
 	for _, i := range t.Dests {
@@ -226,7 +234,7 @@
 	for i, e := range all {
 		at := t.Duration * time.Duration(i) / time.Duration(len(all))
 		w.after(at, func() {
-			id := e.id + "r" // a machine that replaces another has a new id
+			id := e.id + "r" // the replacement of a machine has a new id
 			for w.endpoints[id] != nil {
 				id += "r"
 			}
@@ -238,7 +246,7 @@
 	}
 }
 
-// change tells all nodes of a change of the list, each in its own time.
+// publishListChange sends a change of the list to all nodes, each with its own delay.
 func (w *World) publishListChange(e *endpoint, phase choice.Phase) {
 	e.phase = phase
 	spec := w.Day.List
@@ -252,8 +260,8 @@
 	}
 }
 
-// Room is how many calls an endpoint would take at this moment from a node of a zone, by its true state: for policies
-// that know what no node can know.
+// SpareCapacity returns how many calls from a node of the zone an endpoint would accept now, by its true state. It is
+// meant for idealized policies; a real node cannot know this.
 func (w *World) SpareCapacity(id string, zone int) int {
 	e := w.endpoints[id]
 	if e == nil || e.phase != choice.Ready || len(e.outages) > 0 || w.partitioned(zone, e.zone) {
@@ -276,7 +284,8 @@
 	return max(min(room, int(left)), 0)
 }
 
-// Limiter names what limits an endpoint: its destination, or itself where routes are apart.
+// LimitKey returns the key of the rate limit that applies to an endpoint: its destination's number, or its own id if it
+// is a separate route.
 func (w *World) LimitKey(id string) string {
 	if e := w.endpoints[id]; e != nil && e.dest.sharedLimit != nil {
 		return strconv.Itoa(e.dest.id)
@@ -284,10 +293,10 @@
 	return id
 }
 
-// After calls a function of a policy that knows the world, once the clock has gone on so far.
+// After schedules a function of an idealized policy to run after d.
 func (w *World) After(d time.Duration, run func()) { w.after(d, run) }
 
-// Reach is about how long a call's last byte takes between zones.
+// OneWayDelay returns the mean one-way network delay between two zones.
 func (w *World) OneWayDelay(a, b int) time.Duration {
 	if a == b {
 		return w.Day.Net.SameZoneDelay
