--- a/internal/lab/judge/judge.go
+++ b/internal/lab/judge/judge.go
@@ -1,5 +1,5 @@
-// Package judge holds a run against the rules and counts what it was worth. It hears what happens at clients, endpoints
-// and nodes, keeps a ledger of its own, and asks no policy anything.
+// Package judge checks a run against the rules for senders and computes its score. It observes the events at clients,
+// endpoints and nodes and keeps a ledger of its own; it never relies on what a policy says about itself.
 package judge
 
 import (
@@ -11,41 +11,41 @@
 )
 
 const (
-	timingSlack     = 50 * time.Millisecond  // every time limit is so much longer
-	maxNoticeDelay  = 300 * time.Millisecond // a final answer may come so late after its message's time
-	restartGrace    = 1500 * time.Millisecond
-	inTransitGrace  = 100 * time.Millisecond // a wait lets calls through that were on their way
-	maxViolations   = 20                     // violations that are told in full
-	ringSize        = 1 << 13
-	windowSize      = 5 * time.Second
-	worstWindowSize = 10 * time.Second
+	timingSlack     = 50 * time.Millisecond   // tolerance of every time limit
+	maxNoticeDelay  = 300 * time.Millisecond  // a final answer may come this long after the deadline and AnswerGrace
+	restartGrace    = 1500 * time.Millisecond // after a node's start, late final answers are not violations
+	inTransitGrace  = 100 * time.Millisecond  // calls written this soon after a Retry-After arrived do not violate it
+	maxViolations   = 20                      // violations that are reported in full
+	ringSize        = 1 << 13                 // last events that are kept for the context of violations
+	windowSize      = 5 * time.Second         // length of a Window
+	worstWindowSize = 10 * time.Second        // length of the periods of Result.WorstWindow
 )
 
 // Violation is a broken rule.
 type Violation struct {
 	Rule    string        `json:"rule"`
-	At      time.Duration `json:"at"`
+	At      time.Duration `json:"at"` // since the start of the day
 	Msg     string        `json:"msg,omitempty"`
 	Node    int           `json:"node"`
 	Text    string        `json:"text"`
-	Context []string      `json:"around,omitempty"`
+	Context []string      `json:"around,omitempty"` // preceding events of the message, or of the node in the last second
 }
 
-// Judge is the ledger of one run. It is an Observer.
+// Judge is the ledger of one run. It implements model.Observer.
 type Judge struct {
 	day         *model.Day
 	submissions map[string]*submission
 	requests    map[string]*request
 	nodes       []nodeState
 	dests       []destState
-	destOf      map[string]int // of endpoints, their destination
-	ring        []model.Event
+	destOf      map[string]int // destination of each endpoint
+	ring        []model.Event  // the last events
 	eventCount  int
 	now         time.Duration
 	result      Result
 }
 
-// entry is a message as it was handed in once.
+// submission is one submission of a message. A message that is submitted again has a second one.
 type submission struct {
 	firstID, id        string
 	class, dest        int
@@ -56,6 +56,7 @@
 	attempts           []attempt
 }
 
+// attempt is a delivery attempt.
 type attempt struct {
 	sentAt          time.Duration
 	received, ended bool
@@ -64,7 +65,7 @@
 	endpoint        string
 }
 
-// try is a client's first try and all that came of it.
+// request is a client's message over all its submissions.
 type request struct {
 	submittedAt time.Duration
 	class       int
@@ -78,30 +79,35 @@
 	outcome     choice.Outcome
 }
 
+// nodeState is the state of a node.
 type nodeState struct {
 	up          bool
 	startedAt   time.Duration
-	submissions []*submission // handed in there; some are over
-	waits       map[string]waitSpan
-	withdrawnAt map[string]time.Duration
+	submissions []*submission            // submitted to the node; some have their final answer
+	waits       map[string]waitSpan      // Retry-After periods, by limitKey
+	withdrawnAt map[string]time.Duration // when the node learned that an endpoint drains or is removed
 }
 
+// waitSpan is the period of a Retry-After.
 type waitSpan struct{ from, to time.Duration }
 
+// destState is the state of a destination. awareNodes are the nodes that have seen a call fail while an endpoint was
+// down.
 type destState struct {
 	separateRoutes bool
-	endpointsDown  int // endpoints of it that are
-	downAt         time.Duration
+	endpointsDown  int           // number of its endpoints that are down
+	downAt         time.Duration // when the last outage of the destination began
 	awareNodes     map[int]bool
-	recentCalls    []callRecord // in the last span of the cold budget
+	recentCalls    []callRecord // calls in the last OverloadDuration
 }
 
+// callRecord is a call that reached a destination.
 type callRecord struct {
 	at   time.Duration
 	node int
 }
 
-// New makes the ledger of one run of a day.
+// New creates the ledger of one run of a day.
 func New(day *model.Day) *Judge {
 	j := &Judge{
 		day: day, submissions: map[string]*submission{}, requests: map[string]*request{}, destOf: map[string]int{},
@@ -116,7 +122,7 @@
 	return j
 }
 
-// broken notes a violation.
+// addViolation records a violation. Violations beyond maxViolations are only counted.
 func (j *Judge) addViolation(rule string, e *model.Event, format string, args ...any) {
 	j.result.ViolationCount++
 	if len(j.result.Violations) >= maxViolations {
@@ -135,7 +141,7 @@
 	j.result.Violations = append(j.result.Violations, v)
 }
 
-// Observe takes what happens. (model.Observer)
+// Observe handles an event. It implements model.Observer.
 func (j *Judge) Observe(e *model.Event) {
 	j.now = e.At
 	if len(j.ring) < ringSize {
@@ -219,18 +225,18 @@
 func (j *Judge) answered(e *model.Event) {
 	m, t := j.submissions[e.Msg], j.requests[e.FirstID]
 	if m == nil || t == nil {
-		j.addViolation("answer", e, "an answer to a message that nobody handed in")
+		j.addViolation("answer", e, "answer to a message that was not submitted")
 		return
 	}
 	if m.answered {
-		j.addViolation("answer", e, "a second final answer")
+		j.addViolation("answer", e, "second final answer")
 		return
 	}
 	m.answered = true
 	if late := e.At - m.deadline; m.accepted && late > j.day.Settings.AnswerGrace+maxNoticeDelay && e.At > j.nodes[e.Node].startedAt+restartGrace {
-		j.addViolation("answer", e, "the final answer comes %v late", late)
+		j.addViolation("answer", e, "final answer %v after the deadline", late)
 	}
-	// What a client hears last counts; a delivery outlives a refusal heard elsewhere.
+	// The client's last answer counts, but a delivery is not undone by a refusal of another submission.
 	t.answered = true
 	if !t.delivered {
 		t.outcome = e.Outcome
@@ -239,7 +245,7 @@
 		return
 	}
 	if !m.delivered {
-		j.addViolation("answer", e, "told as delivered, and it has not run")
+		j.addViolation("answer", e, "reported as delivered, but no endpoint has executed it")
 	}
 	if !t.delivered {
 		t.delivered, t.outcome = true, choice.Success
@@ -247,13 +253,13 @@
 	}
 }
 
-// worth is what a delivery at a moment earns, and whether it is past the aim.
+// worth returns the worth of a delivery at a time, and whether that is past the aim.
 func (j *Judge) worth(t *request, at time.Duration) (float64, bool) {
 	return Worth(&j.day.Settings, t.class, j.maxWorth(t), at-t.submittedAt)
 }
 
-// Worth is what a message of a class that asks for so much earns if it is delivered at an age, and whether that is past its
-// aim.
+// Worth returns what a message of a class, which is worth at most maxWorth, earns if it is delivered at an age, and
+// whether that is past the aim of the class.
 func Worth(s *choice.Settings, class int, maxWorth float64, age time.Duration) (float64, bool) {
 	c := s.Classes[class]
 	switch {
@@ -274,7 +280,7 @@
 
 func (j *Judge) maxWorth(t *request) float64 { return MaxWorth(&j.day.Settings, t.class, t.inQuota) }
 
-// Asked is what a message of a class can earn at most, in its tenant's share or beyond it.
+// MaxWorth returns what a message of a class can earn at most, within its tenant's quota or beyond it.
 func MaxWorth(s *choice.Settings, class int, inQuota bool) float64 {
 	if inQuota {
 		return s.Classes[class].Worth
@@ -282,6 +288,7 @@
 	return s.Classes[class].Worth * s.OverQuotaWorth
 }
 
+// attempt returns the submission and the attempt that an event is about; nil if unknown.
 func (j *Judge) attempt(e *model.Event) (*submission, *attempt) {
 	m := j.submissions[e.Msg]
 	if m == nil || e.Attempt < 0 || e.Attempt >= len(m.attempts) {
@@ -297,10 +304,11 @@
 	}
 	m.attempts = append(m.attempts, attempt{sentAt: e.At, zone: e.Zone, endpoint: e.Endpoint})
 	if e.Dest != m.dest {
-		j.addViolation("endpoint", e, "sent to %s of destination %d, and it is for %d", e.Endpoint, e.Dest, m.dest)
+		j.addViolation("endpoint", e, "sent to %s of destination %d, but the message is for destination %d", e.Endpoint, e.Dest, m.dest)
 	}
 }
 
+// requestReceived checks a call that has reached an endpoint against the rules for copies, repeats, drains and waits.
 func (j *Judge) requestReceived(e *model.Event) {
 	j.result.Calls++
 	j.window().Calls++
@@ -316,7 +324,7 @@
 	for i := range m.attempts[:e.Attempt] {
 		o := &m.attempts[i]
 		if o.received && !o.ended && !j.day.Settings.MayDuplicate {
-			j.addViolation("copies", e, "attempt %d is still out", i)
+			j.addViolation("copies", e, "attempt %d is still in progress", i)
 		}
 		mayRun := !o.notRun && (o.received || !o.ended)
 		if !mayRun {
@@ -333,10 +341,10 @@
 	}
 	n := &j.nodes[e.Node]
 	if told, ok := n.withdrawnAt[e.Endpoint]; ok && e.WrittenAt > told+j.day.Settings.DrainTimeout+timingSlack {
-		j.addViolation("drain", e, "sent %v after the node was told", e.WrittenAt-told)
+		j.addViolation("drain", e, "sent %v after the node learned that the endpoint drains or is removed", e.WrittenAt-told)
 	}
 	if w, ok := n.waits[j.limitKey(e)]; ok && e.WrittenAt < w.to-timingSlack && e.WrittenAt > w.from+inTransitGrace {
-		j.addViolation("wait", e, "sent %v before the end of a wait", w.to-e.WrittenAt)
+		j.addViolation("wait", e, "sent %v before the end of a Retry-After", w.to-e.WrittenAt)
 	}
 	d := &j.dests[e.Dest]
 	d.recentCalls = append(d.recentCalls, callRecord{e.At, e.Node})
@@ -345,6 +353,8 @@
 	}
 }
 
+// limitKey returns the key of the rate limit that an event's call counts against: the endpoint for separate routes,
+// otherwise the destination.
 func (j *Judge) limitKey(e *model.Event) string {
 	if j.dests[e.Dest].separateRoutes {
 		return e.Endpoint
@@ -352,6 +362,7 @@
 	return fmt.Sprint(e.Dest)
 }
 
+// dropOldCalls forgets the calls that are older than OverloadDuration.
 func (j *Judge) dropOldCalls(d *destState, now time.Duration) {
 	keep := 0
 	for keep < len(d.recentCalls) && now-d.recentCalls[keep].at > j.day.Settings.OverloadDuration {
@@ -371,6 +382,7 @@
 	m.delivered = true
 }
 
+// attemptEnded records an outcome, and with it a Retry-After and whether the node has seen the destination fail.
 func (j *Judge) attemptEnded(e *model.Event) {
 	_, a := j.attempt(e)
 	if a != nil {
@@ -395,7 +407,8 @@
 	}
 }
 
-// fell tells who pushed a cold destination over.
+// collapsed finds out which nodes overloaded a cold destination. It is a violation if at least two thirds of the recent
+// calls came from nodes that had seen the destination fail, and so should have slowed down.
 func (j *Judge) collapsed(e *model.Event) {
 	d := &j.dests[e.Dest]
 	j.dropOldCalls(d, e.At)
@@ -407,11 +420,11 @@
 	}
 	j.result.Collapses++
 	if len(d.recentCalls) > 0 && 3*fromAware >= 2*len(d.recentCalls) {
-		j.addViolation("cold", e, "destination %d fell over; %d of its last %d calls came from nodes that knew", e.Dest, fromAware, len(d.recentCalls))
+		j.addViolation("cold", e, "destination %d collapsed while cold; %d of its last %d calls came from nodes that had seen it fail", e.Dest, fromAware, len(d.recentCalls))
 	}
 }
 
-// died ends what was out at a node.
+// nodeStopped ends the attempts in progress at a node.
 func (j *Judge) nodeStopped(e *model.Event) {
 	open := j.nodes[e.Node].submissions[:0]
 	for _, m := range j.nodes[e.Node].submissions {
--- a/internal/lab/judge/judge_test.go
+++ b/internal/lab/judge/judge_test.go
@@ -16,7 +16,7 @@
 	return choice.New(s, seed)
 }
 
-// hasher keeps a trace of everything that happens.
+// traceRecorder records a trace of all events.
 type traceRecorder struct{ b bytes.Buffer }
 
 func (h *traceRecorder) Observe(e *model.Event) { fmt.Fprintln(&h.b, Describe(e)) }
@@ -39,7 +39,7 @@
 	return day
 }
 
-// The project's own sender keeps every rule on every kind of day, and the ledger adds up.
+// The project's own sender keeps every rule on every kind of day, and the counts of the ledger add up.
 func TestCorrectSenderKeepsEveryRule(t *testing.T) {
 	for _, kind := range model.Kinds {
 		for seed := range uint64(3) {
@@ -48,22 +48,22 @@
 				t.Errorf("%s, seed %d: %+v", kind, seed, r.Violations[0])
 			}
 			if sum := r.Delivered + r.Refused + r.Failed; sum != r.Offered || r.Offered == 0 {
-				t.Errorf("%s, seed %d: %d of %d first tries have an end", kind, seed, sum, r.Offered)
+				t.Errorf("%s, seed %d: %d of %d messages are counted as delivered, refused or failed", kind, seed, sum, r.Offered)
 			}
 		}
 	}
 }
 
-// The same day and seed give the same events to the byte.
+// The same day and seed give the same trace, byte for byte.
 func TestRunIsDeterministic(t *testing.T) {
-	for kind, nodes := range map[string]int{"split": 20, "roll": 20, "herd": 20, "trouble": 100} { // the last has an endpoint with many calls crash
+	for kind, nodes := range map[string]int{"split": 20, "roll": 20, "herd": 20, "trouble": 100} { // in the last an endpoint with many calls crashes, which must reset them in a fixed order
 		var a, b traceRecorder
 		r, s := runDay(t, drawDay(t, kind, nodes, 5), newSender, &a), runDay(t, drawDay(t, kind, nodes, 5), newSender, &b)
 		if !bytes.Equal(a.b.Bytes(), b.b.Bytes()) {
 			x, y := strings.Split(a.b.String(), "\n"), strings.Split(b.b.String(), "\n")
 			for i := range min(len(x), len(y)) {
 				if x[i] != y[i] {
-					t.Fatalf("%s: event %d: %s, and %s", kind, i, x[i], y[i])
+					t.Fatalf("%s: event %d differs between two runs: %s, and %s", kind, i, x[i], y[i])
 				}
 			}
 		}
@@ -72,12 +72,12 @@
 			t.Fatal(err)
 		}
 		if y, err := json.Marshal(s); err != nil || !bytes.Equal(x, y) {
-			t.Errorf("%s: %s, and %s", kind, x, y)
+			t.Errorf("%s: the results of two runs differ: %s, and %s", kind, x, y)
 		}
 	}
 }
 
-// breaker is the project's own sender with something wrong on purpose.
+// faultySender is the project's own sender whose actions are changed so that they break a rule.
 type faultySender struct {
 	model.Policy
 	w            *model.World
@@ -120,7 +120,7 @@
 	return out
 }
 
-// Senders that break each rule on purpose are caught, by the rule's name.
+// A sender that breaks a rule on purpose is reported under the name of that rule.
 func TestEachRuleViolationIsDetected(t *testing.T) {
 	type actions = []choice.Action
 	for rule, c := range map[string]struct {
@@ -138,7 +138,7 @@
 			return a
 		}},
 		"repeat": {"trouble", func(b *faultySender, _ time.Duration, events []choice.Event, a actions) actions {
-			for _, e := range events { // one that may have run goes to the other zone
+			for _, e := range events { // a message that may have run is sent to the other zone
 				if x, ok := e.(choice.AttemptEnded); ok && (x.Outcome == choice.TimedOut || x.Outcome == choice.ServerError || x.Outcome == choice.ConnReset) {
 					b.mayHaveRunAt[x.ID] = b.sends[x.ID].Endpoint
 				}
@@ -180,12 +180,13 @@
 			got[v.Rule]++
 		}
 		if got[rule] == 0 {
-			t.Errorf("%s is not caught: %v", rule, got)
+			t.Errorf("no violation of rule %s is reported, only %v", rule, got)
 		}
 	}
 }
 
-// What the model's network code holds back by itself, as a node's does, and what no sender does alone, is told here.
+// Some violations cannot occur in a simulated run, because the model's network code prevents them as a node's does, or
+// because no single sender can cause them. The events are handed to the judge directly.
 func TestRulesOfTheNetworkCode(t *testing.T) {
 	day := drawDay(t, "quiet", 3, 1)
 	at := day.Dests[0].Endpoints[0]
@@ -218,19 +219,19 @@
 		rule   string
 		events []model.Event
 	}{
-		"within the grace of a drain":  {"", join([]model.Event{told}, try(0, "a", 0, 1.9), []model.Event{answered})},
-		"after it":                     {"drain", join([]model.Event{told}, try(0, "a", 0, 2.2))},
-		"another node was not told":    {"", join([]model.Event{told}, try(1, "a", 0, 2.2))},
-		"crossing a wait":              {"", join(try(0, "a", 0, 1), []model.Event{ended(0, "a", 1.1, choice.Rejected, time.Second)}, try(0, "b", 0, 1.15))},
-		"inside a wait":                {"wait", join(try(0, "a", 0, 1), []model.Event{ended(0, "a", 1.1, choice.Rejected, time.Second)}, try(0, "b", 0, 1.5))},
-		"after a wait":                 {"", join(try(0, "a", 0, 1), []model.Event{ended(0, "a", 1.1, choice.Rejected, time.Second)}, try(0, "b", 0, 2.2))},
-		"pushed over by who knew":      {"cold", join([]model.Event{down}, try(0, "a", 0, 1), []model.Event{ended(0, "a", 1.1, choice.ConnectFailed, 0), up}, try(0, "b", 0, 2.5), []model.Event{fell})},
-		"pushed over by who did not":   {"", join([]model.Event{down, up}, try(0, "a", 0, 2.5), []model.Event{fell})},
-		"answered in time":             {"", join(try(0, "a", 0, 1)[:1], []model.Event{taken, answered})},
-		"answered twice":               {"answer", join(try(0, "a", 0, 1)[:1], []model.Event{taken, answered, answered})},
-		"answered late":                {"answer", join(try(0, "a", 0, 1)[:1], []model.Event{taken, late})},
-		"never answered":               {"answer", join(try(0, "a", 0, 1)[:1], []model.Event{taken})},
-		"told as delivered, never ran": {"answer", join(try(0, "a", 0, 1)[:1], []model.Event{taken, {Kind: model.Answered, At: second(2), Msg: "a", FirstID: "a"}})},
+		"within the grace period of a drain":            {"", join([]model.Event{told}, try(0, "a", 0, 1.9), []model.Event{answered})},
+		"after the grace period of a drain":             {"drain", join([]model.Event{told}, try(0, "a", 0, 2.2))},
+		"another node does not know of the drain":       {"", join([]model.Event{told}, try(1, "a", 0, 2.2))},
+		"in transit when the Retry-After arrives":       {"", join(try(0, "a", 0, 1), []model.Event{ended(0, "a", 1.1, choice.Rejected, time.Second)}, try(0, "b", 0, 1.15))},
+		"during a Retry-After":                          {"wait", join(try(0, "a", 0, 1), []model.Event{ended(0, "a", 1.1, choice.Rejected, time.Second)}, try(0, "b", 0, 1.5))},
+		"after a Retry-After":                           {"", join(try(0, "a", 0, 1), []model.Event{ended(0, "a", 1.1, choice.Rejected, time.Second)}, try(0, "b", 0, 2.2))},
+		"collapse caused by a node that saw the outage": {"cold", join([]model.Event{down}, try(0, "a", 0, 1), []model.Event{ended(0, "a", 1.1, choice.ConnectFailed, 0), up}, try(0, "b", 0, 2.5), []model.Event{fell})},
+		"collapse caused by a node that did not see it": {"", join([]model.Event{down, up}, try(0, "a", 0, 2.5), []model.Event{fell})},
+		"answered in time":                              {"", join(try(0, "a", 0, 1)[:1], []model.Event{taken, answered})},
+		"answered twice":                                {"answer", join(try(0, "a", 0, 1)[:1], []model.Event{taken, answered, answered})},
+		"answered late":                                 {"answer", join(try(0, "a", 0, 1)[:1], []model.Event{taken, late})},
+		"never answered":                                {"answer", join(try(0, "a", 0, 1)[:1], []model.Event{taken})},
+		"reported as delivered, never executed":         {"answer", join(try(0, "a", 0, 1)[:1], []model.Event{taken, {Kind: model.Answered, At: second(2), Msg: "a", FirstID: "a"}})},
 	} {
 		j := New(&day)
 		for i := range c.events {
--- a/internal/lab/judge/property_test.go
+++ b/internal/lab/judge/property_test.go
@@ -9,8 +9,9 @@
 	"harrierramp/internal/lab/model"
 )
 
-// Whatever goes wrong together (kills, partitions, deafness, lost datagrams and answers, outages, lowered limits), every
-// message that was taken on has one answer in time, waits and drains are heeded, and nothing is repeated beyond its class.
+// Under any combination of faults (kills, partitions, blocked and lost datagrams, lost responses, outages, lowered
+// limits) every accepted message gets one final answer in time, Retry-After and drains are respected, and no message is
+// repeated beyond what its class allows.
 func TestRulesHoldUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		day, err := model.Draw("quiet", rapid.IntRange(2, 25).Draw(t, "nodes"), rapid.Uint64Max(1000).Draw(t, "seed"))
@@ -54,7 +55,7 @@
 			t.Fatal(err)
 		}
 		for _, v := range j.Result().Violations {
-			if v.Rule != "cold" { // a budget that holds with a little slack for chance; the days of CI hold it
+			if v.Rule != "cold" { // the budget of cold destinations can be exceeded by chance; the days that CI runs check it
 				t.Fatalf("%s: %s, message %s at %v: %v", v.Rule, v.Text, v.Msg, v.At, v.Context)
 			}
 		}
--- a/internal/lab/judge/result.go
+++ b/internal/lab/judge/result.go
@@ -9,54 +9,55 @@
 	"harrierramp/internal/lab/model"
 )
 
-// Result is what a run was worth and what it did.
+// Result is the score of a run and what it consists of. All counts are over the whole run.
 type Result struct {
-	Score          float64     `json:"score"`  // what counts: the parts of Served below, less the prices
-	Served         float64     `json:"served"` // worth earned over worth asked for
-	WorstWindow    float64     `json:"worst"`  // the same in the worst 10 s
-	WorstClass     float64     `json:"worst_class"`
-	Offered        int         `json:"offered"` // first tries
-	Resubmitted    int         `json:"again"`   // hand-ins after those
+	Score          float64     `json:"score"`       // weighted sum of Served, WorstWindow, WorstClass and the worst tenant's share, less Costs
+	Served         float64     `json:"served"`      // worth earned as a share of the most that could be earned
+	WorstWindow    float64     `json:"worst"`       // the same for the worst 10 s
+	WorstClass     float64     `json:"worst_class"` // the same for the worst class
+	Offered        int         `json:"offered"`     // messages submitted, without resubmissions
+	Resubmitted    int         `json:"again"`       // resubmissions
 	Delivered      int         `json:"delivered"`
-	InTime         int         `json:"in_time"`
+	InTime         int         `json:"in_time"` // delivered within the aim
 	Refused        int         `json:"refused"`
 	Failed         int         `json:"failed"`
-	Lost           int         `json:"lost"`
-	DuplicateRuns  int         `json:"repeated"` // runs beyond the first of a message
+	Lost           int         `json:"lost"`     // accepted submissions without a final answer
+	DuplicateRuns  int         `json:"repeated"` // executions beyond the first of a submission
 	Calls          int         `json:"calls"`
-	OverLimit      int         `json:"over_limit"`
+	OverLimit      int         `json:"over_limit"` // calls rejected over a rate limit
 	CrossZoneCalls int         `json:"crossed"`
-	Handshakes     int         `json:"handshakes"`
+	Handshakes     int         `json:"handshakes"` // new connections
 	Datagrams      int64       `json:"datagrams"`
-	PeerBytes      int64       `json:"peer_bytes"`
-	Collapses      int         `json:"fell"`
+	PeerBytes      int64       `json:"peer_bytes"` // bytes of datagrams between nodes
+	Collapses      int         `json:"fell"`       // collapses of cold destinations
 	Events         int64       `json:"events"`
 	ViolationCount int         `json:"broken"`
 	Violations     []Violation `json:"violations,omitempty"`
 	Windows        []Window    `json:"windows"`
 	Dests          []DestUse   `json:"dests"`
-	Costs          float64     `json:"prices"`
+	Costs          float64     `json:"prices"` // what Score loses for calls over a limit or across zones, connections and datagrams
 }
 
-// Window is a stretch of five seconds, by when the first tries came.
+// Window sums up five seconds of the day. Messages count in the window in which they were first submitted.
 type Window struct {
 	Offered   int     `json:"offered"`
 	InTime    int     `json:"in_time"`
 	Late      int     `json:"late"`
 	Refused   int     `json:"refused"`
 	Failed    int     `json:"failed"`
-	Calls     int     `json:"calls"`      // by when they came to the endpoint
-	OverLimit int     `json:"over_limit"` // likewise
-	Asked     float64 `json:"asked"`
+	Calls     int     `json:"calls"`      // calls count in the window in which they reached the endpoint
+	OverLimit int     `json:"over_limit"` // the same
+	Asked     float64 `json:"asked"`      // the most that the messages could earn
 	Earned    float64 `json:"earned"`
 }
 
-// DestUse is what came of a destination's messages.
+// DestUse sums up the messages of a destination. Asked is the most that they could earn.
 type DestUse struct {
 	Offered, Delivered, Refused int
 	Asked, Earned               float64
 }
 
+// window returns the window of the present time.
 func (j *Judge) window() *Window { return j.windowAt(j.now) }
 
 func (j *Judge) windowAt(at time.Duration) *Window {
@@ -67,7 +68,7 @@
 	return &j.result.Windows[i]
 }
 
-// Result closes the ledger: what has no end by now is lost.
+// Result closes the ledger and returns the result. An accepted submission without a final answer counts as lost.
 func (j *Judge) Result() *Result {
 	r := &j.result
 	end := &model.Event{At: j.now}
@@ -126,7 +127,7 @@
 	}
 	r.Served, r.WorstWindow, r.WorstClass = ratio(earned, asked), 1, 1
 	for at, w := range worst {
-		// A day's last stretch may be short; one of few messages tells nothing.
+		// The last period of a day may be short. Periods with little traffic are left out: their share means little.
 		if w[0] > asked/100 || len(worst) == 1 || at == 0 {
 			r.WorstWindow = min(r.WorstWindow, ratio(w[1], w[0]))
 		}
@@ -145,6 +146,7 @@
 	return r
 }
 
+// ratio returns part/all, or 1 if all is zero.
 func ratio(part, all float64) float64 {
 	if all <= 0 {
 		return 1
@@ -153,13 +155,13 @@
 }
 
 var eventNames = []string{
-	"handed in", "taken on", "answered", "unheard", "sent", "began", "ran", "ended", "refused over its limit", "told of the list",
-	"outage began", "outage ended", "fell over", "died", "started", "datagram", "handshake", "strange",
+	"submitted", "accepted", "answered", "unheard", "sent", "began", "ran", "ended", "rejected over its limit", "notified of withdrawal",
+	"outage began", "outage ended", "destination collapsed", "died", "started", "datagram", "handshake", "strange",
 }
 
-var outcomeNames = []string{"pass", "fault", "no room", "too slow", "no route", "cut", "undone", "stale"}
+var outcomeNames = []string{"pass", "fault", "call rejected", "timed out", "connect failed", "cut", "undone", "stale"}
 
-// Describe is an event as a line for people.
+// Describe returns an event as a line of text.
 func Describe(e *model.Event) string {
 	s := fmt.Sprintf("%9.3f s  node %d  %s", (e.At - model.StartTime()).Seconds(), e.Node, eventNames[e.Kind])
 	if e.Msg != "" {
@@ -177,7 +179,7 @@
 	case model.AttemptEnded, model.Answered:
 		s += "  " + outcomeNames[e.Outcome]
 		if e.RetryAfter > 0 {
-			s += fmt.Sprintf(", told to wait %v", e.RetryAfter)
+			s += fmt.Sprintf(", retry after %v", e.RetryAfter)
 		}
 	case model.InvalidAction:
 		s += "  " + e.Text
--- a/internal/lab/losses/losses.go
+++ b/internal/lab/losses/losses.go
@@ -1,6 +1,6 @@
-// Package losses tells where the worth of a day in the lab went: each point that was not earned by its cause, by phase of
-// the day and by kind of destination; and how fairly senders were served. It hears what happens, as the judge does, and
-// asks no policy anything.
+// Package losses attributes the worth that was not earned on a day in the lab to causes, in total, by phase of the day
+// and by kind of destination. It also measures how fairly senders were served. Like the judge it only observes events
+// and does not rely on what a policy says about itself.
 package losses
 
 import (
@@ -15,25 +15,27 @@
 	"harrierramp/internal/lab/model"
 )
 
-// Cause is why a message did not earn what it might have.
+// Cause is the reason why a message earned less than it could have.
 type Cause int
 
-// The causes. Those with room are of messages whose destination passed less than roomShare of what it can and refused
-// nothing, while they waited or were refused: somebody could have sent them. What it can is its limit, or what it passed in
-// its best two seconds of the day if that is less: what endpoints serve together hangs on which messages come and where
-// from, and can't be told from the day's description. So room is told too rarely for a destination that never had enough to do.
+// The causes. "WithCapacity" means that the destination executed less than saturatedShare of its capacity, and rejected
+// no call over its limit, while the message waited or was refused: some node could have sent it. The capacity is the
+// rate limit, or the rate of the destination's best two seconds of the day if that is lower. The second bound is
+// measured because the throughput of the endpoints depends on which messages arrive from where, which the day's
+// description does not say. For a destination that never had enough traffic, spare capacity is therefore reported too
+// rarely.
 const (
-	RefusedSaturated    Cause = iota // refused at arrival, and the destination was used up
-	RefusedWithCapacity              // refused at arrival though there was room
-	WaitedSaturated                  // waited for a call, and the destination was used up
-	WaitedWithCapacity               // waited for a call though there was room
-	ZonePartitioned                  // its sender's zone was cut off
-	DestinationDegraded              // refused or waited while an endpoint of its destination was down, or cold after it
-	OverLimit                        // its calls were refused over a limit
-	EndpointDown                     // its calls met an endpoint that was down, or nothing
-	Retried                          // its calls failed otherwise, or their answers were lost
-	SlowEndpoint                     // it was called in time, and the partner was slow
-	NodeDown                         // its node was dead
+	RefusedSaturated    Cause = iota // refused at arrival; the destination was saturated
+	RefusedWithCapacity              // refused at arrival although the destination had spare capacity
+	WaitedSaturated                  // waited for a call; the destination was saturated
+	WaitedWithCapacity               // waited for a call although the destination had spare capacity
+	ZonePartitioned                  // the zone of its node was partitioned from the others
+	DestinationDegraded              // refused, or waited, while an endpoint of its destination was down or cold after an outage
+	OverLimit                        // its calls were rejected
+	EndpointDown                     // its calls went to an endpoint that was down or did not connect
+	Retried                          // its calls failed otherwise, or their responses were lost
+	SlowEndpoint                     // sent in time, but the endpoint was slow
+	NodeDown                         // its node was down
 	causeCount
 )
 
@@ -44,17 +46,18 @@
 	"sent to the dead", "failed and tried again", "slow partner", "node was dead",
 }
 
+// String returns the name of the cause, which is also its key in reports.
 func (c Cause) String() string { return causeNames[c] }
 
 const (
-	saturatedShare      = 0.85
-	binSize             = 500 * time.Millisecond
-	arrivalRefusalTime  = 50 * time.Millisecond // a refusal so soon is one at arrival
-	fairnessWindow      = 10 * time.Second
-	minFairnessMessages = 3 // messages of a sender in a window, to be counted for fairness
+	saturatedShare      = 0.85                   // share of its capacity from which on a destination counts as saturated
+	binSize             = 500 * time.Millisecond // length of a bin
+	arrivalRefusalTime  = 50 * time.Millisecond  // a refusal within this time is one at arrival
+	fairnessWindow      = 10 * time.Second       // the shares of senders are compared in windows of this length
+	minFairnessMessages = 3                      // senders with fewer messages in a window are left out
 )
 
-// The phases of a day: before its first trouble, while one lasts, and after.
+// The phases of a day: before its first fault, until the end of its last one, and after that.
 const (
 	beforeFaults = iota
 	duringFaults
@@ -64,43 +67,44 @@
 
 var phaseNames = [phaseCount]string{"before", "during", "after"}
 
-// message is a client's first try and all that came of it.
+// message is a client's message over all its submissions.
 type message struct {
 	at, deadline     time.Duration
 	class, dest      int
 	node, tenant     int
 	maxWorth, earned float64
-	deliveredAt      time.Duration // 0 for not
+	deliveredAt      time.Duration // 0 if not delivered
 	refusedAtArrival bool
 	nodeUnavailable  bool
-	submittedAt      time.Duration // last
-	firstSentAt      time.Duration // 0 for never
-	timeByCause      [causeCount]time.Duration
-	sentAt           map[int]time.Duration // attempts that are out, of the last hand-in
-	endpointOf       map[int]string
+	submittedAt      time.Duration             // of the last submission
+	firstSentAt      time.Duration             // 0 if never sent
+	timeByCause      [causeCount]time.Duration // time that its attempts took, by cause
+	sentAt           map[int]time.Duration     // attempts in progress, of the last submission
+	endpointOf       map[int]string            // endpoint of each attempt
 }
 
+// bin counts the calls that a destination executed and rejected over its limit in a span of binSize.
 type bin struct {
 	executed, overLimit int
-	degraded            bool // some endpoint was down or cold
+	degraded            bool // an endpoint was down or cold
 }
 
-// Ledger gathers a day. It is an Observer.
+// Ledger collects what the report of a day needs. It implements model.Observer.
 type Ledger struct {
 	day          *model.Day
 	messages     map[string]*message
-	order        []*message
-	bins         [][]bin   // by destination
-	limitRates   []float64 // calls a second, by the limit
-	down         map[string]bool
-	peakRates    []float64       // of best, once the day is over
-	downCounts   []int           // endpoints of each destination
-	coldUntil    []time.Duration // until then
-	destOf       map[string]int  // of endpoints
-	longestWaits []time.Duration // of each sender, the longest for a first call
+	order        []*message      // in the order of first submission
+	bins         [][]bin         // by destination
+	limitRates   []float64       // calls per second that the rate limit allows, by destination
+	down         map[string]bool // endpoints that are down
+	peakRates    []float64       // see peakRate; computed at the end of the day
+	downCounts   []int           // number of endpoints that are down, by destination
+	coldUntil    []time.Duration // by destination
+	destOf       map[string]int  // destination of each endpoint
+	longestWaits []time.Duration // longest time until the first call of a message, by node
 }
 
-// New is for a day.
+// New creates the ledger of a run of a day.
 func New(day *model.Day) *Ledger {
 	l := &Ledger{
 		day: day, messages: map[string]*message{}, bins: make([][]bin, len(day.Dests)), limitRates: make([]float64, len(day.Dests)),
@@ -117,6 +121,7 @@
 	return l
 }
 
+// bin returns the bin of a time. Bins that are created on the way take the destination's present condition.
 func (l *Ledger) bin(dest int, at time.Duration) *bin {
 	i := int(max(at, 0) / binSize)
 	for len(l.bins[dest]) <= i {
@@ -126,7 +131,7 @@
 	return &l.bins[dest][i]
 }
 
-// Observe hears of everything.
+// Observe handles an event. It implements model.Observer.
 func (l *Ledger) Observe(e *model.Event) {
 	switch e.Kind {
 	case model.OutageBegan:
@@ -158,7 +163,7 @@
 	if m == nil {
 		return
 	}
-	l.bin(m.dest, e.At) // as it is at this moment
+	l.bin(m.dest, e.At) // creates the bins up to now in the present condition
 	switch e.Kind {
 	case model.NodeUnavailable:
 		m.nodeUnavailable = true
@@ -195,7 +200,7 @@
 	m.submittedAt, m.nodeUnavailable, m.sentAt, m.endpointOf = e.At, false, map[int]time.Duration{}, map[int]string{}
 }
 
-// ended books the time that an attempt took to the cause that its outcome names.
+// attemptEnded adds the time that an attempt took to the cause that its outcome indicates.
 func (l *Ledger) attemptEnded(m *message, e *model.Event) {
 	began, out := m.sentAt[e.Attempt]
 	if !out {
@@ -214,9 +219,10 @@
 	delete(m.sentAt, e.Attempt)
 }
 
+// peakBins is the number of bins over which peakRate looks for the maximum: two seconds.
 const peakBins = 4
 
-// best is what a destination passed in a second of its best two.
+// peakRate returns the calls per second that a destination executed in its best two seconds.
 func peakRate(bins []bin) float64 {
 	sum, most := 0, 0
 	for i, b := range bins {
@@ -228,7 +234,8 @@
 	return float64(most) / (peakBins * binSize.Seconds())
 }
 
-// room tells whether a destination could have taken more in a span, and whether all its endpoints were well.
+// hadCapacity reports whether a destination had spare capacity in a period, and whether none of its endpoints was down
+// or cold.
 func (l *Ledger) hadCapacity(dest int, from, to time.Duration) (room, well bool) {
 	well = true
 	passed, refused, most, can := 0, 0, 0.0, l.peakRates[dest]
@@ -247,7 +254,7 @@
 	return refused == 0 && float64(passed) < most, well
 }
 
-// part is how much of what it can a destination could at a moment, by the day's troubles.
+// capacityFactor returns the share of its capacity that a destination had at a time, given the faults of the day.
 func (l *Ledger) capacityFactor(dest int, at time.Duration) float64 {
 	part := 1.0
 	at -= model.StartTime()
@@ -263,7 +270,7 @@
 	return part
 }
 
-// cut tells whether a node's zone was cut off at some moment of a span.
+// partitioned reports whether a node's zone was partitioned from the others at some time in a period.
 func (l *Ledger) partitioned(node int, from, to time.Duration) bool {
 	for _, t := range l.day.Faults {
 		begins := t.At + model.StartTime()
@@ -274,8 +281,9 @@
 	return false
 }
 
-// cause is what took most of a message's time, of what it lost worth by.
+// cause returns the cause that took most of a message's time.
 func (l *Ledger) cause(m *message) Cause {
+	// full chooses between the causes for a destination with and without spare capacity; outages come first.
 	full := func(room, full Cause, from, to time.Duration) Cause {
 		switch some, well := l.hadCapacity(m.dest, from, to); {
 		case l.partitioned(m.node, from, to):
@@ -287,7 +295,7 @@
 		}
 		return full
 	}
-	aim := l.day.Settings.Classes[m.class].Aim // by then it would have been worth all
+	aim := l.day.Settings.Classes[m.class].Aim // a delivery by then would have earned the full worth
 	if m.firstSentAt == 0 {
 		switch {
 		case m.nodeUnavailable:
@@ -298,7 +306,7 @@
 		return full(WaitedWithCapacity, WaitedSaturated, m.at, m.deadline)
 	}
 	best, most := full(WaitedWithCapacity, WaitedSaturated, m.at, m.firstSentAt), m.firstSentAt-m.at
-	if m.refusedAtArrival { // it came again, and the time in between is the refusal's
+	if m.refusedAtArrival { // the client submitted it again; the time in between is due to the refusal
 		best = full(RefusedWithCapacity, RefusedSaturated, m.at, m.at+aim)
 	}
 	for c, spent := range m.timeByCause {
@@ -309,6 +317,7 @@
 	return best
 }
 
+// phase returns the phase of the day at a time.
 func (l *Ledger) phase(at time.Duration) int {
 	at -= model.StartTime()
 	begins, ends := time.Duration(math.MaxInt64), time.Duration(0)
@@ -324,16 +333,17 @@
 	return afterFaults
 }
 
-// Report is where the worth of a day went, as shares of all that was asked for, and how fairly senders were served.
+// Report says which share of the possible worth was earned on a day, to which causes the rest was lost, and how fairly
+// senders were served.
 type Report struct {
 	Served   float64                       `json:"served"`
-	Lost     map[string]float64            `json:"lost"`     // by cause
-	ByPhase  map[string]map[string]float64 `json:"by_phase"` // and phase
-	ByKind   map[int]map[string]float64    `json:"by_kind"`  // and kind of destination
+	Lost     map[string]float64            `json:"lost"`     // by cause, as a share of the possible worth
+	ByPhase  map[string]map[string]float64 `json:"by_phase"` // by phase and cause
+	ByKind   map[int]map[string]float64    `json:"by_kind"`  // by kind of destination and cause
 	Fairness map[string]float64            `json:"fair"`
 }
 
-// Report closes the ledger.
+// Report closes the ledger and returns the report.
 func (l *Ledger) Report() Report {
 	l.peakRates = make([]float64, len(l.bins))
 	for i, b := range l.bins {
@@ -367,9 +377,11 @@
 	return r
 }
 
-// fairness is Jain's index of the share of worth that senders get, and the worst share, in windows of ten seconds over
-// those that asked for some messages there; the longest wait of any sender for a first call; and the same by tenant and
-// zone over the day.
+// fairness returns the measures of fairness between senders, that is, nodes. jain_10s is the lowest Jain's index of the
+// shares of worth that they earned in a window of ten seconds, and worst_10s the lowest such share; both leave out
+// senders with fewer than minFairnessMessages messages in the window. wait_longest_s is the longest time in seconds
+// until the first call of a message. jain_tenant and jain_zone are Jain's index over tenants and over zones for the
+// whole day.
 //
 // Source of the index: Jain, Chiu and Hawe, A quantitative measure of fairness, DEC TR-301, 1984.
 func (l *Ledger) fairness() map[string]float64 {
@@ -421,7 +433,8 @@
 	return out
 }
 
-// Jain is the fairness index of shares: 1 where all are equal, 1/n where one has all. Of none, and of all zero, it is 1.
+// Jain returns Jain's fairness index of shares: 1 if all n are equal, 1/n if one has everything. It is 1 if there are
+// no shares or all are zero.
 func Jain(shares []float64) float64 {
 	if len(shares) == 0 {
 		return 1
--- a/internal/lab/losses/losses_test.go
+++ b/internal/lab/losses/losses_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// Each cause is named by what happened, and nothing else.
+// Each sequence of events is attributed to the cause that it shows, and to no other.
 func TestCauseOfEachLoss(t *testing.T) {
 	at := func(d time.Duration, w model.EventKind, e model.Event) model.Event {
 		e.At, e.Kind, e.Msg, e.FirstID, e.Endpoint, e.Deadline, e.InQuota = d+model.StartTime(), w, "m", "m", "e", 10*s+model.StartTime(), true
@@ -37,8 +37,8 @@
 	answer := func(d time.Duration, o choice.Outcome) model.Event {
 		return at(d, model.Answered, model.Event{Outcome: o})
 	}
-	busy := func() (out []model.Event) { // the destination passes what it can
-		for i := range 120 { // from before it is handed in
+	busy := func() (out []model.Event) { // the destination executes calls at its limit
+		for i := range 120 { // from before the message is submitted
 			out = append(out, at(time.Duration(i-5)*100*time.Millisecond, model.Executed, model.Event{}))
 		}
 		return out
@@ -47,26 +47,26 @@
 		events []model.Event
 		want   Cause
 	}{
-		"no room at arrival":   {append(busy(), in, answer(0, choice.Rejected)), RefusedSaturated},
-		"room at arrival":      {[]model.Event{in, answer(0, choice.Rejected)}, RefusedWithCapacity},
-		"waited in vain":       {append(busy(), in, answer(9*s, choice.Rejected)), WaitedSaturated},
-		"waited for nothing":   {[]model.Event{in, answer(9*s, choice.Rejected)}, WaitedWithCapacity},
-		"late, with room":      {[]model.Event{in, sent(4*s, 0), ended(5*s, 0, choice.Success), answer(5*s, choice.Success)}, WaitedWithCapacity},
-		"over the limit":       {[]model.Event{in, sent(0, 0), ended(3*s, 0, choice.Rejected), sent(4*s, 1), ended(5*s, 1, choice.Success), answer(5*s, choice.Success)}, OverLimit},
-		"nothing there":        {[]model.Event{in, sent(0, 0), ended(3*s, 0, choice.ConnectFailed), answer(9*s, choice.Rejected)}, EndpointDown},
-		"down":                 {[]model.Event{in, at(0, model.OutageBegan, model.Event{}), sent(0, 0), ended(3*s, 0, choice.TimedOut), answer(9*s, choice.ServerError)}, EndpointDown},
-		"its answer got lost":  {[]model.Event{in, sent(0, 0), ended(3*s, 0, choice.ConnReset), answer(9*s, choice.ServerError)}, Retried},
-		"the partner was slow": {[]model.Event{in, sent(0, 0), ended(3*s, 0, choice.Success), answer(3*s, choice.Success)}, SlowEndpoint},
-		"refused in an outage": {[]model.Event{at(0, model.OutageBegan, model.Event{}), in, answer(0, choice.Rejected)}, DestinationDegraded},
-		"refused after one":    {[]model.Event{at(-4*s, model.OutageBegan, model.Event{}), at(-3*s, model.OutageEnded, model.Event{}), in, answer(0, choice.Rejected)}, DestinationDegraded},
-		"its zone was cut":     {[]model.Event{at(101*s, model.Submitted, model.Event{Node: 1}), at(101*s, model.Answered, model.Event{Node: 1, Outcome: choice.Rejected})}, ZonePartitioned},
-		"the node was dead":    {[]model.Event{in, at(0, model.NodeUnavailable, model.Event{})}, NodeDown},
+		"refused at arrival, saturated":     {append(busy(), in, answer(0, choice.Rejected)), RefusedSaturated},
+		"refused at arrival, with capacity": {[]model.Event{in, answer(0, choice.Rejected)}, RefusedWithCapacity},
+		"waited, saturated":                 {append(busy(), in, answer(9*s, choice.Rejected)), WaitedSaturated},
+		"waited, with capacity":             {[]model.Event{in, answer(9*s, choice.Rejected)}, WaitedWithCapacity},
+		"late, with capacity":               {[]model.Event{in, sent(4*s, 0), ended(5*s, 0, choice.Success), answer(5*s, choice.Success)}, WaitedWithCapacity},
+		"over the limit":                    {[]model.Event{in, sent(0, 0), ended(3*s, 0, choice.Rejected), sent(4*s, 1), ended(5*s, 1, choice.Success), answer(5*s, choice.Success)}, OverLimit},
+		"connect failed":                    {[]model.Event{in, sent(0, 0), ended(3*s, 0, choice.ConnectFailed), answer(9*s, choice.Rejected)}, EndpointDown},
+		"down":                              {[]model.Event{in, at(0, model.OutageBegan, model.Event{}), sent(0, 0), ended(3*s, 0, choice.TimedOut), answer(9*s, choice.ServerError)}, EndpointDown},
+		"response lost":                     {[]model.Event{in, sent(0, 0), ended(3*s, 0, choice.ConnReset), answer(9*s, choice.ServerError)}, Retried},
+		"slow endpoint":                     {[]model.Event{in, sent(0, 0), ended(3*s, 0, choice.Success), answer(3*s, choice.Success)}, SlowEndpoint},
+		"refused during an outage":          {[]model.Event{at(0, model.OutageBegan, model.Event{}), in, answer(0, choice.Rejected)}, DestinationDegraded},
+		"refused after an outage":           {[]model.Event{at(-4*s, model.OutageBegan, model.Event{}), at(-3*s, model.OutageEnded, model.Event{}), in, answer(0, choice.Rejected)}, DestinationDegraded},
+		"zone partitioned":                  {[]model.Event{at(101*s, model.Submitted, model.Event{Node: 1}), at(101*s, model.Answered, model.Event{Node: 1, Outcome: choice.Rejected})}, ZonePartitioned},
+		"node down":                         {[]model.Event{in, at(0, model.NodeUnavailable, model.Event{})}, NodeDown},
 	} {
 		l := New(day())
 		for _, e := range c.events {
 			l.Observe(&e)
 		}
-		for i := range 20 { // what it can, long after
+		for i := range 20 { // calls at the destination's limit, long afterwards, so that its peak rate is known
 			l.Observe(&model.Event{At: model.StartTime() + 200*s + time.Duration(i)*100*time.Millisecond, Kind: model.Executed})
 		}
 		r := l.Report()
@@ -76,8 +76,8 @@
 	}
 }
 
-// Whatever happens in whatever order, what is served and what is lost come to all that was asked for, by cause, by phase and
-// by kind.
+// For any events in any order, the worth earned and the worth lost add up to all that was possible, by cause, by phase
+// and by kind of destination.
 func TestServedAndLostAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l, now := New(day()), time.Duration(0)
@@ -104,7 +104,7 @@
 				}
 			}
 			if math.Abs(sum-1) > 1e-9 {
-				t.Fatalf("%s: served and lost come to %v", name, sum)
+				t.Fatalf("%s: served and lost shares add up to %v instead of 1", name, sum)
 			}
 		}
 		if j := r.Fairness["jain_10s"]; j < 0 || j > 1+1e-9 {
--- a/internal/lab/losses/print.go
+++ b/internal/lab/losses/print.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 )
 
-// Print writes a report for people: points are hundredths of the worth that was asked for.
+// Print writes the report as text. Lost points are hundredths of the possible worth.
 func (r Report) Print(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	kinds := slices.Sorted(maps.Keys(r.ByKind))
--- a/internal/lab/model/remote.go
+++ b/internal/lab/model/remote.go
@@ -164,8 +164,8 @@
 	return ListEntry{e.id, e.zone, e.dest.spec.Kind, e.dest.id, phase, e.dest.spec.Weight}
 }
 
-// HandleCall handles a call of a real node that has reached an endpoint completely. It must run on the world's goroutine,
-// which also calls reply, once, unless the endpoint never responds.
+// HandleCall handles a call of a real node that has reached an endpoint completely. It must run on the world's
+// goroutine, which also calls reply, once, unless the endpoint never responds.
 func (w *World) HandleCall(node int, endpoint, id string, reply func(o choice.Outcome, wait time.Duration)) {
 	e, n := w.endpoints[endpoint], w.nodes[node].(*remoteNode)
 	m := n.messages[id]
--- a/internal/lab/model/simnode.go
+++ b/internal/lab/model/simnode.go
@@ -8,8 +8,8 @@
 	"harrierramp/choice"
 )
 
-// The restart of a node by SIGTERM, in delays after the signal: the node works normally until shutdownDelay, then starts
-// no new calls, is killed at exitDelay, and starts again at restartDelay.
+// The restart of a node by SIGTERM, in delays after the signal: the node works normally until shutdownDelay, then
+// starts no new calls, is killed at exitDelay, and starts again at restartDelay.
 const (
 	shutdownDelay = 1200 * time.Millisecond
 	exitDelay     = 2700 * time.Millisecond
--- a/internal/lab/policy/admission.go
+++ b/internal/lab/policy/admission.go
@@ -6,18 +6,20 @@
 	"time"
 )
 
-// admission decides at one destination whether a message is taken on, and whether one may go out.
+// admission is an admission control for one destination. It decides whether new messages are admitted and whether
+// waiting ones may be sent.
 type admission interface {
 	admit(now time.Duration, d *destination) bool
 	maySend(now time.Duration, d *destination) bool
-	// heard takes a response, from arrival to outcome, in seconds.
+	// observe is told the outcome of an attempt, with the time in seconds since the message's arrival. passed says that
+	// the message was delivered.
 	observe(now time.Duration, response float64, passed bool)
 }
 
 type newAdmission func(r *rand.Rand) admission
 
-// admitters are the textbook ways to admit. BBC, OCC, CS and LC are the paper's, on the ratio of the smoothed response
-// time to the lowest average seen.
+// admissions are published admission controls. BBC, OCC, CS and LC are those of the paper that the design refers to;
+// their input is responseRatio.
 var admissions = map[string]newAdmission{
 	"none":     func(*rand.Rand) admission { return &admitAll{} },
 	"bbc60-80": func(*rand.Rand) admission { return &bangBang{lower: 60, upper: 80} },
@@ -32,7 +34,7 @@
 	"tokens":   func(*rand.Rand) admission { return &tokenBucket{} },
 }
 
-// ratio is the paper's measure.
+// responseRatio is the load measure of the paper: the smoothed response time divided by its lowest value so far.
 type responseRatio struct{ average, lowest float64 }
 
 func (r *responseRatio) observe(_ time.Duration, response float64, _ bool) {
@@ -56,10 +58,11 @@
 func (*admitAll) admit(time.Duration, *destination) bool   { return true }
 func (*admitAll) maySend(time.Duration, *destination) bool { return true }
 
-// idle lets a single message through a shut gate at which nothing else waits, or it could never open again.
+// nothingPending reports that a destination has no messages waiting or in progress. A closed gate still admits a
+// message then; otherwise there would be no responses, and the gate could never open again.
 func nothingPending(d *destination) bool { return d.queued+d.inProgress == 0 }
 
-// bbc is bang-bang control: shut above the upper bound, open again below the lower.
+// bangBang is bang-bang control (BBC): the gate closes above the upper bound and opens again below the lower one.
 type bangBang struct {
 	responseRatio
 	lower, upper float64
@@ -76,7 +79,7 @@
 }
 func (*bangBang) maySend(time.Duration, *destination) bool { return true }
 
-// occ is occupancy control: the further above the point, the less likely a message is admitted.
+// occupancy is occupancy control (OCC): above the threshold, messages are admitted with probability threshold/ratio.
 type occupancy struct {
 	responseRatio
 	threshold float64
@@ -89,7 +92,7 @@
 }
 func (*occupancy) maySend(time.Duration, *destination) bool { return true }
 
-// cs is call spacing: above the point, one message in each span.
+// callSpacing is call spacing (CS): above the threshold, one message is admitted per interval.
 type callSpacing struct {
 	responseRatio
 	threshold float64
@@ -109,7 +112,7 @@
 }
 func (*callSpacing) maySend(time.Duration, *destination) bool { return true }
 
-// lc is level control: nothing above the level.
+// levelControl is level control (LC): above the threshold, no messages are admitted.
 type levelControl struct {
 	responseRatio
 	threshold float64
@@ -120,7 +123,8 @@
 }
 func (*levelControl) maySend(time.Duration, *destination) bool { return true }
 
-// aimd bounds the calls out: one more for a limit's worth of passes, half as many after a failure (Chiu and Jain).
+// aimd bounds the calls in progress by additive increase, multiplicative decrease (Chiu and Jain): the limit grows by
+// one after as many deliveries as the limit, and halves after a failure, at most once per 250 ms.
 type aimd struct {
 	admitAll
 	limit       float64
@@ -137,8 +141,8 @@
 	}
 }
 
-// gradient bounds the calls out by the gradient of latency, as published for adaptive concurrency limits: the limit is
-// scaled by the ratio of the long-term to the present latency, plus room for a queue.
+// gradient bounds the calls in progress by the gradient of latency, as published for adaptive concurrency limits: the
+// limit is scaled by the ratio of the long-term to the short-term latency, plus room for a queue.
 type gradient struct {
 	admitAll
 	limit, long, short float64
@@ -162,8 +166,8 @@
 	g.limit = min(1000, max(1, 0.8*g.limit+0.2*(g.limit*slope+math.Sqrt(g.limit))))
 }
 
-// tokens sends at an even share of the limit that the list tells, as a sender does that knows the true limit and
-// nothing of the others.
+// tokenBucket sends at an equal share of the rate limit that the list states, as a sender does that knows the limit but
+// not the load of the other nodes.
 type tokenBucket struct {
 	admitAll
 	tokens    float64
--- a/internal/lab/policy/oracle.go
+++ b/internal/lab/policy/oracle.go
@@ -7,13 +7,13 @@
 	"harrierramp/internal/lab/model"
 )
 
-// newBound is a policy that sees the true state of every endpoint and what all nodes have on the way: it sends only
-// where there is room now, and takes on what it has a place for. No real one can do that; what it reaches is about what
-// can be had.
+// newOracle returns an idealized policy that sees the true state of every endpoint and the calls that all nodes have in
+// transit. It admits every message and sends only to endpoints with spare capacity. No real policy can do this; its
+// result is an approximate upper bound.
 func newOracle() model.PolicyFactory {
 	type shared struct {
 		w   *model.World
-		out map[string]int // calls on the way, by what limits them
+		out map[string]int // calls in transit, by the rate limit that applies to them
 	}
 	var s *shared
 	return func(w *model.World, cfg choice.Settings, seed uint64) model.Policy {
@@ -35,7 +35,7 @@
 			if best != nil {
 				at := w.LimitKey(best.id)
 				all.out[at]++
-				// It has arrived by then, and counts among what the endpoint has.
+				// By then the call has arrived, and SpareCapacity counts it.
 				w.After(w.OneWayDelay(zone, best.zone), func() { all.out[at]-- })
 			}
 			return best
--- a/internal/lab/policy/picker.go
+++ b/internal/lab/policy/picker.go
@@ -1,9 +1,9 @@
 package policy
 
-// picker chooses among the endpoints that a message may go to; nil sends nothing.
+// picker chooses among the endpoints that a message may be sent to. If it returns nil, the message is not sent.
 type picker func(t *referenceSender, fit []*endpoint) *endpoint
 
-// pickers are the textbook ways to choose.
+// pickers are published algorithms for choosing an endpoint.
 var pickers = map[string]func() picker{
 	"uniform": func() picker {
 		return func(t *referenceSender, fit []*endpoint) *endpoint { return fit[t.rng.IntN(len(fit))] }
@@ -21,7 +21,7 @@
 			return leastCost(t, fit, func(p *endpoint) float64 { return float64(p.inProgress) })
 		}
 	},
-	// Mitzenmacher's power of two choices: of two drawn, the one with fewer out.
+	// Mitzenmacher's power of two choices: of two endpoints drawn at random, the one with fewer calls in progress.
 	"two-choices": func() picker {
 		return func(t *referenceSender, fit []*endpoint) *endpoint {
 			a, b := fit[t.rng.IntN(len(fit))], fit[t.rng.IntN(len(fit))]
@@ -31,7 +31,7 @@
 			return a
 		}
 	},
-	// LRT-w-FB of the paper that the design names: the lowest smoothed response time.
+	// LRT-w-FB of the paper that the design refers to: the lowest smoothed response time.
 	"lrt": func() picker {
 		return func(t *referenceSender, fit []*endpoint) *endpoint {
 			return leastCost(t, fit, func(p *endpoint) float64 { return p.meanResponse })
@@ -39,7 +39,7 @@
 	},
 }
 
-// least is the one with the least, the first of equals being drawn.
+// leastCost returns the endpoint with the lowest cost. The search starts at a random one, which decides among equals.
 func leastCost(t *referenceSender, eligible []*endpoint, cost func(*endpoint) float64) *endpoint {
 	first := t.rng.IntN(len(eligible))
 	best := eligible[first]
--- a/internal/lab/policy/policy.go
+++ b/internal/lab/policy/policy.go
@@ -1,6 +1,7 @@
-// Package policy has what decides in the lab: the project's own sender, and textbook ones to hold it against. The
-// textbook ones keep the rules that any sender must keep (one copy out, waits, drains, the classes' effects, answers in
-// time) and otherwise do what their name says and no more.
+// Package policy provides the policies that the lab compares: the project's own sender (choice.Sender), reference
+// senders with published load balancing and admission control algorithms, and an idealized upper bound. The reference
+// senders keep the rules for every sender (one call in progress per message, Retry-After, drains, the effects of the
+// classes, final answers in time) and otherwise do only what their algorithm says.
 package policy
 
 import (
@@ -14,12 +15,12 @@
 	"harrierramp/internal/lab/model"
 )
 
-// Named makes a policy by its name. See Names.
+// Named returns the factory of the policy with the given name. See Names.
 func Named(name string) (model.PolicyFactory, error) {
 	switch name {
 	case "ours":
 		return func(_ *model.World, s choice.Settings, seed uint64) model.Policy { return choice.New(s, seed) }, nil
-	case "ours-alone": // without notes between nodes
+	case "ours-alone": // without datagrams between nodes
 		return func(_ *model.World, s choice.Settings, seed uint64) model.Policy {
 			s.PeerDatagrams = false
 			return choice.New(s, seed)
@@ -30,21 +31,22 @@
 	pick, admit, _ := strings.Cut(name, "+")
 	p, ok := pickers[pick]
 	if !ok {
-		return nil, fmt.Errorf("no policy %q: one of %s", name, strings.Join(Names(), ", "))
+		return nil, fmt.Errorf("no policy %q: must be one of %s", name, strings.Join(Names(), ", "))
 	}
 	if admit == "" {
 		admit = "none"
 	}
 	a, ok := admissions[admit]
 	if !ok {
-		return nil, fmt.Errorf("policy %q: no admission %q: one of %s", name, admit, strings.Join(sorted(admissions), ", "))
+		return nil, fmt.Errorf("policy %q: unknown admission control %q: must be one of %s", name, admit, strings.Join(sorted(admissions), ", "))
 	}
 	return func(w *model.World, s choice.Settings, seed uint64) model.Policy {
 		return newReferenceSender(w, s, seed, p(), a)
 	}, nil
 }
 
-// Names are the policies; any picker may be followed by + and an admission.
+// Names lists the names of policies. Besides these, any picker may be followed by + and the name of an admission
+// control, as in "uniform+aimd".
 func Names() []string {
 	out := []string{"ours", "ours-alone", "bound"}
 	for _, p := range sorted(pickers) {
@@ -58,6 +60,7 @@
 	return out
 }
 
+// sorted returns the keys of a map in order.
 func sorted[V any](m map[string]V) (out []string) {
 	for k := range m {
 		out = append(out, k)
@@ -67,15 +70,15 @@
 }
 
 const (
-	answerMargin       = 15 * time.Millisecond  // final answers are given so long before the deadline
-	baseBackoff        = 100 * time.Millisecond // of a message after a failure, doubled each time
-	attemptTimeoutAims = 2.0                    // aims that an attempt may take where a repeat is allowed
-	wakeInterval       = 20 * time.Millisecond
-	ewmaWeight         = 0.2
-	minResponse        = 5 * time.Millisecond
+	answerMargin       = 15 * time.Millisecond  // final answers are given this long before the deadline
+	baseBackoff        = 100 * time.Millisecond // pause of a message after a failed attempt, doubled each time
+	attemptTimeoutAims = 2.0                    // attempt timeout, in aims of the class, where a repeat is allowed
+	wakeInterval       = 20 * time.Millisecond  // between steps while messages are open
+	ewmaWeight         = 0.2                    // weight of a new sample in smoothed response times
+	minResponse        = 5 * time.Millisecond   // shorter response times count as this in responseRatio
 )
 
-// textbook is a sender with a picker and an admission.
+// referenceSender is a sender with a picker, which chooses endpoints, and an admission control for each destination.
 type referenceSender struct {
 	world        *model.World
 	cfg          choice.Settings
@@ -87,18 +90,19 @@
 	destinations map[int]*destination
 	endpoints    map[string]*endpoint
 	messages     map[string]*message
-	queue        []*message // in the order of arrival
+	queue        []*message // open messages in the order of arrival
 	inProgress   map[attemptKey]*attempt
 	wakeAt       time.Duration
 	shuttingDown bool
 }
 
+// attemptKey identifies an attempt of a message.
 type attemptKey struct {
 	id      string
 	attempt int
 }
 
-// target is a destination as a textbook sender knows it.
+// destination is what a reference sender knows about a destination.
 type destination struct {
 	id         int
 	endpoints  []*endpoint
@@ -108,7 +112,7 @@
 	inProgress int
 }
 
-// point is an endpoint as it knows it.
+// endpoint is what a reference sender knows about an endpoint.
 type endpoint struct {
 	id            string
 	dest          *destination
@@ -116,11 +120,13 @@
 	separateRoute bool
 	ready         bool
 	inProgress    int
-	meanResponse  float64 // smoothed, in seconds; 0 for none yet
+	meanResponse  float64 // smoothed response time in seconds; 0 before the first response
 	retryAt       time.Duration
 	weight        float64
 }
 
+// message is an open message. mayHaveRun says that an attempt may have been executed where that restricts repeats; the
+// firstRun fields then describe the first such attempt.
 type message struct {
 	choice.MessageArrived
 	class          choice.Class
@@ -134,6 +140,7 @@
 	finished       bool
 }
 
+// attempt is an attempt in progress.
 type attempt struct {
 	message  *message
 	endpoint *endpoint
@@ -147,7 +154,7 @@
 	}
 }
 
-// Step decides. (model.Policy)
+// Step handles events and returns the actions that follow. It implements model.Policy.
 func (t *referenceSender) Step(now time.Duration, events []choice.Event) []choice.Action {
 	t.now, t.actions = now, nil
 	for _, e := range events {
@@ -177,6 +184,7 @@
 
 func (t *referenceSender) emit(a choice.Action) { t.actions = append(t.actions, a) }
 
+// destination returns the state of a destination, which it creates if necessary.
 func (t *referenceSender) destination(id int) *destination {
 	d := t.destinations[id]
 	if d == nil {
@@ -189,6 +197,7 @@
 	return d
 }
 
+// updateList applies a list update; a whole list makes all endpoints that it does not name unavailable.
 func (t *referenceSender) updateList(l choice.ListUpdate) {
 	if l.Whole {
 		for _, p := range t.endpoints {
@@ -207,6 +216,7 @@
 	}
 }
 
+// enqueue adds a message that has been admitted.
 func (t *referenceSender) enqueue(a choice.MessageArrived) *message {
 	m := &message{MessageArrived: a, arrivedAt: t.now}
 	if a.Class >= 0 && a.Class < len(t.cfg.Classes) {
@@ -218,6 +228,7 @@
 	return m
 }
 
+// arrived admits or refuses a new message.
 func (t *referenceSender) arrived(a choice.MessageArrived) {
 	d := t.destination(a.Dest)
 	if !d.gate.admit(t.now, d) {
@@ -227,6 +238,7 @@
 	t.enqueue(a)
 }
 
+// finish forgets a message and emits a, its final answer, if it is not nil.
 func (t *referenceSender) finish(m *message, a choice.Action) {
 	if m.finished {
 		return
@@ -241,7 +253,7 @@
 	}
 }
 
-// giveUp ends a message as its effect allows.
+// giveUp ends an undelivered message: it is refused if that is safe for its effect, and failed if it may have run.
 func (t *referenceSender) giveUp(m *message) {
 	if m.class.Effect == choice.Idempotent || !m.mayHaveRun && !m.inProgress {
 		t.finish(m, choice.Refuse{ID: m.ID, RetryAfter: t.cfg.MaxRetryAfter})
@@ -250,6 +262,7 @@
 	t.finish(m, choice.Fail{ID: m.ID})
 }
 
+// expire gives up the messages whose deadline is near; those with a call in progress are kept until the deadline.
 func (t *referenceSender) expire() {
 	t.queue = slices.DeleteFunc(t.queue, func(m *message) bool {
 		if !m.finished && (!m.inProgress && t.now >= m.Deadline-answerMargin-t.cfg.Tick || t.now >= m.Deadline) {
@@ -259,6 +272,8 @@
 	})
 }
 
+// attemptEnded handles the outcome of an attempt: it updates the estimates and finishes the message or keeps it for a
+// retry.
 func (t *referenceSender) attemptEnded(e choice.AttemptEnded) {
 	f := t.inProgress[attemptKey{e.ID, e.Attempt}]
 	if f == nil {
@@ -305,7 +320,7 @@
 	}
 }
 
-// fit tells that an endpoint may be sent a message now.
+// eligible reports whether a message may be sent to an endpoint now.
 func (t *referenceSender) eligible(m *message, p *endpoint) bool {
 	if !p.ready || t.now < p.retryAt || t.now < p.dest.retryAt {
 		return false
@@ -317,7 +332,7 @@
 	return true
 }
 
-// release sends the waiting, the oldest first, while there are slots.
+// sendQueued sends waiting messages, the oldest first, while slots are free.
 func (t *referenceSender) sendQueued() {
 	for _, m := range t.queue {
 		if t.cfg.Slots > 0 && len(t.inProgress) >= t.cfg.Slots {
@@ -354,6 +369,7 @@
 	}
 }
 
+// scheduleWake requests the next step while messages are open.
 func (t *referenceSender) scheduleWake() {
 	if len(t.messages) > 0 && (t.wakeAt <= t.now) {
 		t.wakeAt = t.now + wakeInterval
