--- a/internal/lab/judge/result.go
+++ b/internal/lab/judge/result.go
@@ -155,7 +155,7 @@
 }
 
 var eventNames = []string{
-	"submitted", "accepted", "answered", "unheard", "sent", "began", "ran", "ended", "rejected over its limit", "notified of withdrawal",
+	"submitted by the client", "accepted by the node", "answered", "unheard", "sent", "began", "ran", "ended", "rejected over its limit", "notified of withdrawal",
 	"outage began", "outage ended", "destination collapsed", "died", "started", "datagram", "handshake", "strange",
 }
 
