--- a/internal/ingress/close_test.go
+++ b/internal/ingress/close_test.go
@@ -13,8 +13,9 @@
 	"harrierramp/internal/testkit"
 )
 
-// Whatever makes the node end a connection, a request that comes in that very moment neither takes the last answer with
-// it nor is served behind the end: the client reads what was written to it, then an end, never a reset.
+// Guards against losing the last answer when the node closes a connection, for whatever reason, at the moment that
+// another request arrives. Closing with unread input would reset the connection. The client must read the answer and
+// then EOF, and the late request must not be served.
 func TestCloseDeliversLastAnswerDespiteLateRequest(t *testing.T) {
 	late := testkit.EnqueueRequest("late", "c=notice,d=8000,dest=7", strings.Repeat("x", 2000))
 	ping, half := testkit.EncodeRESP("PING"), "*5\r\n$7\r\nENQ"
@@ -24,13 +25,13 @@
 		want  string // the last answer
 		end   func(t *testing.T, c *Server, addr string)
 	}{
-		"shutdown while it rests":       {4, ping, "+PONG\r\n", func(_ *testing.T, c *Server, _ string) { c.Close() }},
-		"shutdown inside a request":     {4, ping + half, "+PONG\r\n", func(_ *testing.T, c *Server, _ string) { c.Close() }},
-		"a newcomer wants the place":    {1, ping, "+PONG\r\n", func(t *testing.T, _ *Server, addr string) { testkit.Dial(t, addr) }},
-		"it has rested too long":        {4, ping, "+PONG\r\n", func(*testing.T, *Server, string) {}},
-		"a drain":                       {4, ping, "+PONG\r\n", func(_ *testing.T, c *Server, _ string) { c.Drain(true) }},
-		"a request that does not end":   {4, ping + half, "+PONG\r\n", func(*testing.T, *Server, string) {}},
-		"no request, and an error line": {4, "*1\r\n:4\r\n", "-ERR Protocol error: expected '$'\r\n", func(*testing.T, *Server, string) {}},
+		"shutdown while idle":          {4, ping, "+PONG\r\n", func(_ *testing.T, c *Server, _ string) { c.Close() }},
+		"shutdown inside a request":    {4, ping + half, "+PONG\r\n", func(_ *testing.T, c *Server, _ string) { c.Close() }},
+		"evicted for a new connection": {1, ping, "+PONG\r\n", func(t *testing.T, _ *Server, addr string) { testkit.Dial(t, addr) }},
+		"idle timeout":                 {4, ping, "+PONG\r\n", func(*testing.T, *Server, string) {}},
+		"a drain":                      {4, ping, "+PONG\r\n", func(_ *testing.T, c *Server, _ string) { c.Drain(true) }},
+		"request timeout":              {4, ping + half, "+PONG\r\n", func(*testing.T, *Server, string) {}},
+		"protocol error":               {4, "*1\r\n:4\r\n", "-ERR Protocol error: expected '$'\r\n", func(*testing.T, *Server, string) {}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -44,7 +45,7 @@
 				ended <- nc
 				<-goOn
 			}}, c.most, testkit.TestNames, func(q Request) Answer {
-				t.Errorf("%q is taken on behind the end", q.ID)
+				t.Errorf("request %q accepted after the close", q.ID)
 				return Answer{}
 			})
 			go s.Serve(t.Context())
@@ -52,7 +53,7 @@
 			if _, err := io.WriteString(nc, c.first); err != nil {
 				t.Fatal(err)
 			}
-			// The rest of the last answer is read after the end: a reset must not have taken it.
+			// Only peek here: the answer is read after the close, so that a reset would lose it.
 			if b, err := br.Peek(len(c.want)); string(b) != c.want {
 				t.Fatalf("%q, %v", b, err)
 			}
@@ -61,14 +62,14 @@
 				defer close(ending)
 				c.end(t, s, addr)
 			}()
-			near := <-ended // about to end its side
+			near := <-ended // about to close its write side
 			if _, err := io.WriteString(nc, late); err != nil {
 				t.Fatal(err)
 			}
 			testkit.WaitForPendingData(t, near)
 			close(goOn)
 			if got, err := io.ReadAll(br); err != nil || string(got) != c.want {
-				t.Errorf("the client reads %q, %v", got, err)
+				t.Errorf("client read %q, %v", got, err)
 			}
 			nc.Close()
 			<-ending
@@ -81,7 +82,7 @@
 	}
 }
 
-// slowClock is a connection whose process does not run for a while after each deadline that it sets.
+// stalledConn is a connection whose process stalls after setting a read deadline, until the deadline has passed.
 type stalledConn struct{ *net.TCPConn }
 
 func (s stalledConn) SetReadDeadline(at time.Time) error {
@@ -92,15 +93,15 @@
 	return err
 }
 
-// A request that lies in the socket when the wait for one has ended is seen, also by a node that does not run in time
-// to look: a deadline that has passed hides it.
+// Guards against overlooking a request that is in the receive buffer when the wait for one ends. A read with an expired
+// deadline fails without looking at the buffer, which also happens to a process that stalls past the deadline.
 func TestPollPendingFindsRequestAfterDeadline(t *testing.T) {
 	near, far := testkit.TCPPair(t)
 	nc := stalledConn{near}
 	in := &replayReader{src: nc}
 	interruptRead(nc)
 	if _, err := in.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) || pollPending(nc, in, err) {
-		t.Fatalf("%v, and a request where none has come", err)
+		t.Fatalf("%v, and a request was reported though none was sent", err)
 	}
 	if _, err := io.WriteString(far, testkit.EncodeRESP("PING")); err != nil {
 		t.Fatal(err)
@@ -108,17 +109,18 @@
 	testkit.WaitForPendingData(t, near)
 	interruptRead(nc)
 	if _, err := in.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) || !pollPending(nc, in, err) {
-		t.Fatalf("%v, and a request is not seen", err)
+		t.Fatalf("%v, and the pending request was not found", err)
 	}
 	if got := string(in.unanswered()); got != testkit.EncodeRESP("PING") {
-		t.Errorf("%q is left to be read", got)
+		t.Errorf("%q is to be replayed", got)
 	}
 	if pollPending(nc, in, io.EOF) {
-		t.Error("the end of a connection is taken for a request")
+		t.Error("EOF was taken for a request")
 	}
 }
 
-// Peers that rest and do not hang up when they are told to must not keep newcomers waiting: their places are had at once.
+// Guards against delays for new clients when all slots are held by idle clients that do not close their side: the
+// slots must be freed at once.
 func TestIdleConnsAreEvictedForNewClients(t *testing.T) {
 	c, addr := startTestServer(t, 8, func(Request) Answer { return Answer{} })
 	began := time.Now()
@@ -130,12 +132,12 @@
 		}
 	}
 	if took := time.Since(began); took > 20*lingerTimeout {
-		t.Errorf("40 newcomers wait for %v, and a client gives up after 400 ms", took)
+		t.Errorf("40 new clients waited %v altogether, and a client gives up after 400 ms", took)
 	}
 }
 
-// A connection that waits for a place when the node leaves is ended like the others, and does not keep the node from it:
-// all have their time at once.
+// Guards against Close hanging on a connection that still waits for a slot: it must be closed like the others, and all
+// connections must use up their time limits concurrently.
 func TestCloseEndsConnWaitingForSlot(t *testing.T) {
 	inside, goOn := make(chan struct{}), make(chan struct{})
 	c, addr := startTestServer(t, 1, func(Request) Answer {
@@ -157,9 +159,9 @@
 		c.Close()
 		close(closed)
 	}()
-	if _, err := waitsReader.ReadByte(); err != io.EOF { // a node that had not accepted it resets it: ECONNRESET
+	if _, err := waitsReader.ReadByte(); err != io.EOF { // a connection that was not accepted yet is reset: ECONNRESET
 		if !errors.Is(err, syscall.ECONNRESET) {
-			t.Errorf("the one that waits: %v", err)
+			t.Errorf("waiting connection: %v", err)
 		}
 	}
 	close(goOn)
--- a/internal/ingress/conn_handover.go
+++ b/internal/ingress/conn_handover.go
@@ -1,10 +1,10 @@
 package ingress
 
 type (
-	// movedClient is where a client's connection stands.
+	// ConnHandover is the state of a client connection that is handed over to another process of the node.
 	ConnHandover struct {
-		Unanswered           []byte `json:"Raw"`   // what has been read of requests without an answer
-		LastActivityUnixNano int64  `json:"Since"` // Unix nanoseconds: of its last answer
-		RequestStartUnixNano int64  `json:"Came"`  // Unix nanoseconds: of the request's first byte
+		Unanswered           []byte `json:"Raw"`   // bytes already read of requests without an answer
+		LastActivityUnixNano int64  `json:"Since"` // time of the last answer, or of the connection if there was none
+		RequestStartUnixNano int64  `json:"Came"`  // time of the first byte of Unanswered; no meaning if that is empty
 	}
 )
--- a/internal/ingress/fuzz_test.go
+++ b/internal/ingress/fuzz_test.go
@@ -10,7 +10,8 @@
 	"harrierramp/internal/testkit"
 )
 
-// Whatever a peer sends, the reader ends, holds no more than its bounds, and what it takes for a message is one.
+// FuzzRequests checks that for any input the reader terminates and stays within its size limits, and that every request
+// that the parser accepts is valid.
 func FuzzRequests(f *testing.F) {
 	f.Add([]byte(client.EncodeCommand("ENQUEUE", "0", "id", "c=notice,d=8000,dest=7,k=x", "body")))
 	f.Add([]byte("*1\r\n$1048577\r\n"))
@@ -30,14 +31,14 @@
 				held += len(a)
 			}
 			if held > maxArgs*maxBodyBytes || len(args) > maxArgs && raw[0] == '*' {
-				t.Fatalf("%d words of %d bytes", len(args), held)
+				t.Fatalf("%d arguments of %d bytes altogether", len(args), held)
 			}
 			if q, err := parseEnqueue(args, testkit.TestNames, time.Now()); err == nil {
 				if q.TTL < 0 || q.TTL > maxTTL || q.Class != 0 || q.Dest < 0 || !isHeaderSafe(q.ID) {
-					t.Fatalf("taken: %+v", q)
+					t.Fatalf("accepted invalid request: %+v", q)
 				}
 			}
 		}
-		t.Fatal("the reader does not end")
+		t.Fatal("the reader does not terminate")
 	})
 }
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -1,5 +1,6 @@
-// Package ingress serves clients that hand messages in by RESP2: bounded connections, bounded requests, an answer or a
-// close in time for each peer. Whether a message is taken on is for who made the Server to say.
+// Package ingress implements the server through which clients submit messages over RESP2. It bounds the number of
+// connections and the size of requests, and answers or closes each connection within a time limit. The handler passed
+// to NewServer decides whether a message is accepted.
 package ingress
 
 import (
@@ -23,48 +24,48 @@
 	"harrierramp/internal/wire"
 )
 
-// The reader below is our own: redcon v1.6.4 indexes out of its buffer on a bulk length near the largest
-// integer, loops over whatever array count it is told, and buffers requests without bound.
+// This package has its own RESP reader because redcon v1.6.4 indexes out of its buffer on a bulk length near the
+// largest integer, loops over any array count that a client sends, and buffers requests without bound.
 
 const (
 	maxBodyBytes     = 64 << 10
-	maxArgBytes      = 1 << 10 // of a request's words, all but the body
+	maxArgBytes      = 1 << 10 // for each argument other than the body
 	maxArgs          = 8
-	maxLineBytes     = 512     // a length line, or an inline command
-	maxDiscardBytes  = 1 << 20 // of a body that is too large, so that the connection stays of use
+	maxLineBytes     = 512     // a RESP length line or an inline command
+	maxDiscardBytes  = 1 << 20 // bytes read and dropped of an oversized body, so that the connection stays usable
 	maxTTL           = 24 * time.Hour
-	maxReplayBytes   = maxBodyBytes + maxArgs*maxArgBytes + 8<<10 // more than the largest request that is taken, and what is read ahead
-	handoverSentinel = "moved"                                    // in place of an answer, never written
+	maxReplayBytes   = maxBodyBytes + maxArgs*maxArgBytes + 8<<10 // more than the largest request and read-ahead
+	handoverSentinel = "moved"                                    // returned instead of an answer; never written
 
-	// A peer may fall silent for good, and each place it holds is lost to the others. Clients write a request
-	// at once and wait 400 ms for its answer; the platform lets a connection without a request go after 2 s,
-	// and wants to see an answer or a close 3 s after it came.
+	// A silent peer would occupy a connection slot forever. Clients write a request in one piece and wait 400 ms for
+	// its answer. The platform drops connections without a request after 2 s, and expects an answer or a close within
+	// 3 s of the connection.
 	idleTimeout           = 2200 * time.Millisecond
-	requestTimeout        = time.Second             // from a request's first byte to its last, and to write an answer
-	firstRequestTimeout   = 2800 * time.Millisecond // from the connection to the last byte of its first request
-	closeGrace            = 500 * time.Millisecond  // for requests that are half read when the node leaves
-	drainPropagationDelay = 500 * time.Millisecond  // the front hears of a drain within 0.1 s, and obeys 0.2 s later
-	lingerTimeout         = 200 * time.Millisecond  // in which a client may read its last answer while what it still sends is dropped
-	evictedLingerTimeout  = 20 * time.Millisecond   // the same, where a newcomer waits for the place
-	finalReadBytes        = 512                     // of a request that crosses the end of a wait for one; the rest is read as ever
+	requestTimeout        = time.Second             // from first to last byte of a request; also to write an answer
+	firstRequestTimeout   = 2800 * time.Millisecond // from accepting a connection to the last byte of its first request
+	closeGrace            = 500 * time.Millisecond  // for partially read requests when the server closes
+	drainPropagationDelay = 500 * time.Millisecond  // load balancers notice a drain in 0.1 s, act 0.2 s later
+	lingerTimeout         = 200 * time.Millisecond  // for a client to read its last answer; drops its input
+	evictedLingerTimeout  = 20 * time.Millisecond   // lingerTimeout when a new connection waits for the slot
+	finalReadBytes        = 512                     // read without blocking when the wait for a request ends
 )
 
-// Request is one message as a client hands it in.
+// Request is a message as submitted by a client.
 type Request struct {
 	ID, Key     string
 	Class, Dest int
-	Tenant      int // -1 for none that the settings name
+	Tenant      int // -1 if the settings do not name the tenant
 	TTL         time.Duration
 	Body        []byte
 	ReceivedAt  time.Time
 }
 
-// Answer is what the client is told: taken on, refused, or failed with a reason.
+// Answer is the reply to a request: accepted (the zero value), refused, or failed with an error text.
 type Answer struct {
 	Refused    bool
 	RetryAfter time.Duration
 	ErrorText  string
-	HandedOver bool // another process of this node answers
+	HandedOver bool // the connection is to be handed over; another process of this node answers
 }
 
 func (a Answer) line() string {
@@ -81,13 +82,13 @@
 	return "+OK\r\n"
 }
 
-// errProtocol ends a connection: where its next request begins can't be told.
+// errProtocol reports malformed framing. It ends the connection, because the start of the next request is unknown.
 var errProtocol = errors.New("Protocol error")
 
-// errTooLarge is a request that was read to its end and can't be taken.
+// errTooLarge reports an oversized request that was read to its end, so that the connection can continue.
 var errTooLarge = errors.New("a body holds 65536 bytes at most")
 
-// readCommand reads an array of bulk strings or an inline command, within bounds.
+// readCommand reads an array of bulk strings or an inline command within the size limits above.
 func readCommand(r *bufio.Reader) ([][]byte, error) {
 	line, err := readLine(r)
 	if err != nil || len(line) == 0 {
@@ -140,7 +141,7 @@
 	return args, nil
 }
 
-// unexpected keeps an end inside a request apart from one between requests.
+// unexpectedEOF turns io.EOF into io.ErrUnexpectedEOF, to tell an end inside a request from one between requests.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -162,7 +163,7 @@
 	return []byte(strings.TrimRight(string(line), "\r\n")), nil
 }
 
-// parseEnqueue reads the words of an ENQUEUE.
+// parseEnqueue parses the arguments of an ENQUEUE command.
 func parseEnqueue(args [][]byte, names wire.Names, receivedAt time.Time) (Request, error) {
 	q := Request{ReceivedAt: receivedAt, Class: -1, Tenant: -1, Dest: -1, TTL: -1}
 	if len(args) != 5 {
@@ -208,7 +209,8 @@
 	return q, nil
 }
 
-// isToken tells that a word can go into a header as it is.
+// isHeaderSafe reports whether s can be used unescaped as an HTTP header value: 1 to 256 printable ASCII characters
+// without spaces.
 func isHeaderSafe(s string) bool {
 	for _, c := range []byte(s) {
 		if c <= ' ' || c > '~' {
@@ -218,39 +220,39 @@
 	return len(s) > 0 && len(s) <= 256
 }
 
-// Server serves the node's clients.
+// Server accepts and serves client connections.
 type Server struct {
 	ln             net.Listener
-	connSem        chan struct{} // a place for each connection
+	connSem        chan struct{} // holds one element per connection
 	stop           chan struct{}
-	acceptDone     chan struct{} // closed when nothing more is accepted
+	acceptDone     chan struct{} // closed when the accept loop has ended
 	names          wire.Names
 	handle         func(Request) Answer
 	log            *slog.Logger
-	notReadyReason func() string // what keeps the node from taking messages; nil for never anything
+	notReadyReason func() string // why messages are not accepted yet, "" if they are; may be nil
 
 	mu           sync.Mutex
 	conns        map[net.Conn]*connState
 	closed       bool
-	resumed      chan struct{}                      // closed when connections are accepted again; nil while they are
-	handOverTo   func(net.Conn, ConnHandover) error // passes a connection to the process that owns the node; nil in that
-	drainTimer   *time.Timer                        // set while the node is drained: when it goes off, connections end between requests
-	drainElapsed bool                               // it has gone off
-	closeExpired bool                               // nothing is waited for any more: Close has given all its time
+	resumed      chan struct{}                      // closed when accepting resumes; nil unless paused
+	handOverTo   func(net.Conn, ConnHandover) error // passes a connection on; nil unless handing over
+	drainTimer   *time.Timer                        // set while draining; on firing, idle connections end
+	drainElapsed bool                               // drainTimer has fired
+	closeExpired bool                               // the time limits of Close have passed
 	wg           sync.WaitGroup
 }
 
-// peer is where an open connection stands.
+// connState is the state of an open connection.
 type connState struct {
-	idle         bool      // between requests, since then
-	lastActivity time.Time // of its last answer, or when it came
-	hadRequest   bool      // it has made a request
-	evicted      bool      // its place is wanted: it ends when its request, if it has one, is answered
-	closing      bool      // it gets nothing more; the client may still read
+	idle         bool      // between requests
+	lastActivity time.Time // of the last answer, or the start of the connection
+	hadRequest   bool      // has sent at least one request
+	evicted      bool      // its slot is needed: closes once its current request, if any, is answered
+	closing      bool      // our side is closed; the client may still read its last answer
 }
 
-// NewServer serves clients on ln with at most so many connections. hand is called for each message, from many
-// goroutines, and its answer is what the client hears.
+// NewServer returns a Server that accepts at most maxConns connections on ln. handle is called for each message, from
+// many goroutines, and returns the answer for the client.
 func NewServer(ln net.Listener, maxConns int, names wire.Names, handle func(Request) Answer) *Server {
 	return &Server{
 		ln: ln, connSem: make(chan struct{}, max(maxConns, 1)), stop: make(chan struct{}), acceptDone: make(chan struct{}),
@@ -258,13 +260,14 @@
 	}
 }
 
-// LogTo has the end of each connection logged, at debug. It is called before Serve.
+// SetLogger sets the logger, which records the end of each connection at debug level. It must be called before Serve.
 func (s *Server) SetLogger(log *slog.Logger) { s.log = log }
 
-// Await has PING say no while why says what the node waits for. It is called before Serve.
+// SetNotReadyReason makes PING fail with the text that reason returns, unless that is empty. It must be called before
+// Serve.
 func (s *Server) SetNotReadyReason(reason func() string) { s.notReadyReason = reason }
 
-// Serve accepts connections until the listener is closed, but while it is paused.
+// Serve accepts connections, except while paused, until the listener is closed.
 func (s *Server) Serve(ctx context.Context) {
 	defer close(s.acceptDone)
 	for {
@@ -273,10 +276,10 @@
 		}
 		nc, err := s.ln.Accept()
 		if err != nil {
-			if errors.Is(err, os.ErrDeadlineExceeded) { // called back by pause
+			if errors.Is(err, os.ErrDeadlineExceeded) { // interrupted by Pause
 				continue
 			}
-			if errors.Is(err, net.ErrClosed) || !backoff.Sleep(ctx, backoff.InitialDelay) { // out of descriptors, most likely
+			if errors.Is(err, net.ErrClosed) || !backoff.Sleep(ctx, backoff.InitialDelay) { // mostly no descriptors
 				return
 			}
 			continue
@@ -287,8 +290,8 @@
 	}
 }
 
-// admit serves a connection. With all places taken, a newcomer gets that of the connection which has stood longest
-// between requests.
+// admit starts serving a connection. If all slots are taken, it first evicts the connection that has been idle longest.
+// It returns false if the server is closing.
 func (s *Server) admit(nc net.Conn, start connStart) bool {
 	select {
 	case s.connSem <- struct{}{}:
@@ -297,14 +300,14 @@
 		select {
 		case s.connSem <- struct{}{}:
 		case <-s.stop:
-			s.wg.Go(func() { s.lingeringClose(nc) }) // Close waits for it, but not before it has begun to end the others
+			s.wg.Go(func() { s.lingeringClose(nc) }) // Close waits for this, but first starts to end the others
 			return false
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
-		go func() { // no longer than hangUp may take
+		go func() { // bounded by the duration of lingeringClose
 			defer func() { <-s.connSem }()
 			s.lingeringClose(nc)
 		}()
@@ -318,7 +321,7 @@
 	return true
 }
 
-// Adopt serves a connection that another process of this node has accepted.
+// Adopt serves a connection that another process of this node accepted and handed over.
 func (s *Server) Adopt(nc net.Conn, m ConnHandover) {
 	now := time.Now()
 	start := connStart{lastActivity: clampToRecent(now, m.LastActivityUnixNano), hadRequest: true, unanswered: m.Unanswered}
@@ -328,33 +331,33 @@
 	s.admit(nc, start)
 }
 
-// start is where a connection stands when it is admitted. Its times are on the monotonic clock.
+// connStart is the state of a connection when it is admitted. Its times are on the monotonic clock.
 type connStart struct {
-	lastActivity time.Time // of its last answer, or when it came
-	requestStart time.Time // the first byte of the request that was read; zero for none
-	unanswered   []byte    // of requests without an answer
-	hadRequest   bool      // it has made a request
+	lastActivity time.Time // of the last answer, or the start of the connection
+	requestStart time.Time // of the first byte of a partially read request; zero if none was read
+	unanswered   []byte    // bytes already read of requests without an answer
+	hadRequest   bool      // has sent at least one request
 }
 
-// recently is a moment of another process on the monotonic clock: not in the future, and not so long ago that a step of the
-// wall clock would end the connection.
+// clampToRecent converts a wall-clock time from another process to the monotonic clock. The result is at most
+// requestTimeout in the past and never in the future, so that a step of the wall clock does not end the connection.
 func clampToRecent(now time.Time, unixNano int64) time.Time {
 	return now.Add(-min(max(now.Sub(time.Unix(0, unixNano)), 0), requestTimeout))
 }
 
-// Pause accepts nothing until resume: newcomers stay in the socket's queue, which other processes serve.
+// Pause stops accepting until Resume. New connections stay in the listen queue, which other processes may serve.
 func (s *Server) Pause() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.resumed == nil {
 		s.resumed = make(chan struct{})
 		if d, ok := s.ln.(interface{ SetDeadline(time.Time) error }); ok {
-			d.SetDeadline(time.Unix(1, 0)) // an error means that it is closed
+			d.SetDeadline(time.Unix(1, 0)) // fails only if the listener is closed
 		}
 	}
 }
 
-// Resume ends a pause, and the moving of connections.
+// Resume ends a pause, and stops handing over connections.
 func (s *Server) Resume() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -367,7 +370,7 @@
 	}
 }
 
-// wait waits for the end of a pause and tells whether there is more to accept.
+// awaitResume waits while the server is paused. It returns false if the server was closed meanwhile.
 func (s *Server) awaitResume() bool {
 	s.mu.Lock()
 	resumed := s.resumed
@@ -382,8 +385,8 @@
 	return true
 }
 
-// Move passes each connection to another process of this node, as soon as it stands between requests or its request
-// is found to be that process's to answer.
+// HandOver passes each connection to another process of this node by calling to, once the connection is between
+// requests or its request turns out to be for that process to answer.
 func (s *Server) HandOver(to func(net.Conn, ConnHandover) error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -391,8 +394,8 @@
 	s.interruptIdle()
 }
 
-// moved passes one connection on, and tells whether that is done. If it can't be, the process at the other end is
-// gone, and none is moved any more.
+// handOverConn passes one connection to the other process and reports whether that succeeded. A failure means that the
+// other process has ended, so no further connection is handed over.
 func (s *Server) handOverConn(nc net.Conn, replay *replayReader, lastActivity, requestStart time.Time) bool {
 	s.mu.Lock()
 	to := s.handOverTo
@@ -409,15 +412,14 @@
 	return false
 }
 
-// Count is the number of open connections.
+// ConnCount returns the number of open connections.
 func (s *Server) ConnCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// evict calls back a connection that is ending anyway, or else the one that has stood longest between requests, if there
-// is one.
+// evictIdle interrupts a connection that is closing already, or else the one that has been idle longest, if any.
 func (s *Server) evictIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -437,11 +439,11 @@
 	}
 }
 
-// callBack ends a connection's wait for a request. It is not closed from here: a request that has just been
-// read must have its answer.
+// interruptRead ends a connection's wait for a request by an expired read deadline. It does not close the connection,
+// since a request that has just been read must still be answered.
 func interruptRead(nc net.Conn) { nc.SetReadDeadline(time.Unix(1, 0)) }
 
-// mark notes whether a connection stands between requests, and tells whether it may go on.
+// updateState records whether a connection is between requests, and reports whether it may continue.
 func (s *Server) updateState(nc net.Conn, idle bool, lastActivity time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -453,8 +455,8 @@
 	return true
 }
 
-// lastLook tells whether a request has come after all when the wait for one has been ended: a connection is not
-// closed over a request that lies in its socket.
+// pollPending reports whether a request has arrived although the wait for one ended with err. It reads the socket once
+// without blocking, so that a connection is not closed with an unread request in its receive buffer.
 func pollPending(nc net.Conn, replay *replayReader, err error) bool {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return false
@@ -465,10 +467,11 @@
 	return err == nil
 }
 
-// hangUp ends a connection, and is the only one that does. A close over bytes that lie unread, or come after it, resets
-// the connection, and takes the last answer with it. So our side ends first, and what comes then is dropped, never
-// served: a client that sent it knows from the end without an answer that it is to send it again. That lasts until the
-// client has ended its side too, or lingerTimeout, or maxSkipped bytes, or until the place is wanted.
+// lingeringClose closes a connection; connections that are not handed over are closed only here. Closing a socket with
+// unread input, or receiving input after that, resets the connection, and the client may lose its last answer. So the
+// write side is closed first, and further input is dropped and never served: a client whose request ends without an
+// answer knows that it has to send it again. This lasts until the client closes its side, for lingerTimeout or
+// maxDiscardBytes at most, or until the slot is needed for a new connection.
 func (s *Server) lingeringClose(nc net.Conn) {
 	defer nc.Close()
 	halfCloser, ok := nc.(interface{ CloseWrite() error })
@@ -482,16 +485,17 @@
 			linger = evictedLingerTimeout
 		}
 	}
-	mayLinger := !s.closeExpired && nc.SetReadDeadline(time.Now().Add(linger)) == nil // under the lock: evict ends it
+	// Under the lock, so that evictIdle can interrupt the wait.
+	mayLinger := !s.closeExpired && nc.SetReadDeadline(time.Now().Add(linger)) == nil
 	s.mu.Unlock()
 	if mayLinger {
-		io.Copy(io.Discard, io.LimitReader(nc, maxDiscardBytes)) // whatever comes, the connection ends next
+		io.Copy(io.Discard, io.LimitReader(nc, maxDiscardBytes)) // errors do not matter: the connection is closed next
 	}
 }
 
-// Drain sends clients away, or takes them again. PING says no at once. The front takes a while to hear of it, and
-// until then its new connections are served as ever; then each connection ends between requests; a new one, the
-// front's own among them, may make one.
+// Drain starts or stops turning clients away. While draining, PING fails at once. New connections are served as usual
+// for drainPropagationDelay, until the load balancer has noticed the failing PING. From then on each connection is
+// closed between requests; a new one, such as the load balancer's own, may still make one request.
 func (s *Server) Drain(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -513,14 +517,14 @@
 	}
 }
 
-// drained tells that clients are being sent away.
+// draining reports whether clients are being turned away.
 func (s *Server) draining() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.drainTimer != nil
 }
 
-// callBackIdle ends the wait of every connection between requests; the lock is held.
+// interruptIdle interrupts the reads of all idle connections. The caller holds s.mu.
 func (s *Server) interruptIdle() {
 	for nc, p := range s.conns {
 		if p.idle {
@@ -533,7 +537,7 @@
 func (s *Server) serveConn(nc net.Conn, start connStart) {
 	reason, err := s.serveRequests(nc, start)
 	if reason == closeHandedOver {
-		nc.Close() // our descriptor alone: the connection is another process's
+		nc.Close() // closes only our descriptor: the other process keeps the connection
 	} else {
 		s.lingeringClose(nc)
 	}
@@ -543,28 +547,28 @@
 	s.mu.Unlock()
 }
 
-// closeReason is why a connection ends, for the log.
+// closeReason is the reason that is logged for the end of a connection.
 type closeReason string
 
 const (
-	closeHandedOver        closeReason = "passed on to another process"
-	closeIdle              closeReason = "ended between requests" // by Drain, Close or for a newcomer
-	closeNoRequest         closeReason = "no request"             // in time, or the client is gone
-	closeIncompleteRequest closeReason = "half a request"         // the rest did not come in time, or the client is gone
-	closeWriteFailed       closeReason = "the answer can't be written"
-	closeProtocolError     closeReason = "not the protocol"
-	closeConnBroken        closeReason = "the connection is broken"
+	closeHandedOver        closeReason = "handed over to another process"
+	closeIdle              closeReason = "closed between requests" // by Drain, Close or eviction
+	closeNoRequest         closeReason = "no request"              // within the timeout, or the client disconnected
+	closeIncompleteRequest closeReason = "incomplete request"      // within the timeout, or the client disconnected
+	closeWriteFailed       closeReason = "answer could not be written"
+	closeProtocolError     closeReason = "protocol error"
+	closeConnBroken        closeReason = "connection error"
 )
 
-// converse answers requests until the connection is to end, or is passed on to another process. The error is what the
-// connection said, if anything.
+// serveRequests answers requests until the connection is to be closed or has been handed over to another process. The
+// error is the one that the connection returned, if any.
 func (s *Server) serveRequests(nc net.Conn, start connStart) (closeReason, error) {
 	replay := &replayReader{src: transient.Reader(nc), prefix: start.unanswered}
 	r := bufio.NewReaderSize(replay, 4096)
 	lastActivity, requestStart, hadRequest := start.lastActivity, start.requestStart, start.hadRequest
 	for {
 		replay.resetRecording(r)
-		// In this order: idle connections are called back by their deadline.
+		// Set the deadline before updateState, because interruptRead overwrites the deadline of an idle connection.
 		if err := nc.SetDeadline(lastActivity.Add(idleTimeout)); err != nil {
 			return closeConnBroken, err
 		}
@@ -600,7 +604,7 @@
 		switch {
 		case err == nil && len(args) == 0:
 			requestStart = time.Time{}
-			continue // no request: the connection is as idle as before
+			continue // an empty command: the connection stays as idle as before
 		case err == nil:
 			line = s.handleCommand(args, requestStart)
 			for line == handoverSentinel {
@@ -624,7 +628,7 @@
 	}
 }
 
-// answer writes one line within the time that a client has to read it.
+// writeAnswer writes one line, and fails if the client does not read it within requestTimeout.
 func writeAnswer(nc net.Conn, line string) error {
 	if err := nc.SetWriteDeadline(time.Now().Add(requestTimeout)); err != nil {
 		return err
@@ -633,18 +637,18 @@
 	return err
 }
 
-// moving tells that connections go to another process.
+// handingOver reports whether connections are handed over to another process.
 func (s *Server) handingOver() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.handOverTo != nil
 }
 
-// replayReader reads a connection and keeps what it has read since the last answer, so that another process can read that
-// again.
+// replayReader reads from a connection and records what it has read since the last answer, so that another process can
+// read it again after a hand-over.
 type replayReader struct {
 	src      io.Reader
-	prefix   []byte // read before anything of src
+	prefix   []byte // returned before anything from src
 	recorded []byte
 }
 
@@ -655,25 +659,25 @@
 	} else {
 		n, err = t.src.Read(p)
 	}
-	if len(t.recorded) <= maxReplayBytes { // past that it is a request that gets its answer here
+	if len(t.recorded) <= maxReplayBytes { // a larger request is answered by this process
 		t.recorded = append(t.recorded, p[:n]...)
 	}
 	return n, err
 }
 
-// restart begins anew with what the reader has read ahead.
+// resetRecording restarts the recording with what r has buffered but not consumed.
 func (t *replayReader) resetRecording(r *bufio.Reader) {
-	ahead, _ := r.Peek(r.Buffered()) // no more than there is, and so no error
+	ahead, _ := r.Peek(r.Buffered()) // cannot fail: asks only for buffered bytes
 	t.recorded = append(t.recorded[:0], ahead...)
 	if cap(t.recorded) > maxReplayBytes/16 && len(ahead) == 0 {
-		t.recorded = nil // an idle connection keeps no large buffer
+		t.recorded = nil // an idle connection should not keep a large buffer
 	}
 }
 
-// unanswered is all that has been read, and is to be read again, of requests without an answer.
+// unanswered returns everything that was read, or is still to be replayed, of requests without an answer.
 func (t *replayReader) unanswered() []byte { return slices.Concat(t.recorded, t.prefix) }
 
-// command answers one command.
+// handleCommand executes one command and returns the line to answer.
 func (s *Server) handleCommand(args [][]byte, receivedAt time.Time) string {
 	switch strings.ToUpper(string(args[0])) {
 	case "PING":
@@ -696,9 +700,9 @@
 	return Answer{ErrorText: "unknown command"}.line()
 }
 
-// Close stops accepting, hangs up on clients between requests, and lets the others have their answer first. A
-// client that is slow with the rest of its request, or with reading, must not hold the node until it is killed: it
-// takes closeGrace and lingerTimeout at the most, but for answers that the node owes.
+// Close stops accepting, closes idle connections, and answers the requests of the others before closing them. A client
+// that is slow to finish its request or to read must not delay the shutdown until the process is killed, so waiting is
+// limited to closeGrace and lingerTimeout, except for answers of the handler that are outstanding.
 func (s *Server) Close() {
 	close(s.stop)
 	s.ln.Close()
@@ -712,7 +716,8 @@
 	s.wg.Wait()
 }
 
-// callBackAll ends every wait for the rest of a request; with cut every other as well, and no more are begun.
+// interruptAll interrupts every read of a request. If closeExpired is set, it interrupts all other waits on connections
+// too, and no new ones are started.
 func (s *Server) interruptAll(closeExpired bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -32,10 +32,10 @@
 	return c, ln.Addr().String()
 }
 
-// Whatever comes, the client hears an error, the node does not fall, and nothing of it is taken on.
+// Malformed requests must get an error answer. They must neither reach the handler nor crash the server.
 func TestMalformedRequestsAreRejected(t *testing.T) {
 	_, addr := startTestServer(t, 100, func(Request) Answer {
-		t.Error("bad input was handed on")
+		t.Error("a malformed request reached the handler")
 		return Answer{}
 	})
 	big := strings.Repeat("x", maxBodyBytes+1)
@@ -62,7 +62,7 @@
 			t.Errorf("%.60q: got %q", text, got)
 		}
 	}
-	// Half a command and a close.
+	// An incomplete command, followed by a close.
 	nc, _ := testkit.Dial(t, addr)
 	io.WriteString(nc, "*5\r\n$7\r\nENQ")
 	nc.Close()
@@ -71,7 +71,7 @@
 	}
 }
 
-// After an error about one request, the connection goes on where the framing is sound.
+// A connection must stay usable after a rejected request whose framing is intact.
 func TestConnSurvivesOversizedBody(t *testing.T) {
 	var got Request
 	_, addr := startTestServer(t, 100, func(q Request) Answer {
@@ -102,7 +102,7 @@
 	}
 }
 
-// A request that has been read gets its answer, also while the node hangs up on everybody.
+// Close must not drop requests that were already read: they still get their answer, while idle connections are closed.
 func TestCloseAnswersRequestsAlreadyRead(t *testing.T) {
 	inside, release := make(chan struct{}), make(chan struct{})
 	c, addr := startTestServer(t, 100, func(Request) Answer {
@@ -124,7 +124,7 @@
 		close(done)
 	}()
 	if _, err := idleReader.ReadByte(); err != io.EOF {
-		t.Errorf("the idle connection: %v", err)
+		t.Errorf("idle connection: %v", err)
 	}
 	close(release)
 	if line, err := br.ReadString('\n'); line != "+OK\r\n" {
@@ -133,7 +133,7 @@
 	<-done
 }
 
-// Half a request must not keep the node from leaving before it is killed.
+// An incomplete request must not delay the shutdown until the process is killed.
 func TestCloseDoesNotWaitForIncompleteRequest(t *testing.T) {
 	c, addr := startTestServer(t, 100, func(Request) Answer { return Answer{} })
 	nc, br := testkit.Dial(t, addr)
@@ -149,14 +149,14 @@
 	select {
 	case <-done:
 	case <-time.After(requestTimeout - 200*time.Millisecond):
-		t.Error("the node waits for the rest of a request")
+		t.Error("Close waits for the rest of a request")
 	}
 }
 
-// Descriptors are bounded, and whoever holds a place without a request yields it to a newcomer.
+// The number of connections is limited, and idle connections are evicted for new ones.
 func TestConnLimit(t *testing.T) {
 	c, addr := startTestServer(t, 2, func(Request) Answer { return Answer{} })
-	for range 5 { // silent, but open
+	for range 5 { // idle, but open
 		nc, br := testkit.Dial(t, addr)
 		io.WriteString(nc, testkit.EncodeRESP("PING"))
 		if line, err := br.ReadString('\n'); line != "+PONG\r\n" {
@@ -171,7 +171,7 @@
 	}
 }
 
-// A peer that has no proper request must not hold its place for more than the platform's 3 s.
+// A client that sends no complete request must be disconnected within the platform's limit of 3 s.
 func TestConnsWithoutRequestTimeOut(t *testing.T) {
 	for name, act := range map[string]func(net.Conn){
 		"silent":      func(net.Conn) {},
@@ -179,7 +179,7 @@
 		"slow": func(nc net.Conn) {
 			writeSlowly(nc, testkit.EnqueueRequest("a", "c=notice,d=8000,dest=7", "b"), 100*time.Millisecond)
 		},
-		"half a request at the last moment": func(nc net.Conn) {
+		"incomplete request just before the idle timeout": func(nc net.Conn) {
 			time.Sleep(idleTimeout - 50*time.Millisecond)
 			io.WriteString(nc, "*5\r\n$7\r\nENQ")
 		},
@@ -192,7 +192,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := NewServer(nil, 1, testkit.TestNames, func(q Request) Answer {
-					t.Errorf("%q was handed in", q.ID)
+					t.Errorf("request %q reached the handler", q.ID)
 					return Answer{}
 				})
 				near, far := net.Pipe()
@@ -211,7 +211,7 @@
 	}
 }
 
-// drip writes text a byte at a time until it is hung up on.
+// writeSlowly writes text one byte at a time until the connection is closed.
 func writeSlowly(nc net.Conn, text string, pause time.Duration) {
 	for _, b := range []byte(text) {
 		if _, err := nc.Write([]byte{b}); err != nil {
@@ -221,7 +221,8 @@
 	}
 }
 
-// A request that comes cut at any byte is one request, and what follows it in the same piece is the next.
+// A request that arrives in two segments, split at any byte, is read as one request, and the bytes that follow it in
+// the same segment are read as the next one.
 func TestRequestSplitAtAnyByte(t *testing.T) {
 	received := make(chan Request, 1)
 	_, addr := startTestServer(t, 4, func(q Request) Answer {
@@ -234,7 +235,7 @@
 		if _, err := io.WriteString(nc, text[:cut]); err != nil {
 			t.Fatal(err)
 		}
-		runtime.Gosched() // the pieces may still come as one; most don't
+		runtime.Gosched() // the two parts may still arrive together; most do not
 		testkit.MustExchange(t, nc, br, text[cut:], "+OK")
 		if q := <-received; string(q.Body) != "bo\r\ndy" || q.ID != "id" || q.Dest != 7 || q.Tenant != 1 {
 			t.Fatalf("cut at %d: got %+v", cut, q)
@@ -247,8 +248,8 @@
 	}
 }
 
-// Clients walk away inside a request, or before its answer: nothing of half a request is taken on, the whole one
-// is, once, and the places are free again.
+// Clients may disconnect inside a request or before its answer. An incomplete request must not reach the handler, a
+// complete one must reach it exactly once, and the connection slots must be released.
 func TestClientDisconnects(t *testing.T) {
 	received, answers := make(chan Request, 100), make(chan struct{})
 	c, addr := startTestServer(t, 4, func(q Request) Answer {
@@ -272,18 +273,18 @@
 		t.Fatal(err)
 	}
 	if q := <-received; q.ID != "id" {
-		t.Errorf("%q was handed in", q.ID)
+		t.Errorf("request %q reached the handler", q.ID)
 	}
 	nc.Close()
 	close(answers)
-	testkit.Eventually(t, "the places are free", func() bool { return c.ConnCount() == 0 && len(c.connSem) == 0 })
+	testkit.Eventually(t, "all slots are released", func() bool { return c.ConnCount() == 0 && len(c.connSem) == 0 })
 	if len(received) != 0 {
-		t.Errorf("%d messages beside the whole one", len(received))
+		t.Errorf("%d requests beside the complete one", len(received))
 	}
 }
 
-// The wall clock is stepped between a connection's begin, or its last answer, and its next request: the request is read as
-// ever.
+// A step of the wall clock between the start of a connection, or its last answer, and the next request must not time
+// out the connection.
 func TestWallClockStepKeepsConn(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, time.Hour} {
 		t.Run(step.String(), func(t *testing.T) {
@@ -316,13 +317,14 @@
 	}
 }
 
-// What another process says of a connection may have been written before a step of the wall clock.
+// The times that another process sends with a connection may precede a step of the wall clock. They must not make the
+// connection time out at once.
 func TestHandedOverConnSurvivesWallClockStep(t *testing.T) {
 	now := time.Now()
 	for _, age := range []time.Duration{-time.Hour, 0, 100 * time.Millisecond, time.Hour} {
 		got := now.Sub(clampToRecent(now, now.Add(-age).UnixNano()))
 		if want := min(max(age, 0), requestTimeout); (got - want).Abs() > time.Microsecond {
-			t.Errorf("%v old: taken for %v", age, got)
+			t.Errorf("age %v: converted to %v", age, got)
 		}
 	}
 }
--- a/internal/ingress/inherited_listener.go
+++ b/internal/ingress/inherited_listener.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// passedListener is a listening socket that other processes have as well. They share its flags with us: where one
-// makes it a blocking socket, an accept would no longer heed deadlines or a close, and hang until a client comes. So
-// the flag is seen to before each accept, and it is waited for a client outside of that. (The Read of a
-// net.TCPListener's SyscallConn is not to be had.)
+// inheritedListener is a listening socket that is shared with other processes, including its file status flags. If one
+// of them makes the socket blocking, accept ignores deadlines and Close and blocks until a client connects. So Accept
+// sets O_NONBLOCK before each accept call and waits for clients in the poller. (net.TCPListener cannot be used: its
+// SyscallConn does not support Read.)
 type inheritedListener struct {
 	f      *os.File
 	raw    syscall.RawConn
@@ -21,15 +21,15 @@
 	closed atomic.Bool
 }
 
-// PassedListener is the socket that the platform holds and passes on to each process under this number. It is never
-// shut down, for that would end it for every process that has it.
+// InheritedListener returns a listener on the socket that the platform keeps open and passes to each process as
+// descriptor number. The socket is never shut down, since that would stop it for every process that shares it.
 func InheritedListener(number int) (net.Listener, error) {
-	if err := syscall.SetNonblock(number, true); err != nil { // only such a file can be waited for
+	if err := syscall.SetNonblock(number, true); err != nil { // the poller accepts only non-blocking files
 		return nil, fmt.Errorf("descriptor %d: %w", number, err)
 	}
 	syscall.CloseOnExec(number)
-	l := &inheritedListener{f: os.NewFile(uintptr(number), "passed socket")}
-	ln, err := net.FileListener(l.f) // by a descriptor of its own
+	l := &inheritedListener{f: os.NewFile(uintptr(number), "inherited socket")}
+	ln, err := net.FileListener(l.f) // duplicates the descriptor
 	if err == nil {
 		l.addr = ln.Addr()
 		err = ln.Close()
