--- a/internal/egress/endpoint_test.go
+++ b/internal/egress/endpoint_test.go
@@ -7,25 +7,26 @@
 	"harrierramp/internal/testkit"
 )
 
+// A cooldown must neither end early nor last longer if the wall clock is stepped.
 func TestCooldownIgnoresWallClockStep(t *testing.T) {
 	told := time.Now()
 	var w Cooldown
 	if w.Active(told) {
-		t.Error("no wait was told")
+		t.Error("the zero value is active")
 	}
 	w.Extend(told.Add(time.Second))
-	w.Extend(told.Add(time.Millisecond)) // a shorter one ends nothing
+	w.Extend(told.Add(time.Millisecond)) // a shorter cooldown has no effect
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour} {
 		within, after := testkit.StepWallClock(told.Add(900*time.Millisecond), step), testkit.StepWallClock(told.Add(1100*time.Millisecond), step)
 		if step != 0 && within.Round(0).Sub(told.Round(0)) != 900*time.Millisecond+step {
 			t.Fatal("the clock is not stepped")
 		}
 		if !w.Active(within) || w.Active(after) {
-			t.Errorf("stepped by %v: it lasts %v within its time and %v after it", step, w.Active(within), w.Active(after))
+			t.Errorf("wall clock stepped by %v: active %v before the end and %v after it", step, w.Active(within), w.Active(after))
 		}
 	}
 	e := &Endpoint{Cooldown: &w}
 	if !e.blocked(testkit.StepWallClock(told, time.Hour)) {
-		t.Error("a step of the clock opens the endpoint")
+		t.Error("a step of the wall clock unblocks the endpoint")
 	}
 }
--- a/internal/egress/local_errors_test.go
+++ b/internal/egress/local_errors_test.go
@@ -12,7 +12,7 @@
 	"harrierramp/internal/testkit"
 )
 
-// What this machine lacks for a moment is no endpoint's outage.
+// A short lack of local resources, such as descriptors or routes, must not be counted as a failure of the endpoint.
 func TestCallRetriesOnLocalShortage(t *testing.T) {
 	partner := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse))
 	failed := func(call string, errno syscall.Errno) error {
@@ -23,13 +23,13 @@
 		times int
 		want  choice.Outcome
 	}{
-		"no descriptors":            {failed("socket", syscall.ENFILE), 5, choice.Success},
-		"no buffers":                {failed("socket", syscall.ENOBUFS), 5, choice.Success},
-		"no address":                {failed("connect", syscall.EADDRNOTAVAIL), 5, choice.Success},
-		"no route":                  {failed("connect", syscall.ENETUNREACH), 5, choice.Success},
-		"no descriptors for long":   {failed("socket", syscall.EMFILE), 1000, choice.NotSent},
-		"no route for long":         {failed("connect", syscall.ENETUNREACH), 1000, choice.ConnectFailed},
-		"the endpoint is not there": {failed("connect", syscall.ECONNREFUSED), 1, choice.ConnectFailed},
+		"no descriptors":          {failed("socket", syscall.ENFILE), 5, choice.Success},
+		"no buffers":              {failed("socket", syscall.ENOBUFS), 5, choice.Success},
+		"no address":              {failed("connect", syscall.EADDRNOTAVAIL), 5, choice.Success},
+		"no route":                {failed("connect", syscall.ENETUNREACH), 5, choice.Success},
+		"no descriptors for long": {failed("socket", syscall.EMFILE), 1000, choice.NotSent},
+		"no route for long":       {failed("connect", syscall.ENETUNREACH), 1000, choice.ConnectFailed},
+		"connection refused":      {failed("connect", syscall.ECONNREFUSED), 1, choice.ConnectFailed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -46,7 +46,7 @@
 				t.Errorf("got %v after %d dials and %v, want %v", got.Outcome, tries, time.Since(began), c.want)
 			}
 			if len(p.connSem) > 1 {
-				t.Errorf("%d places are taken", len(p.connSem))
+				t.Errorf("%d connection slots are taken", len(p.connSem))
 			}
 		})
 	}
--- a/internal/egress/pool.go
+++ b/internal/egress/pool.go
@@ -1,5 +1,5 @@
-// Package egress makes the calls to endpoints: one request, one connection, one outcome each. It sends nothing twice and
-// decides nothing.
+// Package egress makes the HTTP calls to endpoints. Each call writes one request on one connection and has one outcome.
+// The package never sends a request twice; retries are decided elsewhere.
 package egress
 
 import (
@@ -24,65 +24,65 @@
 	"harrierramp/internal/transient"
 )
 
-// net/http's Transport is not used for calls: it takes a request with an Idempotency-Key for replayable and
-// sends it again by itself when a reused connection breaks, dials beside a call that may find an idle
-// connection first, and does not tell how much of a request was written. Here a request is written once, on
-// one connection, by one Write.
+// The Transport of net/http is not used for calls, because it treats a request with an Idempotency-Key as replayable
+// and resends it by itself when a reused connection breaks, may dial for a call that an idle connection then serves,
+// and does not report how much of a request was written. This package writes a request once, on one connection, with
+// one Write.
 
 const (
 	maxResponseHeaderBytes    = 32 << 10
 	maxResponseBodyBytes      = 64 << 10
-	idleTimeoutMargin         = 400 * time.Millisecond // an endpoint's idle clock may be ahead of ours by an answer's way
+	idleTimeoutMargin         = 400 * time.Millisecond // the endpoint's idle timer starts a transit time earlier
 	loadHeader                = "Endpoint-Load-Metrics"
-	maxInformationalResponses = 8 // 1xx answers ahead of the real one
+	maxInformationalResponses = 8 // 1xx responses before the final one
 	maxRetryAfter             = 10 * time.Minute
-	// An answer is written at once, and holds 64 KiB at most: once its first byte has come, a link that is of any use
-	// brings the rest in answerRest. What follows a first line with 200 says nothing more, and only decides whether the
-	// connection serves again; so it is not worth holding the slot for longer than a slow round trip.
+	// Endpoints write a response in one piece of at most 64 KiB, so after its first byte a usable link delivers the
+	// rest within responseRestTimeout. What follows a status line with 200 carries no information beyond whether the
+	// connection can be reused, so the slot is held no longer than a slow round trip to receive it.
 	responseRestTimeout  = time.Second
-	localRetryTimeout    = 250 * time.Millisecond // for this machine to have a socket, an address and a route again
+	localRetryTimeout    = 250 * time.Millisecond // for a local shortage of sockets, addresses or routes to pass
 	deliveredRestTimeout = 250 * time.Millisecond
 )
 
-// Call is one attempt to be made.
+// Call is one delivery attempt to be made.
 type Call struct {
 	ID, Key       string
 	Body          []byte
 	Endpoint      *Endpoint
 	Deadline      time.Time
-	LatestStart   time.Time // no byte is written later; zero for any time before NotPast
-	DecisionBasis string    // on which list and process, for RestsHeader; empty for no header
+	LatestStart   time.Time // nothing is written after it; if zero, Deadline is the only limit
+	DecisionBasis string    // value of DecisionBasisHeader; no header if empty
 }
 
-// RestsHeader names what a call rests on: the revision of the list, and which process of the node it is, with a dot between
-// them.
+// DecisionBasisHeader is the request header that names the basis of the decision to make the call: the revision of the
+// endpoint list and the incarnation of the node's process, separated by a dot.
 const DecisionBasisHeader = "X-Rests-On"
 
-// Result is how it ended.
+// Result is the outcome of a call.
 type Result struct {
 	Outcome      choice.Outcome
-	RetryAfter   time.Duration
-	NoSlot       bool
-	MessageDone  bool
-	Reused       bool // it went over a connection that had stood idle
-	ResponseRead bool // an answer, read to its end or to what says delivered
-	// The request was written whole between these; zero for one that was not.
+	RetryAfter   time.Duration // delay that the endpoint asked for; 0 if none
+	NoSlot       bool          // the endpoint had no free slot
+	MessageDone  bool          // the endpoint answered that the message is delivered or must not be delivered any more
+	Reused       bool          // the call used an idle connection
+	ResponseRead bool          // a response was read to its end, or to a status line with 200
+	// Start and end of writing the request; zero if it was not written completely.
 	WriteStart, WriteEnd time.Time
 	Report               choice.LimitReport
 }
 
-// Pool makes calls, on connections that it keeps between them.
+// Pool makes calls and keeps idle connections for reuse.
 type Pool struct {
 	dialTimeout, idleTimeout time.Duration
 	dialContext              func(ctx context.Context, network, addr string) (net.Conn, error)
 	maxIdle                  int
-	connSem                  chan struct{}   // one taken for each connection
-	requestsWritten          *atomic.Int64   // messages written whole
-	closeCtx                 context.Context // ends when nothing new may be written
+	connSem                  chan struct{}   // holds one element per connection
+	requestsWritten          *atomic.Int64   // counts requests that were written completely
+	closeCtx                 context.Context // cancelled by Close: nothing new may be written
 	cancelCloseCtx           context.CancelFunc
 
 	mu        sync.Mutex
-	idleConns map[string][]*conn // by endpoint; the last one was used last
+	idleConns map[string][]*conn // by endpoint ID; the most recently used is last
 	idleCount int
 }
 
@@ -92,12 +92,12 @@
 	addr        string
 	limitReader *io.LimitedReader
 	br          *bufio.Reader
-	watchDone   chan error // the idle watch's end
-	release     func()     // gives back its place; may be called again
+	watchDone   chan error // receives the read error that ended the idle watch
+	release     func()     // releases the connection slot; idempotent
 }
 
-// NewPool makes a pool that holds most connections altogether: the descriptors beyond are others'. They come from source,
-// or from where the system chooses if that is nil.
+// NewPool returns a pool that holds at most maxConns connections, which leaves the other descriptors of the process to
+// other uses. Connections originate from the address source, or from one that the system chooses if source is nil.
 func NewPool(source net.Addr, dialTimeout, connIdle time.Duration, maxIdle, maxConns int, requestsWritten *atomic.Int64) *Pool {
 	if dialTimeout <= 0 {
 		dialTimeout = time.Second
@@ -109,7 +109,8 @@
 	}
 }
 
-// Do makes one call. It returns when its slot is free again: at the answer, or with the connection closed.
+// Do makes one call. It returns once the endpoint's slot is free again: after the response, or after closing the
+// connection.
 func (p *Pool) Do(ctx context.Context, c Call) Result {
 	ctx, cancel := context.WithDeadline(ctx, c.Deadline)
 	defer cancel()
@@ -126,12 +127,12 @@
 			return Result{Outcome: choice.ConnectFailed}
 		}
 	}
-	// A dial takes up to a second; what was told meanwhile, or the time that has passed, may forbid the first byte.
+	// A dial takes up to a second. Meanwhile the endpoint may have become blocked, or the latest start may have passed.
 	if c.mustNotStart(ctx) || p.closeCtx.Err() != nil {
 		p.putIdle(c.Endpoint, k)
 		return Result{Outcome: choice.NotSent}
 	}
-	request, err := encodeRequest(c) // tells how long we wait from now on
+	request, err := encodeRequest(c) // contains the time that is left, so encode it after the dial
 	if err != nil {
 		p.putIdle(c.Endpoint, k)
 		return Result{Outcome: choice.NotSent}
@@ -147,17 +148,18 @@
 	return res
 }
 
-// late tells that the call may not begin any more, or not now.
+// mustNotStart reports whether it is too late to start the call, or the endpoint is currently blocked.
 func (c Call) mustNotStart(ctx context.Context) bool {
 	now := time.Now()
 	return ctx.Err() != nil || c.Endpoint.blocked(now) || (!c.LatestStart.IsZero() && now.After(c.LatestStart))
 }
 
-// errNoPlace says that no descriptor was to be had for a new connection, or too late for it to come up.
-var errNoConnCapacity = errors.New("no place for a connection")
+// errNoConnCapacity reports that no slot or descriptor was available for a new connection, or that one became available
+// too late to complete the dial.
+var errNoConnCapacity = errors.New("no capacity for a new connection")
 
-// open makes a new connection. What it takes, the wait for a place included, stays within the time of a dial: rules hang
-// on when a call can begin at the latest.
+// openConn opens a new connection. Waiting for a slot and dialing together are limited to the dial timeout, because the
+// rules for repeating a call depend on the latest time at which it can start.
 func (p *Pool) openConn(ctx context.Context, addr string) (*conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.dialTimeout)
 	defer cancel()
@@ -170,7 +172,7 @@
 	k, err := p.dial(ctx, addr)
 	var timeoutErr net.Error
 	if errors.As(err, &timeoutErr) && timeoutErr.Timeout() && waited > p.dialTimeout/10 {
-		return nil, errNoConnCapacity // what was left of the time says nothing of the endpoint
+		return nil, errNoConnCapacity // the dial had too little time left to blame the endpoint
 	}
 	if err != nil && isLocalShortage(err) {
 		return nil, fmt.Errorf("%w: %w", errNoConnCapacity, err)
@@ -178,7 +180,8 @@
 	return k, err
 }
 
-// lacksRoom tells that this machine had no descriptor or memory for a socket, which says nothing of the endpoint.
+// isLocalShortage reports whether this machine lacked a descriptor or memory for a socket, which is no fault of the
+// endpoint.
 func isLocalShortage(err error) bool {
 	return errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ENOMEM)
 }
@@ -206,7 +209,8 @@
 	return b.Bytes(), nil
 }
 
-// place takes a place for a new connection: a free one, that of one kept idle, or the next that a call gives back.
+// acquireSlot acquires a slot for a new connection. If none is free, it closes an idle connection, and then waits for
+// the next slot to be released.
 func (p *Pool) acquireSlot(ctx context.Context) bool {
 	select {
 	case p.connSem <- struct{}{}:
@@ -234,7 +238,7 @@
 	return k.Conn.Close()
 }
 
-// dial opens a connection in a place that was taken for it.
+// dial opens a connection in a slot that the caller has acquired, and releases the slot on failure.
 func (p *Pool) dial(ctx context.Context, addr string) (*conn, error) {
 	var nc net.Conn
 	err := transient.RetryLocal(ctx, min(localRetryTimeout, p.dialTimeout/2), func() (err error) {
@@ -254,12 +258,12 @@
 	return &conn{Conn: nc, addr: addr, limitReader: l, br: bufio.NewReaderSize(l, 4096), release: release}
 }
 
-// exchange writes the request, which counts among the tries once it is written whole, and reads the answer; reuse
-// tells that the connection is good for another call.
+// roundTrip writes the request and reads the response. It increments requestsWritten once the request is written
+// completely. reuse reports whether the connection can be used for another call.
 func (k *conn) roundTrip(ctx context.Context, request []byte, requestsWritten *atomic.Int64) (res Result, reuse bool) {
 	writeStart := time.Now()
 	if n, err := transient.Write(k, request); err != nil && n < len(request) {
-		return Result{Outcome: choice.ConnectFailed}, false // without its last byte the endpoint has not begun it
+		return Result{Outcome: choice.ConnectFailed}, false // endpoints do not execute an incomplete request
 	}
 	writeEnd := time.Now()
 	requestsWritten.Add(1)
@@ -277,9 +281,9 @@
 	return res, reuse
 }
 
-// answer reads one answer and tells whether the connection may carry another call. One that can't be read to its
-// end proves nothing, whatever it began to say, but for a first line with 200: that line holds. One that has begun has so
-// long to end.
+// readResponse reads one response and reports whether the connection can be used for another call. A response that
+// cannot be read to its end proves nothing, except that a status line with 200 counts as delivered. Once a response has
+// started, it must end within responseRestTimeout or deliveredRestTimeout.
 func (k *conn) readResponse() (Result, bool, error) {
 	for range maxInformationalResponses {
 		k.limitReader.N = maxResponseHeaderBytes + maxResponseBodyBytes
@@ -292,7 +296,7 @@
 		resp, err := http.ReadResponse(k.br, nil)
 		if err == nil && resp.StatusCode < 200 {
 			if err = k.SetReadDeadline(time.Time{}); err == nil {
-				continue // the real answer may take its time
+				continue // the final response has no time limit until it starts
 			}
 		}
 		if err == nil {
@@ -300,21 +304,22 @@
 			n, err = io.Copy(io.Discard, io.LimitReader(resp.Body, maxResponseBodyBytes+1))
 			resp.Body.Close()
 			if err == nil && n > maxResponseBodyBytes {
-				err = errors.New("a body too large")
+				err = errors.New("response body exceeds 64 KiB")
 			}
 		}
 		switch {
-		case err == nil: // more than the answer in the buffer belongs to no call
+		case err == nil: // bytes after the response belong to no call: do not reuse the connection
 			return classifyResponse(resp), !resp.Close && k.br.Buffered() == 0, nil
 		case delivered:
 			return Result{Outcome: choice.Success, MessageDone: true}, false, nil
 		}
-		return Result{}, false, fmt.Errorf("answer: %w", err)
+		return Result{}, false, fmt.Errorf("read response: %w", err)
 	}
-	return Result{}, false, errors.New("answer: only 1xx")
+	return Result{}, false, errors.New("read response: too many informational responses")
 }
 
-// begins waits for the first byte of an answer, and bounds the time of the rest.
+// awaitFirstByte waits for the first byte of a response, and limits the time for the rest. It returns false on a read
+// error.
 func (k *conn) awaitFirstByte() bool {
 	_, err := k.br.Peek(1)
 	if err == nil {
@@ -323,11 +328,12 @@
 	return err == nil
 }
 
-// endBy has reads fail after so long. An error means that the connection is closed, and they fail at once.
+// setReadTimeout makes reads fail after d. Its error is ignored: it means that the connection is closed, so that reads
+// fail anyway.
 func (k *conn) setReadTimeout(d time.Duration) { k.SetReadDeadline(time.Now().Add(d)) }
 
-// saysDelivered looks ahead for a first line with 200, which may be the last that comes of the answer. It waits
-// for no more bytes than it takes to tell.
+// peekStatusOK reports whether the response starts with a status line with 200, without consuming it. It waits for no
+// more bytes than it needs, since nothing may follow that line.
 func (k *conn) peekStatusOK() bool {
 	const want = "HTTP/1.? 200"
 	for n := 1; n <= len(want); n++ {
@@ -340,7 +346,7 @@
 	return err != nil || bytes.IndexByte([]byte(" \r\n"), line[len(want)]) >= 0
 }
 
-// outcome reads the protocol's table of answers.
+// classifyResponse maps the status codes of the delivery protocol to outcomes.
 func classifyResponse(resp *http.Response) Result {
 	res := Result{Report: parseLoadReport(resp.Header.Get(loadHeader))}
 	switch resp.StatusCode {
@@ -360,13 +366,13 @@
 		res.Outcome = choice.NotSent
 	case http.StatusGone:
 		res.Outcome, res.MessageDone = choice.NotSent, true
-	default: // 500, and what the protocol does not know: it may have run
+	default: // 500 and unknown codes: the call may have been executed
 		res.Outcome = choice.ServerError
 	}
 	return res
 }
 
-// loadReport reads "x0=0.4,x1=25"; what can't be read is left out.
+// parseLoadReport parses a load report such as "x0=0.4,x1=25" and ignores malformed fields.
 func parseLoadReport(text string) choice.LimitReport {
 	var r choice.LimitReport
 	for field := range strings.SplitSeq(text, ",") {
@@ -385,7 +391,8 @@
 	return r
 }
 
-// take returns a kept connection that is still good, the one used last, or nil.
+// takeIdle removes and returns the most recently used idle connection that is still usable, or returns nil if there is
+// none.
 func (p *Pool) takeIdle(e *Endpoint) *conn {
 	for {
 		p.mu.Lock()
@@ -397,8 +404,8 @@
 		k := kept[len(kept)-1]
 		p.removeIdle(e.ID, len(kept)-1)
 		p.mu.Unlock()
-		// The watch is called back from its read. Had it met an end or a byte, it would not end by this time-out; but
-		// what has come since it last looked it may not have seen, and a request would be a sure reset.
+		// Interrupt the read of the idle watch. Had it seen an end or a byte, it would not end with this timeout. It
+		// may have missed what arrived since its last read, and then a request would be certain to fail with a reset.
 		k.SetReadDeadline(time.Unix(1, 0))
 		err := <-k.watchDone
 		var timeout net.Error
@@ -409,14 +416,15 @@
 	}
 }
 
-// silent tells that a connection between calls is as it was left: nothing has come on it, and it has not ended.
+// isQuiet reports whether an idle connection is unchanged since its last call: no input has arrived, and it is not
+// closed.
 func (k *conn) isQuiet() bool {
 	var b [1]byte
 	_, err := nonblock.Read(k.Conn, b[:])
 	return errors.Is(err, nonblock.ErrWouldBlock)
 }
 
-// drop takes the i-th kept connection of an endpoint out; the lock is held.
+// removeIdle removes the i-th idle connection of an endpoint. The caller holds p.mu.
 func (p *Pool) removeIdle(id string, i int) {
 	p.idleCount--
 	if p.idleConns[id] = slices.Delete(p.idleConns[id], i, i+1); len(p.idleConns[id]) == 0 {
@@ -424,13 +432,13 @@
 	}
 }
 
-// give keeps a connection for the next call, and watches it: it is closed when the endpoint closes it, sends
-// something unasked for, or when it has stood idle for nearly as long as the endpoint allows.
+// putIdle keeps a connection for the next call and watches it. The connection is closed if the endpoint closes it, if
+// the endpoint sends unsolicited data, or after being idle for almost as long as the endpoint allows.
 func (p *Pool) putIdle(e *Endpoint, k *conn) {
 	k.watchDone = make(chan error, 1)
 	k.limitReader.N = 1
 	p.mu.Lock()
-	// Under the lock: whoever shuts an endpoint says so first, and then hangs up.
+	// Checked under the lock, because a caller that blocks an endpoint sets the flag before it calls CloseIdle.
 	unusable := e.Withdrawn.Load() || e.Disabled.Load() || p.closeCtx.Err() != nil
 	if unusable || p.idleCount >= p.maxIdle || k.SetReadDeadline(time.Now().Add(p.idleTimeout)) != nil {
 		p.mu.Unlock()
@@ -440,7 +448,7 @@
 	p.idleConns[e.ID] = append(p.idleConns[e.ID], k)
 	p.idleCount++
 	p.mu.Unlock()
-	go func() { // ends with the connection, or when take calls it back
+	go func() { // ends with the connection, or when takeIdle interrupts the read
 		_, err := k.br.Peek(1)
 		p.mu.Lock()
 		if i := slices.Index(p.idleConns[e.ID], k); i >= 0 {
@@ -452,7 +460,7 @@
 	}()
 }
 
-// HangUp closes the kept connections of an endpoint.
+// CloseIdle closes the idle connections of an endpoint.
 func (p *Pool) CloseIdle(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -463,7 +471,8 @@
 	delete(p.idleConns, id)
 }
 
-// Close closes all kept connections, and keeps none from now on.
+// Close closes all idle connections, and makes the pool close others after their current call. Calls that have not
+// started writing are not sent.
 func (p *Pool) Close() {
 	p.cancelCloseCtx()
 	p.mu.Lock()
--- a/internal/egress/pool_test.go
+++ b/internal/egress/pool_test.go
@@ -31,15 +31,15 @@
 		want       Result
 	}{
 		{"delivered", testkit.DeliveredResponse, Result{Outcome: choice.Success, MessageDone: true}},
-		{"delivered with a report", "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: x0=0.4,x1=25\r\nContent-Length: 0\r\n\r\n",
+		{"delivered with a load report", "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: x0=0.4,x1=25\r\nContent-Length: 0\r\n\r\n",
 			Result{Outcome: choice.Success, MessageDone: true, Report: choice.LimitReport{Left: 0.4, Limit: 25, HasLeft: true, HasLimit: true}}},
-		{"a report that can't be read", "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: x0=often,,x1=NaN\r\nContent-Length: 0\r\n\r\n",
+		{"malformed load report", "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: x0=often,,x1=NaN\r\nContent-Length: 0\r\n\r\n",
 			Result{Outcome: choice.Success, MessageDone: true}},
 		{"after a 1xx", "HTTP/1.1 103 Early Hints\r\n\r\n" + testkit.DeliveredResponse, Result{Outcome: choice.Success, MessageDone: true}},
 		{"error", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", Result{Outcome: choice.ServerError}},
-		{"told to wait", "HTTP/1.1 429 No\r\nRetry-After: 0.35\r\nContent-Length: 0\r\n\r\n",
+		{"rejected with Retry-After", "HTTP/1.1 429 No\r\nRetry-After: 0.35\r\nContent-Length: 0\r\n\r\n",
 			Result{Outcome: choice.Rejected, RetryAfter: 350 * time.Millisecond}},
-		{"turned away", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", Result{Outcome: choice.Rejected}},
+		{"rejected without Retry-After", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", Result{Outcome: choice.Rejected}},
 		{"no slot", "HTTP/1.1 503 No\r\nX-Line-Busy: 1\r\nContent-Length: 0\r\n\r\n", Result{Outcome: choice.NotSent, NoSlot: true}},
 		{"all attempts used", "HTTP/1.1 504 No\r\nContent-Length: 0\r\n\r\n", Result{Outcome: choice.NotSent}},
 		{"over", "HTTP/1.1 410 No\r\nContent-Length: 0\r\n\r\n", Result{Outcome: choice.NotSent, MessageDone: true}},
@@ -50,7 +50,7 @@
 			p := testkit.NewPartner(t, testkit.RespondWith(c.says))
 			got := testPool().Do(t.Context(), testCall(endpointAt(p.Addr())))
 			if got.ResponseRead != (c.want.Outcome != choice.ConnReset) || got.WriteStart.IsZero() || got.WriteEnd.Before(got.WriteStart) {
-				t.Errorf("heard %v, written from %v to %v", got.ResponseRead, got.WriteStart, got.WriteEnd)
+				t.Errorf("response read %v, request written from %v to %v", got.ResponseRead, got.WriteStart, got.WriteEnd)
 			}
 			got.ResponseRead, got.WriteStart, got.WriteEnd = false, c.want.WriteStart, c.want.WriteEnd
 			if got != c.want {
@@ -72,14 +72,14 @@
 		}
 	})
 	t.Run("broken before the last byte", func(t *testing.T) {
-		near, far := net.Pipe() // takes no byte that is not read
+		near, far := net.Pipe() // unbuffered: a write returns only once it is read
 		go func() {
 			io.ReadFull(far, make([]byte, 10))
 			far.Close()
 		}()
 		k, tries := &conn{Conn: near}, new(atomic.Int64)
 		if got, reuse := k.roundTrip(t.Context(), []byte(strings.Repeat("x", 100)), tries); got.Outcome != choice.ConnectFailed || reuse || tries.Load() != 0 {
-			t.Errorf("got %+v, %v, %d tries", got, reuse, tries.Load())
+			t.Errorf("got %+v, reuse %v, %d requests written", got, reuse, tries.Load())
 		}
 	})
 	t.Run("ended after the last byte", func(t *testing.T) {
@@ -92,7 +92,7 @@
 		closed := make(chan bool, 1)
 		p := testkit.NewPartner(t, func(nc net.Conn, _ *http.Request) bool {
 			_, err := nc.Read(make([]byte, 1))
-			closed <- err != nil // the call is given up by closing its connection
+			closed <- err != nil // a call that times out closes its connection
 			return false
 		})
 		c := testCall(endpointAt(p.Addr()))
@@ -101,7 +101,7 @@
 			t.Errorf("got %+v", got)
 		}
 	})
-	t.Run("called off", func(t *testing.T) {
+	t.Run("call cancelled", func(t *testing.T) {
 		p := testkit.NewPartner(t, testkit.NeverRespond)
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() {
@@ -112,7 +112,7 @@
 			t.Errorf("got %+v", got)
 		}
 	})
-	t.Run("over before it began", func(t *testing.T) {
+	t.Run("deadline passed before the start", func(t *testing.T) {
 		p := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse))
 		c := testCall(endpointAt(p.Addr()))
 		c.Deadline = time.Now().Add(-time.Second)
@@ -133,7 +133,7 @@
 	}
 }
 
-// A library that sends a request again by itself makes a second effect of it.
+// Guards against resending a request when a reused connection breaks: that could execute the call twice.
 func TestNoResendOnBrokenReusedConn(t *testing.T) {
 	first := true
 	p := testkit.NewPartner(t, func(nc net.Conn, _ *http.Request) bool {
@@ -156,8 +156,8 @@
 	}
 }
 
-// A first line with 200 holds whatever becomes of the rest; any other answer that breaks off proves nothing,
-// least of all that the call has not run.
+// A status line with 200 counts as delivered even if the rest of the response is lost. Any other truncated response
+// must not be taken as proof of anything, in particular not that the call was not executed.
 func TestTruncatedResponses(t *testing.T) {
 	for text, want := range map[string]choice.Outcome{
 		"HTTP/1.1 200":                  choice.Success,
@@ -181,12 +181,12 @@
 			t.Errorf("%q: got %+v", text, got)
 		}
 		if pool.idleCount != 0 {
-			t.Errorf("%q: its connection was kept", text)
+			t.Errorf("%q: the connection was kept", text)
 		}
 	}
 }
 
-// A request written to a connection that the endpoint has closed is a sure reset.
+// An idle connection that the endpoint closes must be dropped: a request written to it would fail with a reset.
 func TestRemoteCloseDropsIdleConn(t *testing.T) {
 	p := testkit.NewPartner(t, func(nc net.Conn, _ *http.Request) bool {
 		io.WriteString(nc, testkit.DeliveredResponse)
@@ -227,11 +227,11 @@
 	}
 	pool.Close()
 	if pool.idleCount != 0 {
-		t.Error("connections are kept after close")
+		t.Error("idle connections are kept after Close")
 	}
 }
 
-// Bytes that belong to no call would be taken for the next call's answer.
+// A connection with bytes after the response must not be reused: they would be taken for the next call's response.
 func TestConnWithExtraBytesIsNotReused(t *testing.T) {
 	p := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse+"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"))
 	pool, e := testPool(), endpointAt(p.Addr())
@@ -242,7 +242,7 @@
 	}
 }
 
-// Between the decision and the first byte lies a dial; a drain or a wait told meanwhile must hold the call.
+// A drain or cooldown that starts between the decision to call and the first byte must prevent the call.
 func TestNoCallToBlockedEndpoint(t *testing.T) {
 	p := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse))
 	drained, waiting := endpointAt(p.Addr()), endpointAt(p.Addr())
@@ -258,8 +258,8 @@
 	}
 }
 
-// Places for connections run out: a call waits for one, takes that of an idle connection, and is not sent if none
-// comes; it is no failure of the endpoint.
+// When all connection slots are taken, a call must close an idle connection or wait for a slot. If none becomes free,
+// the call is reported as not sent, rather than as a failure of the endpoint.
 func TestCallsStayWithinConnLimit(t *testing.T) {
 	p, q := testkit.NewPartner(t, testkit.RespondWith(testkit.DeliveredResponse)), testkit.NewPartner(t, testkit.NeverRespond)
 	pool := NewPool(nil, 50*time.Millisecond, time.Minute, 16, 1, new(atomic.Int64))
@@ -269,7 +269,7 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
-	go func() { // takes the place of the idle connection
+	go func() { // takes the slot of the idle connection
 		defer close(done)
 		pool.Do(ctx, testCall(f))
 	}()
@@ -280,6 +280,6 @@
 	cancel()
 	<-done
 	if got := pool.Do(t.Context(), testCall(e)); !got.MessageDone {
-		t.Errorf("with the place given back: got %+v", got)
+		t.Errorf("after the slot was released: got %+v", got)
 	}
 }
--- a/internal/egress/races_test.go
+++ b/internal/egress/races_test.go
@@ -16,7 +16,7 @@
 	"harrierramp/internal/testkit"
 )
 
-// calledBack is a connection that has something come in the moment in which the watch on it is called back.
+// hookedConn is a connection that calls onPastDeadline when its read is interrupted by a deadline in the past.
 type hookedConn struct {
 	*net.TCPConn
 	onPastDeadline func()
@@ -30,17 +30,17 @@
 	return err
 }
 
-// What comes on an idle connection as it is taken, be it an end, a reset or a stray byte, is met before a request is
-// written to it: the call goes over a new one.
+// Guards against writing a request to an idle connection that the endpoint closes, resets or writes to at the moment
+// that the connection is taken from the pool. Such a call must use a new connection.
 func TestTakeIdleDetectsPeerActivity(t *testing.T) {
 	for name, c := range map[string]struct {
 		act  func(far *net.TCPConn) error
 		good bool
 	}{
 		"nothing":          {func(*net.TCPConn) error { return nil }, true},
-		"its end":          {func(far *net.TCPConn) error { return far.CloseWrite() }, false},
-		"half a line":      {func(far *net.TCPConn) error { _, err := io.WriteString(far, "HTTP/1."); return err }, false},
-		"an answer to all": {func(far *net.TCPConn) error { _, err := io.WriteString(far, testkit.DeliveredResponse); return err }, false},
+		"a close":          {func(far *net.TCPConn) error { return far.CloseWrite() }, false},
+		"a partial line":   {func(far *net.TCPConn) error { _, err := io.WriteString(far, "HTTP/1."); return err }, false},
+		"a whole response": {func(far *net.TCPConn) error { _, err := io.WriteString(far, testkit.DeliveredResponse); return err }, false},
 		"a reset": {func(far *net.TCPConn) error {
 			far.SetLinger(0)
 			return far.Close()
@@ -82,8 +82,8 @@
 	}
 }
 
-// An answer that has begun holds its slot no longer than it is worth: what says delivered has said it with its first
-// line, and what says nothing to the end proves nothing.
+// A response that starts and never ends must not hold its slot for long. It counts as delivered if its status line has
+// 200, and proves nothing otherwise.
 func TestEndlessResponsesReleaseSlot(t *testing.T) {
 	const patience = 20 * time.Second
 	for text, want := range map[string]choice.Outcome{
@@ -119,7 +119,7 @@
 				t.Errorf("%+v after %v", res, time.Since(began))
 			}
 			select {
-			case <-ended: // the endpoint has its slot back
+			case <-ended: // the endpoint's slot is free again
 			case <-time.After(testkit.WaitTimeout):
 				t.Error("the connection stays open")
 			}
@@ -127,7 +127,7 @@
 	}
 }
 
-// A process that ends before the rest of an answer that says delivered has come knows that it is.
+// A call that is cancelled after a status line with 200, before the rest of the response, must count as delivered.
 func TestStatusOKCountsWhenCancelledMidResponse(t *testing.T) {
 	p := testkit.NewPartner(t, func(nc net.Conn, _ *http.Request) bool {
 		io.WriteString(nc, "HTTP/1.1 200 OK\r\n")
@@ -148,8 +148,8 @@
 		t.Fatal(err)
 	}
 	testkit.WaitForPendingData(t, near.(*net.TCPConn))
-	if k.limitReader.N = maxResponseHeaderBytes; !k.peekStatusOK() { // its line is read
-		t.Fatal("the first line does not say delivered")
+	if k.limitReader.N = maxResponseHeaderBytes; !k.peekStatusOK() { // the status line is buffered
+		t.Fatal("the status line was not recognized")
 	}
 	leave()
 	if got, reuse, err := k.readResponse(); got.Outcome != choice.Success || !got.MessageDone || reuse || err != nil {
@@ -157,7 +157,7 @@
 	}
 }
 
-// held is a pool with room for one connection, which a call holds until it is let go.
+// newFullPool returns a pool with a single connection slot, which a call holds until release is called.
 func newFullPool(t *testing.T, dial time.Duration) (pool *Pool, release func()) {
 	t.Helper()
 	inside, goOn := make(chan struct{}), make(chan struct{})
@@ -174,18 +174,18 @@
 	return pool, func() { close(goOn) }
 }
 
-// While a call waits for its connection the world goes on: what it tells the endpoint of its time is what is left, and
-// what is forbidden by then is not begun.
+// Conditions may change while a call waits for its connection. The request must announce the time that is left when it
+// is written, and a call that has become forbidden meanwhile must not be sent.
 func TestConditionsRecheckedAfterDial(t *testing.T) {
 	const wait = 300 * time.Millisecond
 	for name, c := range map[string]struct {
 		change func(*Call)
 		sent   bool
 	}{
-		"time has passed":            {func(*Call) {}, true},
+		"only time has passed":       {func(*Call) {}, true},
 		"the endpoint is drained":    {func(c *Call) { c.Endpoint.Withdrawn.Store(true) }, false},
-		"operators have taken it":    {func(c *Call) { c.Endpoint.Disabled.Store(true) }, false},
-		"a wait was told":            {func(c *Call) { c.Endpoint.Cooldown.Extend(time.Now().Add(time.Minute)) }, false},
+		"the endpoint is disabled":   {func(c *Call) { c.Endpoint.Disabled.Store(true) }, false},
+		"a cooldown has started":     {func(c *Call) { c.Endpoint.Cooldown.Extend(time.Now().Add(time.Minute)) }, false},
 		"a repeat is no longer safe": {func(c *Call) { c.LatestStart = time.Now().Add(wait / 2) }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -199,7 +199,7 @@
 			}
 			res := make(chan Result)
 			go func() { res <- pool.Do(t.Context(), call) }()
-			time.Sleep(wait) // time that passes, whatever runs meanwhile
+			time.Sleep(wait) // the elapsed time is what the test needs
 			if name != "a repeat is no longer safe" {
 				c.change(&call)
 			}
@@ -216,14 +216,15 @@
 			}
 			told := p.Next(t).Header.Get("X-Expires-In")
 			if ms, err := strconv.Atoi(strings.TrimSuffix(told, "m")); err != nil || ms > int((5*time.Second-wait).Milliseconds()) {
-				t.Errorf("the endpoint is told %q, and %v of 5 s have passed", told, wait)
+				t.Errorf("X-Expires-In is %q after %v of 5 s", told, wait)
 			}
 		})
 	}
 }
 
-// The wait for a place and the dial together last no longer than a dial may: when a repeat can begin at the latest is
-// reckoned from that. A dial that had only what the wait for its place has left says nothing of the endpoint.
+// Waiting for a slot and dialing must together stay within the dial timeout, because the latest start of a repeated
+// call is computed from it. A dial that times out after a long wait for its slot must not count as a failure of the
+// endpoint.
 func TestSlotWaitAndDialShareTimeout(t *testing.T) {
 	t.Parallel()
 	const dial = 2 * time.Second
@@ -239,19 +240,19 @@
 		t.Errorf("%+v after %v", got, took)
 	}
 	call.Deadline = time.Now().Add(time.Minute)
-	if got := pool.Do(t.Context(), call); got.Outcome != choice.ConnectFailed { // with all of its time
+	if got := pool.Do(t.Context(), call); got.Outcome != choice.ConnectFailed { // with the whole timeout for the dial
 		t.Errorf("%+v", got)
 	}
 }
 
-// A connection that nobody may use any more by the time its call ends is not kept.
+// A connection must not be kept idle after its call if its endpoint was blocked or the pool closed during the call.
 func TestUnusableConnIsNotKept(t *testing.T) {
 	for name, change := range map[string]func(*Pool, *Endpoint){
-		"the endpoint is shut": func(pool *Pool, e *Endpoint) {
+		"the endpoint is withdrawn": func(pool *Pool, e *Endpoint) {
 			e.Withdrawn.Store(true)
 			pool.CloseIdle(e.ID)
 		},
-		"operators have taken it out": func(pool *Pool, e *Endpoint) {
+		"the endpoint is disabled": func(pool *Pool, e *Endpoint) {
 			e.Disabled.Store(true)
 			pool.CloseIdle(e.ID)
 		},
@@ -290,11 +291,11 @@
 	}
 }
 
-// A call that ends, or is called off, while its dial does not come up leaves neither a place taken nor a dial under way.
+// A call that ends or is cancelled during its dial must neither keep its connection slot nor leave the dial running.
 func TestAbandonedDialReleasesSlot(t *testing.T) {
 	addr := testkit.UnresponsiveAddr(t)
 	for name, end := range map[string]func(cancel context.CancelFunc, pool *Pool, c *Call){
-		"called off":         func(cancel context.CancelFunc, _ *Pool, _ *Call) { cancel() },
+		"call cancelled":     func(cancel context.CancelFunc, _ *Pool, _ *Call) { cancel() },
 		"the pool is closed": func(_ context.CancelFunc, pool *Pool, _ *Call) { pool.Close() },
 		"out of time":        func(_ context.CancelFunc, _ *Pool, _ *Call) {},
 	} {
@@ -306,16 +307,16 @@
 		res := make(chan Result)
 		go func() { res <- pool.Do(ctx, call) }()
 		if name != "out of time" {
-			testkit.Eventually(t, "the dial is under way", func() bool { return testkit.CountPendingDials(t, addr) == 1 })
+			testkit.Eventually(t, "the dial is in progress", func() bool { return testkit.CountPendingDials(t, addr) == 1 })
 		}
 		end(cancel, pool, &call)
 		if got := <-res; got.Outcome != choice.ConnectFailed && got.Outcome != choice.NotSent {
 			t.Errorf("%s: %+v", name, got)
 		}
 		if n := len(pool.connSem); n != 0 {
-			t.Errorf("%s: %d places are taken", name, n)
+			t.Errorf("%s: %d connection slots are taken", name, n)
 		}
-		testkit.Eventually(t, "no dial is under way", func() bool { return testkit.CountPendingDials(t, addr) == 0 })
+		testkit.Eventually(t, "no dial is in progress", func() bool { return testkit.CountPendingDials(t, addr) == 0 })
 		cancel()
 		pool.Close()
 	}
