--- a/internal/journal/fuzz_test.go
+++ b/internal/journal/fuzz_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// Whatever stands in the file, reading and opening agree on what is owed, and reading changes nothing.
+// FuzzReader checks for arbitrary file contents that Read and Open find the same unsettled messages, and that Read does
+// not change the file.
 func FuzzReader(f *testing.F) {
 	dir := f.TempDir()
 	j, err := Open(dir, 3)
@@ -46,7 +47,7 @@
 			t.Fatal(err)
 		}
 		if after, err := os.ReadFile(path); err != nil || !bytes.Equal(after, raw) {
-			t.Fatalf("reading has changed the file: %v", err)
+			t.Fatalf("Read changed the file: %v", err)
 		}
 		if (got.Damage == nil) != (got.ValidBytes == int64(len(raw))) {
 			t.Fatalf("%d of %d bytes, damage %v", got.ValidBytes, len(raw), got.Damage)
@@ -57,7 +58,7 @@
 		}
 		defer j.Close()
 		if len(j.Unsettled()) != len(got.Unsettled) {
-			t.Errorf("%d owed, and %d read", len(j.Unsettled()), len(got.Unsettled))
+			t.Errorf("Open found %d unsettled messages, Read %d", len(j.Unsettled()), len(got.Unsettled))
 		}
 	})
 }
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -1,5 +1,6 @@
-// Package journal keeps messages that a node has taken on until nothing is owed for them any more. One goroutine owns a
-// Journal.
+// Package journal is the write-ahead log of a node. It stores the messages that the node has accepted until they are
+// settled, that is, until each has been delivered or its final answer has been sent. A Journal is not safe for
+// concurrent use.
 package journal
 
 import (
@@ -12,36 +13,37 @@
 	"time"
 )
 
-// The journal is one file of records, appended only. A record is its payload's length and CRC-32, four bytes
-// each, and the payload: a kind, the number of its message and what the kind calls for. What a process has
-// written outlasts it, so nothing is synced; a kill can at most tear the last record.
+// The journal is a single append-only file of records. A record consists of the length and the CRC-32 of its payload,
+// four bytes each, and the payload: a record kind, the sequence number of the message, and fields that depend on the
+// kind. Data that a process has written outlives the process, so the file is never synced; a kill can at most tear the
+// last record.
 
 const (
-	recAccepted    byte = iota + 1 // a message was taken on
+	recAccepted    byte = iota + 1 // a message was accepted
 	recAttempt                     // an attempt is about to be sent
-	recNotExecuted                 // an attempt failed and is proven not to have run
-	recFailed                      // an attempt failed and may have run
-	recEnded                       // the final answer, whose notice is still owed
-	recSettled                     // nothing is owed any more
+	recNotExecuted                 // an attempt failed and is proven not to have been executed
+	recFailed                      // an attempt failed and may have been executed
+	recEnded                       // the message has its final answer; the notice is still to be sent
+	recSettled                     // nothing is left to do for the message
 )
 
 const (
 	journalFile         = "journal"
 	recordHeaderBytes   = 8
-	maxRecordBytes      = 64<<10 + 4<<10 + 64 // of the largest body and words that clients may send
-	messageReserveBytes = 1024                // room for the small records that will follow an accepted message
-	minCompactBytes     = 256 << 10           // a smaller file is not worth compacting
-	DefaultDiskMB       = 3
-	CompactRetryDelay   = 100 * time.Millisecond // after a failed compaction
+	maxRecordBytes      = 64<<10 + 4<<10 + 64    // the largest body and other fields that clients may send
+	messageReserveBytes = 1024                   // for the small records that will follow an accepted message
+	minCompactBytes     = 256 << 10              // smaller files are not worth compacting
+	DefaultDiskMB       = 3                      // disk budget in MiB if none is configured
+	CompactRetryDelay   = 100 * time.Millisecond // delay after a failed compaction
 )
 
 var (
-	errDiskBudget = errors.New("the journal's share of the disk is used up")
-	errCorrupt    = errors.New("a record")
-	errUnwritable = errors.New("journal: it could not be written a moment ago")
+	errDiskBudget = errors.New("journal: disk budget exhausted")
+	errCorrupt    = errors.New("corrupt record")
+	errUnwritable = errors.New("journal: not writable after a recent failure")
 )
 
-// Message is all that the journal knows of a message that still owes something.
+// Message is what the journal stores of an unsettled message.
 type Message struct {
 	seq        uint64
 	ID, Key    string
@@ -50,17 +52,18 @@
 	Dest       int
 	Body       []byte
 	Deadline   time.Time
-	ReceivedAt time.Time `json:"Came"` // when it was handed in; zero after a restart, for it is not kept
+	ReceivedAt time.Time `json:"Came"` // zero after a restart, because it is not stored
 	Attempts   []Attempt `json:"Sends"`
 	Ended      *Ending
 }
 
-// Send is an attempt. One that has not failed was out when the journal ended, and may have run as well.
+// Attempt is a delivery attempt. One that has not failed was in progress when the journal ended, and may have been
+// executed too.
 type Attempt struct {
 	At           time.Time
 	Zone         int
-	ListRevision int64  `json:"List"` // the revision that it rests on, and
-	Incarnation  uint32 `json:"Life"` // whose process's; 0 where that is not told
+	ListRevision int64  `json:"List"` // revision of the endpoint list that the attempt was decided on
+	Incarnation  uint32 `json:"Life"` // of the deciding process; 0 if neither was recorded
 	NotExecuted  bool   `json:"NotRun"`
 	Failed       bool
 }
@@ -71,59 +74,59 @@
 	RetryAfter time.Duration `json:"After"`
 }
 
-// size is about the room that a message takes in the journal.
+// size estimates the space in bytes that a message takes in the journal.
 func (p *Message) size() int64 {
 	return int64(len(p.Body)+len(p.ID)+len(p.Key)) + messageReserveBytes
 }
 
-// Journal appends records and keeps what is live, so that it can write the file anew.
+// Journal appends records to the file, and keeps the unsettled messages in memory so that it can write a new file.
 type Journal struct {
 	dir              string
 	budgetBytes      int64
 	file             *os.File
-	fileBytes        int64 // good bytes in the file
-	live             map[uint64]*Message
-	liveBytes        int64  // sum of the sizes of what is live
-	pending          []byte // records not yet in the file
+	fileBytes        int64               // length of the valid records in the file
+	live             map[uint64]*Message // unsettled messages by sequence number
+	liveBytes        int64               // sum of the sizes of the live messages
+	pending          []byte              // records that are not yet in the file
 	nextSeq          uint64
-	needsRewrite     bool // the file lacks records of what is live; only a new file will do
-	staleTail        bool // records that were given up may stand behind the good bytes, since they could not be cut off
+	needsRewrite     bool // the file lacks records of live messages, so a new file has to be written
+	staleTail        bool // discarded records may follow the valid ones, since truncating the file failed
 	compactNotBefore time.Time
 
-	// Damage is why Open did not read to the end of the file, nil where it did or where a kill has torn the last record.
-	// What stands behind it is lost.
+	// Damage is why Open did not read the file to its end. It is nil if Open did, or if only the last record is torn.
+	// What follows the damage is lost.
 	Damage error
 
-	// Appended, if it is set, hears how long each write took.
+	// OnAppend, if not nil, is called with the duration of each write.
 	OnAppend func(time.Duration)
 }
 
 func (j *Journal) path() string { return filepath.Join(j.dir, journalFile) }
 
-// add queues a record for the next flush, and brings what is live up to date.
+// enqueue queues a record for the next Flush and applies it to the live messages.
 func (j *Journal) enqueue(payload []byte) {
 	j.pending = appendRecord(j.pending, payload)
 	j.apply(payload)
 }
 
-// Attempt notes that an attempt is about to be sent.
+// RecordAttempt records that an attempt is about to be sent.
 func (j *Journal) RecordAttempt(p *Message, s Attempt) { j.enqueue(attemptRecord(p.seq, s)) }
 
-// NotRun notes that the n-th attempt failed and is proven not to have run.
+// RecordNotExecuted records that the n-th attempt failed and is proven not to have been executed.
 func (j *Journal) RecordNotExecuted(p *Message, n int) {
 	j.enqueue(outcomeRecord(recNotExecuted, p.seq, n))
 }
 
-// Failed notes that the n-th attempt failed and may have run.
+// RecordFailed records that the n-th attempt failed and may have been executed.
 func (j *Journal) RecordFailed(p *Message, n int) { j.enqueue(outcomeRecord(recFailed, p.seq, n)) }
 
-// Ended notes the final answer of a message, whose notice is still owed.
+// RecordEnded records the final answer of a message, whose notice is still to be sent.
 func (j *Journal) RecordEnded(p *Message, e Ending) { j.enqueue(endedRecord(p.seq, e)) }
 
-// Over notes that nothing is owed any more.
+// RecordSettled records that nothing is left to do for a message.
 func (j *Journal) RecordSettled(p *Message) { j.enqueue(record(recSettled, p.seq)) }
 
-// Owed are the messages that still owe something, in the order in which they were taken on.
+// Unsettled returns the unsettled messages in the order in which they were accepted.
 func (j *Journal) Unsettled() []*Message {
 	out := make([]*Message, 0, len(j.live))
 	for _, seq := range slices.Sorted(maps.Keys(j.live)) {
@@ -132,15 +135,17 @@
 	return out
 }
 
-// Down tells that the file lacks records of what is owed: it is to be flushed again, and takes nothing on.
+// Down reports whether the file lacks records of unsettled messages. While it does, Accept fails, and Flush has to be
+// called again.
 func (j *Journal) Down() bool { return j.needsRewrite }
 
-// Torn tells that the next start may find messages whose records a failed Flush has given up. Until it is over, nobody may
-// be told that such a message was refused.
+// StaleTail reports whether the next start may find messages whose records a failed Flush has discarded. While it may,
+// no client may be told that such a message was refused.
 func (j *Journal) StaleTail() bool { return j.staleTail }
 
-// Accept numbers a new message, queues its record and returns what is kept of it; it refuses what the disk may not have room for.
-// Twice what is live must fit, since a compaction holds the old file and the new one at once.
+// Accept assigns a sequence number to a new message, queues its record and returns the stored message. It fails if the
+// message does not fit into the disk budget. The budget must hold the live messages twice, since the old and the new
+// file exist at the same time during a compaction.
 func (j *Journal) Accept(p *Message) (*Message, error) {
 	if j.needsRewrite {
 		return nil, errUnwritable
@@ -153,8 +158,8 @@
 	return j.live[p.seq], nil
 }
 
-// Flush writes what is queued. On an error nothing that the queued records guard may be done. What is live
-// stays true all the same, and goes to a new file as soon as one can be written.
+// Flush writes the queued records. If it fails, the caller must not perform the actions that the queued records
+// announce. The live messages in memory stay valid, and are written to a new file as soon as that succeeds.
 func (j *Journal) Flush() error {
 	if j.needsRewrite {
 		return j.rewrite()
@@ -173,12 +178,12 @@
 			j.discardPending()
 			return err
 		}
-		// There is room to append for now.
+		// There is still room to append.
 	}
 	return j.append(newSize)
 }
 
-// append writes what is queued to the end of the file, which then holds after bytes.
+// append writes the queued records to the end of the file, whose valid length then is newSize.
 func (j *Journal) append(newSize int64) error {
 	began := time.Now()
 	_, err := j.file.WriteAt(j.pending, j.fileBytes)
@@ -186,7 +191,7 @@
 		j.OnAppend(time.Since(began))
 	}
 	if err != nil {
-		// Whole records of what is not going to be done must not be found at the next start.
+		// The next start must not find complete records of actions that are not going to be performed.
 		truncateErr := j.truncateTail()
 		j.staleTail = truncateErr != nil
 		j.discardPending()
@@ -197,8 +202,8 @@
 	return nil
 }
 
-// Close writes what is queued and closes the file.
+// Close writes the queued records and closes the file.
 func (j *Journal) Close() error {
-	j.compactNotBefore = time.Time{} // there is no later try
+	j.compactNotBefore = time.Time{} // retry now: this is the last chance
 	return errors.Join(j.Flush(), j.file.Close())
 }
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -44,7 +44,7 @@
 	return p
 }
 
-// history writes something of every kind, and returns what is then live.
+// writeEveryRecordKind writes records of every kind and returns the messages that are then live.
 func writeEveryRecordKind(t *testing.T, j *Journal) map[uint64]*Message {
 	t.Helper()
 	now := time.UnixMicro(time.Now().UnixMicro())
@@ -94,7 +94,8 @@
 	requireSameLive(t, openTestJournal(t, dir, 3).live, want)
 }
 
-// A kill tears the last record at any byte; all before it must be there, and what follows must be readable.
+// A kill can tear the last record at any byte. The records before it must be restored, and records that are appended
+// after the restart must be readable.
 func TestTornTail(t *testing.T) {
 	dir := t.TempDir()
 	writeEveryRecordKind(t, openTestJournal(t, dir, 3))
@@ -115,7 +116,7 @@
 			t.Fatalf("cut at %d: %d live, want %d", cut, len(again.live), before+1)
 		}
 	}
-	for i := range whole { // a flipped byte ends the replay there, and is no panic
+	for i := range whole { // corruption ends the replay and must not panic
 		bad := bytes.Clone(whole)
 		bad[i] ^= 0x55
 		if err := os.WriteFile(filepath.Join(dir, journalFile), bad, 0o600); err != nil {
@@ -125,7 +126,8 @@
 	}
 }
 
-// Over its share of the disk the node is taken for crashed: the old file, the new one and all.
+// A node that exceeds its disk budget is treated as crashed, so the old and the new file of a compaction must fit into
+// the budget together.
 func TestDiskBudgetWithLargeBodies(t *testing.T) {
 	dir := t.TempDir()
 	const mb = 1
@@ -146,7 +148,7 @@
 			held = append(held, p)
 			j.enqueue(attemptRecord(p.seq, Attempt{At: time.Now()}))
 		}
-		live := int64(0) // what a compaction would write now, beside the file that is there
+		live := int64(0) // what a compaction would write now, beside the existing file
 		for _, p := range j.live {
 			live += int64(len(acceptedRecord(p))) + recordHeaderBytes + 64
 		}
@@ -161,7 +163,7 @@
 		}
 	}
 	if refused == 0 || most > mb<<20 {
-		t.Errorf("refused %d, most on disk %d", refused, most)
+		t.Errorf("refused %d messages, peak disk usage %d bytes", refused, most)
 	}
 	if again := openTestJournal(t, dir, mb); len(again.live) != len(held) {
 		t.Errorf("%d live, want %d", len(again.live), len(held))
@@ -181,7 +183,7 @@
 	}
 }
 
-// A journal that can't be written must not lose what it has, nor take anything more on.
+// A journal that cannot be written must not lose its messages, and must not accept new ones.
 func TestUnwritableJournal(t *testing.T) {
 	dir := t.TempDir()
 	j := openTestJournal(t, dir, 3)
@@ -193,19 +195,19 @@
 	good := j.file
 	defer good.Close()
 	j.file = full
-	if err := os.Mkdir(j.path()+".new", 0o700); err != nil { // no compaction either
+	if err := os.Mkdir(j.path()+".new", 0o700); err != nil { // makes compaction fail too
 		t.Fatal(err)
 	}
 	p := mustAccept(t, j, "lost", []byte("x"))
 	if err := j.Flush(); err == nil {
-		t.Fatal("the full disk took it")
+		t.Fatal("Flush succeeded on a full disk")
 	}
-	j.enqueue(record(recSettled, p.seq)) // its client is refused
+	j.enqueue(record(recSettled, p.seq)) // the client was told that it is refused
 	if _, err := j.Accept(&Message{ID: "more"}); err == nil {
-		t.Error("taken on without a journal")
+		t.Error("a message was accepted without a writable journal")
 	}
 	if err := j.Flush(); err == nil {
-		t.Error("compacted onto a full disk")
+		t.Error("compaction succeeded although the new file cannot be created")
 	}
 	if err := os.Remove(j.path() + ".new"); err != nil {
 		t.Fatal(err)
@@ -214,11 +216,11 @@
 	requireSameLive(t, openTestJournal(t, dir, 3).live, want)
 }
 
-// A new file that can't be made costs nothing while there is room to append to the old one.
+// A failing compaction must not make the journal unwritable while there is room to append to the old file.
 func TestAppendContinuesWhileCompactionFails(t *testing.T) {
 	dir := t.TempDir()
 	j := openTestJournal(t, dir, 3)
-	if err := os.Mkdir(j.path()+".new", 0o700); err != nil { // no file can be opened there
+	if err := os.Mkdir(j.path()+".new", 0o700); err != nil { // the new file cannot be created
 		t.Fatal(err)
 	}
 	body := make([]byte, 16<<10)
@@ -226,7 +228,7 @@
 		p := mustAccept(t, j, fmt.Sprint("m", i), body)
 		mustFlush(t, j)
 		if j.Down() {
-			t.Fatalf("down after %d bytes of 3 MB", j.fileBytes)
+			t.Fatalf("journal is down after %d bytes of 3 MB", j.fileBytes)
 		}
 		if i > 0 {
 			j.RecordSettled(p)
@@ -234,11 +236,11 @@
 	}
 	mustFlush(t, j)
 	if got := len(openCopy(t, dir).live); got != 1 {
-		t.Errorf("%d messages are found, want 1", got)
+		t.Errorf("%d messages restored, want 1", got)
 	}
 }
 
-// openCopy opens what stands in a folder's journal now, without what stands beside it.
+// openCopy opens a copy of the journal file in dir as it is now, without other files of that directory.
 func openCopy(t *testing.T, dir string) *Journal {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join(dir, journalFile))
@@ -252,11 +254,12 @@
 	return openTestJournal(t, copied, 3)
 }
 
-// What stands behind the last good record after a failed write is found by the next start until it is cut off.
+// A failed write can leave records behind the last valid one, which the next start would restore. The journal must
+// report that until the file has been truncated.
 func TestStaleTailIsReported(t *testing.T) {
 	dir := t.TempDir()
 	j := openTestJournal(t, dir, 3)
-	full, err := os.OpenFile("/dev/full", os.O_RDWR, 0) // neither written nor cut
+	full, err := os.OpenFile("/dev/full", os.O_RDWR, 0) // can be neither written nor truncated
 	if err != nil {
 		t.Skip("no /dev/full here")
 	}
@@ -267,16 +270,16 @@
 	}
 	mustAccept(t, j, "refused", nil)
 	if err := j.Flush(); err == nil || !j.StaleTail() {
-		t.Errorf("torn %v after %v", j.StaleTail(), err)
+		t.Errorf("stale tail %v after error %v", j.StaleTail(), err)
 	}
-	j.file = good // it can be cut again, though no new file can be made
-	testkit.Eventually(t, "the end is cut off", func() bool { return j.Flush() != nil && !j.StaleTail() })
+	j.file = good // can be truncated again, though no new file can be created
+	testkit.Eventually(t, "the tail is truncated", func() bool { return j.Flush() != nil && !j.StaleTail() })
 	if !j.Down() {
-		t.Error("it is up without its records")
+		t.Error("the journal is up without the records of its messages")
 	}
 }
 
-// A file that can't be read to its end for a moment is not cut there.
+// A read error must not be taken for the end of the journal, since the file would be truncated there.
 func TestReadErrorIsNotEndOfJournal(t *testing.T) {
 	j := openTestJournal(t, t.TempDir(), 3)
 	writeEveryRecordKind(t, j)
--- a/internal/journal/read.go
+++ b/internal/journal/read.go
@@ -8,17 +8,17 @@
 	"path/filepath"
 )
 
-// Contents are what stands in a journal's file at one moment.
+// Contents describes a journal file at one moment.
 type Contents struct {
-	Unsettled  []*Message // in the order in which they were taken on
-	ValidBytes int64      // of whole records
-	// Damage is why reading ended before the end of the file, nil if it did not. Torn tells that the file ends inside
-	// its last record, as a kill leaves it or as it looks while a node writes; anything else is damage.
+	Unsettled  []*Message // in the order in which they were accepted
+	ValidBytes int64      // length of the valid records
+	// Damage is why reading ended before the end of the file, or nil. Torn reports that the file ends inside its last
+	// record, as after a kill or while a node writes to it; every other cause is real damage.
 	Damage error
 	Torn   bool
 }
 
-// Read reads the journal in a folder without changing anything, also while a node writes it.
+// Read reads the journal in the directory dir without changing it. A node may write to the journal at the same time.
 func Read(dir string) (Contents, error) {
 	f, err := os.Open(filepath.Join(dir, journalFile))
 	if err != nil {
@@ -28,7 +28,7 @@
 	return ReadFrom(f)
 }
 
-// ReadFrom reads a journal's bytes.
+// ReadFrom reads the contents of a journal file from r.
 func ReadFrom(r io.Reader) (Contents, error) {
 	j := Journal{live: map[uint64]*Message{}, nextSeq: 1}
 	err := j.replay(r)
--- a/internal/journal/records.go
+++ b/internal/journal/records.go
@@ -9,6 +9,8 @@
 	"time"
 )
 
+// readRecord reads the next record and returns its payload. The error is io.EOF between records, and
+// io.ErrUnexpectedEOF inside one.
 func readRecord(r io.Reader) ([]byte, error) {
 	var head [recordHeaderBytes]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -16,7 +18,7 @@
 	}
 	n := binary.LittleEndian.Uint32(head[:])
 	if n == 0 || n > maxRecordBytes {
-		return nil, fmt.Errorf("%w: of impossible length", errCorrupt)
+		return nil, fmt.Errorf("%w: invalid length", errCorrupt)
 	}
 	payload := make([]byte, n)
 	if _, err := io.ReadFull(r, payload); errors.Is(err, io.EOF) {
@@ -25,12 +27,12 @@
 		return nil, err
 	}
 	if crc32.ChecksumIEEE(payload) != binary.LittleEndian.Uint32(head[4:]) {
-		return nil, fmt.Errorf("%w: with a wrong checksum", errCorrupt)
+		return nil, fmt.Errorf("%w: checksum mismatch", errCorrupt)
 	}
 	return payload, nil
 }
 
-// fields reads the fields of a payload; bad is set when it is too short.
+// payloadReader decodes the fields of a payload. It sets malformed if the payload is too short.
 type payloadReader struct {
 	rest      []byte
 	malformed bool
@@ -91,7 +93,7 @@
 	return binary.AppendUvarint(binary.AppendUvarint(b, uint64(s.ListRevision)), uint64(s.Incarnation))
 }
 
-// outcomeRecord is of recNotRun or recFailed.
+// outcomeRecord returns the payload of a record of kind recNotExecuted or recFailed.
 func outcomeRecord(kind byte, seq uint64, attempt int) []byte {
 	return binary.AppendUvarint(record(kind, seq), uint64(attempt))
 }
--- a/internal/journal/recovery.go
+++ b/internal/journal/recovery.go
@@ -9,13 +9,14 @@
 	"time"
 )
 
-// Open replays the journal in dir, as far as its records are whole.
+// Open opens the journal in dir, creating it if necessary, and replays its records up to the first invalid one. diskMB
+// is the disk budget in MiB; zero or less means DefaultDiskMB.
 func Open(dir string, diskMB float64) (*Journal, error) {
 	if diskMB <= 0 {
 		diskMB = DefaultDiskMB
 	}
 	j := &Journal{dir: dir, budgetBytes: int64(diskMB*(1<<20)) - 16<<10, live: map[uint64]*Message{}, nextSeq: 1}
-	// A compaction that was cut short left its file; the old one is still whole.
+	// An interrupted compaction leaves its incomplete file; the old file is still valid.
 	if err := os.Remove(j.path() + ".new"); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
@@ -25,18 +26,18 @@
 	}
 	j.file = file
 	switch err := j.replay(file); {
-	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF): // what a torn tail would have guarded was not done
+	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF): // the action of a torn record was not performed
 	case errors.Is(err, errCorrupt):
 		j.Damage = fmt.Errorf("journal: at byte %d: %w", j.fileBytes, err)
-	default: // what stands behind is not known, and may be owed
+	default: // the rest is unknown and may hold unsettled messages
 		return nil, errors.Join(fmt.Errorf("journal: at byte %d: %w", j.fileBytes, err), file.Close())
 	}
-	// Without a truncation a new file has to be written before anything is appended.
+	// If the tail cannot be truncated, a new file has to be written before anything is appended.
 	j.needsRewrite = j.truncateTail() != nil
 	return j, nil
 }
 
-// replay applies the records of r as far as they are whole. Its error is io.EOF after the last one.
+// replay applies the records of r up to the first invalid one. It returns io.EOF if all records were valid.
 func (j *Journal) replay(r io.Reader) error {
 	buffered := bufio.NewReaderSize(r, 64<<10)
 	for {
@@ -49,7 +50,7 @@
 	}
 }
 
-// apply brings what is live up to date with one record.
+// apply updates the live messages by one record.
 func (j *Journal) apply(payload []byte) {
 	f := &payloadReader{rest: payload[1:]}
 	seq := f.uvarint()
@@ -62,7 +63,7 @@
 	case recAccepted:
 		p = &Message{seq: seq, ID: string(f.bytes()), Key: string(f.bytes()), Class: int(f.uvarint()), Dest: int(f.uvarint()),
 			Deadline: f.time(), Body: f.bytes(), Tenant: -1}
-		if len(f.rest) > 0 { // not in journals of earlier builds
+		if len(f.rest) > 0 { // absent in journals of earlier builds
 			p.Tenant = int(f.uvarint()) - 1
 		}
 		if !f.malformed {
@@ -71,7 +72,7 @@
 		}
 	case recAttempt:
 		s := Attempt{At: f.time(), Zone: int(f.uvarint())}
-		if len(f.rest) > 0 { // not in journals of earlier builds, which leave it unread
+		if len(f.rest) > 0 { // absent in journals of earlier builds, which ignore it
 			s.ListRevision, s.Incarnation = int64(f.uvarint()), uint32(f.uvarint())
 		}
 		if !f.malformed {
@@ -89,7 +90,7 @@
 		e := &Ending{Failed: f.uvarint() == 1, RetryAfter: time.Duration(f.uvarint()) * time.Millisecond}
 		if !f.malformed {
 			j.liveBytes -= p.size()
-			p.Ended, p.Body, p.Attempts = e, nil, nil // only the notice is owed
+			p.Ended, p.Body, p.Attempts = e, nil, nil // only the notice is left to send
 			j.liveBytes += p.size()
 		}
 	case recSettled:
@@ -98,11 +99,11 @@
 	}
 }
 
-// giveUp drops what is queued: only a new file can hold what is live.
+// discardPending drops the queued records. From then on only a new file can hold all live messages.
 func (j *Journal) discardPending() { j.pending, j.needsRewrite = nil, true }
 
-// Restamp changes the times of all that is live, and writes it to a new file. After an error the times have changed here
-// alone, and it is to be called again.
+// Restamp applies change to the times of all live messages and writes them to a new file. If it fails, the times have
+// changed only in memory, and it has to be called again.
 func (j *Journal) Restamp(change func(time.Time) time.Time) error {
 	for _, p := range j.live {
 		p.Deadline = change(p.Deadline)
@@ -116,7 +117,8 @@
 	return j.compact()
 }
 
-// recover writes the new file that a broken journal needs. What has been queued meanwhile is live, and so in it.
+// rewrite writes the new file that is needed after a failed append. The file contains the records that were queued
+// meanwhile, since those have been applied to the live messages.
 func (j *Journal) rewrite() error {
 	if j.staleTail && j.truncateTail() == nil {
 		j.staleTail = false
@@ -125,14 +127,14 @@
 	return j.compact()
 }
 
-// rewind cuts off whatever stands behind the last whole record.
+// truncateTail removes everything after the last valid record from the file.
 func (j *Journal) truncateTail() error {
 	return j.file.Truncate(j.fileBytes)
 }
 
-// compact writes what is live, queued records included, to a new file that takes the old one's place. After an error the
-// old one stands, and compact fails at once for CompactPause: a full disk should not have all that is live written to it
-// again and again.
+// compact writes the live messages, including the effect of queued records, to a new file that replaces the old one. If
+// it fails, the old file stays in use, and further calls fail at once for CompactRetryDelay, so that all live messages
+// are not written to a full disk over and over.
 func (j *Journal) compact() (err error) {
 	if time.Now().Before(j.compactNotBefore) {
 		return errUnwritable
@@ -159,16 +161,17 @@
 		return err
 	}
 	old := j.file
-	j.file, j.fileBytes, j.pending, j.needsRewrite, j.staleTail = file, size, nil, false, false // a large buffer is not kept
-	old.Close()                                                                                 // nothing of the old file is needed any more
+	// A nil pending slice, so that a large buffer is not kept.
+	j.file, j.fileBytes, j.pending, j.needsRewrite, j.staleTail = file, size, nil, false, false
+	old.Close() // the old file is no longer needed, so an error does not matter
 	return nil
 }
 
-// writeLive writes the records of what is live, and returns how many bytes they take.
+// writeLive writes records of all live messages and returns their size in bytes.
 func (j *Journal) writeLive(f io.Writer) (size int64, err error) {
 	w := bufio.NewWriterSize(f, 64<<10)
 	put := func(payload []byte) {
-		n, _ := w.Write(appendRecord(nil, payload)) // the error stays with w
+		n, _ := w.Write(appendRecord(nil, payload)) // Flush returns the error
 		size += int64(n)
 	}
 	for _, p := range j.live {
