--- a/internal/nonblock/nonblock.go
+++ b/internal/nonblock/nonblock.go
@@ -1,5 +1,5 @@
-// Package nowait looks at what lies in a socket now, without waiting and whatever deadline is set. A read with a deadline
-// can't tell that: one that has passed fails the read before it has looked, also where bytes or an end have come.
+// Package nonblock reads what is available on a socket without blocking, independent of read deadlines. A read with an
+// expired deadline cannot do that: it fails before it looks at the socket, even if data or EOF has arrived.
 package nonblock
 
 import (
@@ -10,12 +10,12 @@
 	"time"
 )
 
-// ErrNothing says that nothing has come and that the connection has not ended.
-var ErrWouldBlock = errors.New("nothing has come")
+// ErrWouldBlock reports that no data is available and that the connection has not ended.
+var ErrWouldBlock = errors.New("no data available")
 
-// Read reads what has come into p, which must have room, and never waits. Where nothing has, the error is ErrNothing; at
-// the connection's end io.EOF; any other is of the connection, or says that it is no socket. It takes the read deadline
-// away. Nobody else may be reading.
+// Read reads available data into p, which must not be empty, and never blocks. The error is ErrWouldBlock if no data is
+// available, and io.EOF at the end of the connection. Other errors come from the connection; errors.ErrUnsupported
+// means that it is not a socket. Read clears the read deadline. It must not be called concurrently with other reads.
 func Read(c net.Conn, p []byte) (int, error) {
 	s, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/nonblock/nonblock_test.go
+++ b/internal/nonblock/nonblock_test.go
@@ -11,7 +11,7 @@
 	"harrierramp/internal/testkit"
 )
 
-// What has come is seen whatever deadline is set, and nothing is waited for.
+// Read must see available data, EOF or a reset even if the read deadline has passed, and must not block.
 func TestReadIgnoresDeadline(t *testing.T) {
 	for name, c := range map[string]struct {
 		peer func(t *testing.T, far *net.TCPConn)
@@ -30,7 +30,7 @@
 			far.Close()
 		}, syscall.ECONNRESET, 0},
 	} {
-		for deadline, at := range map[string]time.Time{"none": {}, "one that has passed": time.Unix(1, 0)} {
+		for deadline, at := range map[string]time.Time{"none": {}, "already expired": time.Unix(1, 0)} {
 			near, far := testkit.TCPPair(t)
 			c.peer(t, far)
 			if name != "nothing" {
@@ -47,6 +47,6 @@
 	}
 	near, _ := net.Pipe()
 	if _, err := Read(near, make([]byte, 1)); !errors.Is(err, errors.ErrUnsupported) {
-		t.Errorf("what is no socket: %v", err)
+		t.Errorf("not a socket: %v", err)
 	}
 }
