--- a/internal/transient/stream.go
+++ b/internal/transient/stream.go
@@ -8,11 +8,12 @@
 
 const streamRetryDelay = 5 * time.Millisecond
 
-// softErrnos are told once of a connection that may stand: where it does not, the next read or write says so.
+// softErrnos are errors that the kernel may report once although the connection is intact. If it is not, the next read
+// or write fails too.
 var softErrnos = []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.EHOSTDOWN}
 
-// Reader reads from r, again where that had no memory or buffer to spare, and once where a peer could not be reached. A
-// deadline of r's, or its end, ends that.
+// Reader returns a reader of r that retries reads after local errors (see IsLocal), and once after an error that says
+// that the peer is unreachable. A deadline or the close of r ends the retries.
 func Reader(r io.Reader) io.Reader { return reader{r} }
 
 type reader struct{ src io.Reader }
@@ -27,7 +28,8 @@
 	}
 }
 
-// again tells whether what has failed so is worth another try; soft is whether an error of softErrnos has had its one.
+// shouldRetry reports whether an operation that failed with err is to be retried. *softRetried records that the single
+// retry for errors of softErrnos has been used.
 func shouldRetry(err error, softRetried *bool) bool {
 	if IsLocal(err) {
 		return true
@@ -37,8 +39,8 @@
 	return first
 }
 
-// Write writes all of b to w, and goes on where w had no memory or buffer to spare, and once where a peer could not be
-// reached. A deadline of w's, or its end, ends that. It returns how many bytes were written.
+// Write writes all of b to w and returns how many bytes were written. It continues after local errors (see IsLocal),
+// and once after an error that says that the peer is unreachable. A deadline or the close of w ends the retries.
 func Write(w io.Writer, b []byte) (written int, err error) {
 	for softRetried := false; ; {
 		n, err := w.Write(b[written:])
--- a/internal/transient/transient.go
+++ b/internal/transient/transient.go
@@ -1,5 +1,5 @@
-// Package transient tells failures of system calls that may be over in a moment from lasting ones, and repeats what has
-// failed so.
+// Package transient classifies errors of system calls as transient or permanent, and retries operations that fail with
+// a transient error.
 package transient
 
 import (
@@ -12,25 +12,28 @@
 	"harrierramp/internal/backoff"
 )
 
-// Pauses between two tries.
+// Delays between retries.
 const (
 	RetryDelay      = 50 * time.Millisecond
 	localRetryDelay = 20 * time.Millisecond
 )
 
-// localErrnos say that this machine was short of something, or could not do what it usually can. They say nothing of a peer.
+// localErrnos mean that this machine lacked a resource or was temporarily unable to perform an operation. They are no
+// evidence of a fault of a peer.
 var localErrnos = []syscall.Errno{
 	syscall.EINTR, syscall.EAGAIN, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
 	syscall.ENETUNREACH, syscall.ENETDOWN,
 }
 
-// fileErrnos are of files and their disk.
+// fileErrnos are transient errors of files and file systems.
 var fileErrnos = []syscall.Errno{syscall.EIO, syscall.ENOSPC, syscall.EDQUOT, syscall.EFBIG}
 
-// Local tells that an error is this machine's own and may pass: it had no descriptor, buffer, address or route to spare.
+// IsLocal reports whether err is a transient error of this machine: a lack of descriptors, buffers, addresses or
+// routes.
 func IsLocal(err error) bool { return hasErrno(err, localErrnos) }
 
-// Is tells that an error of a system call may pass: one that is Local, or of a file that could not be read or written.
+// Is reports whether err is a transient error of a system call: a local one (see IsLocal), or one of reading or writing
+// a file.
 func Is(err error) bool { return IsLocal(err) || hasErrno(err, fileErrnos) }
 
 func hasErrno(err error, errnos []syscall.Errno) bool {
@@ -38,8 +41,8 @@
 	return ok && slices.Contains(errnos, errno)
 }
 
-// Retry repeats do while its error may pass, until patience is over or ctx ends, and returns its last error. failed, if it
-// is not nil, hears of each failure that is tried again.
+// Retry calls do until it succeeds or fails with a permanent error, until timeout has passed, or until ctx is done, and
+// returns its last error. onRetry, if not nil, is called with each error that is retried.
 func Retry(ctx context.Context, timeout time.Duration, onRetry func(error), do func() error) error {
 	return retryWhile(ctx, timeout, RetryDelay, func(err error) bool {
 		if Is(err) && onRetry != nil {
@@ -49,7 +52,8 @@
 	}, do)
 }
 
-// RetryLocal is Retry for what is wanted at once: only while its error is Local, and with short pauses.
+// RetryLocal is like Retry for latency-sensitive operations: it retries only local errors (see IsLocal), and with a
+// short delay.
 func RetryLocal(ctx context.Context, timeout time.Duration, do func() error) error {
 	return retryWhile(ctx, timeout, localRetryDelay, IsLocal, do)
 }
--- a/internal/transient/transient_test.go
+++ b/internal/transient/transient_test.go
@@ -30,7 +30,7 @@
 		{errors.Join(errors.New("first"), syscall.EIO), true, false},
 	} {
 		if Is(c.err) != c.is || IsLocal(c.err) != c.local {
-			t.Errorf("%v: may pass %v, local %v", c.err, Is(c.err), IsLocal(c.err))
+			t.Errorf("%v: transient %v, local %v", c.err, Is(c.err), IsLocal(c.err))
 		}
 	}
 }
@@ -48,7 +48,7 @@
 		}
 		ctx := context.Background()
 		if err := Retry(ctx, time.Second, func(error) { heard++ }, until(300*time.Millisecond, syscall.EIO)); err != nil || tries != 7 || heard != 6 {
-			t.Errorf("%v after %d tries, %d heard", err, tries, heard)
+			t.Errorf("%v after %d tries, %d calls of onRetry", err, tries, heard)
 		}
 		began = time.Now()
 		if err := Retry(ctx, time.Second, nil, until(time.Hour, syscall.EIO)); err != syscall.EIO || time.Since(began) > 1100*time.Millisecond {
@@ -61,12 +61,12 @@
 		ended, cancel := context.WithCancel(ctx)
 		cancel()
 		if err := Retry(ended, time.Second, nil, until(time.Hour, syscall.EIO)); err != syscall.EIO {
-			t.Errorf("%v after its end", err)
+			t.Errorf("%v with a context that has ended", err)
 		}
 	})
 }
 
-// scarce is a stream that fails each second time, and transfers a byte otherwise.
+// flakyStream is a stream whose every other call fails with a lack of memory, and otherwise transfers one byte.
 type flakyStream struct {
 	text  []byte
 	calls int
@@ -117,7 +117,7 @@
 	}
 }
 
-// unreachable is a stream whose first calls fail since its peer can't be reached.
+// unreachableStream is a stream whose first calls fail because the peer is unreachable.
 type unreachableStream struct{ fails, calls int }
 
 func (u *unreachableStream) Read(p []byte) (int, error) { return u.Write(p) }
