--- a/internal/atomicfile/atomicfile.go
+++ b/internal/atomicfile/atomicfile.go
@@ -1,4 +1,4 @@
-// Package atomicfile replaces files as a whole.
+// Package atomicfile replaces files atomically.
 package atomicfile
 
 import (
@@ -6,7 +6,8 @@
 	"os"
 )
 
-// Replace puts a file in the place of another: a kill leaves the old one or the new one.
+// Replace writes data to a new file that replaces the one at path. If the process is killed, path holds either the old
+// or the new contents.
 func Replace(path string, data []byte) error {
 	tmpPath := path + ".new"
 	if err := os.WriteFile(tmpPath, data, 0o600); err != nil {
--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -1,4 +1,5 @@
-// Package backoff is how long to wait before something is tried again, so that a fleet doesn't try in step.
+// Package backoff computes randomized, exponentially growing delays between retries, so that the nodes of a fleet do
+// not retry in step.
 package backoff
 
 import (
@@ -7,25 +8,26 @@
 	"time"
 )
 
-// Pauses between tries at what costs the other side little.
+// Limits of the delay for operations that cost the other side little.
 const (
 	InitialDelay = 50 * time.Millisecond
 	MaxDelay     = 2 * time.Second
 )
 
-// Backoff is a pause that doubles from first to last, with half of it left to chance so that nodes don't return in step.
+// Backoff computes delays that double from Initial to Max. Half of each delay is random, so that nodes do not retry in
+// step.
 type Backoff struct{ Initial, Max, delay time.Duration }
 
-// Next is the pause before the next try: from half of the present pause to all of it.
+// Next returns the delay before the next retry, a random value between half of the current delay and all of it.
 func (b *Backoff) Next() time.Duration {
 	b.delay = min(max(2*b.delay, b.Initial), max(b.Initial, b.Max))
 	return b.delay/2 + rand.N(b.delay/2+1)
 }
 
-// Reset starts over: what was tried has gone well.
+// Reset starts again from Initial. It is called after a success.
 func (b *Backoff) Reset() { b.delay = 0 }
 
-// Sleep waits, and tells whether the context is still alive after it.
+// Sleep waits for d or until ctx is done, and returns false in the latter case.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,5 +1,5 @@
-// Package client hands messages in as the platform's clients do: ENQUEUE over RESP2, on one connection that is opened
-// again when it breaks.
+// Package client submits messages to a node as the platform's clients do: by ENQUEUE commands over RESP2, on one
+// connection that is reopened after an error.
 package client
 
 import (
@@ -13,12 +13,12 @@
 	"time"
 )
 
-// Patience is how long a client of the platform waits for an answer.
+// AnswerTimeout is how long the platform's clients wait for an answer.
 const AnswerTimeout = 400 * time.Millisecond
 
 const maxAnswerBytes = 512
 
-// Message is one message to hand in.
+// Message is a message to submit.
 type Message struct {
 	ID, Class, Tenant, Key string // Tenant and Key may be empty
 	Dest                   int
@@ -26,10 +26,10 @@
 	Body                   []byte
 }
 
-// Answer is what a node says to a message.
+// Answer is a node's answer to a message.
 type Answer int
 
-// The answers. After Unheard the message may have been taken on.
+// The possible answers. After NoAnswer the message may have been accepted.
 const (
 	NoAnswer Answer = iota
 	Accepted
@@ -37,7 +37,7 @@
 	Failed
 )
 
-// Client is one connection to a node. It is not safe for use by many goroutines.
+// Client submits messages to a node over one connection. It is not safe for concurrent use.
 type Client struct {
 	addr    string
 	timeout time.Duration
@@ -45,7 +45,8 @@
 	br      *bufio.Reader
 }
 
-// New makes a client of the node at addr that waits so long for an answer; 0 for Patience.
+// New returns a client of the node at addr that waits for answers for timeout, or for AnswerTimeout if timeout is not
+// positive.
 func New(addr string, timeout time.Duration) *Client {
 	if timeout <= 0 {
 		timeout = AnswerTimeout
@@ -53,7 +54,7 @@
 	return &Client{addr: addr, timeout: timeout}
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *Client) Close() {
 	if c.nc != nil {
 		c.nc.Close()
@@ -61,7 +62,8 @@
 	}
 }
 
-// Enqueue hands a message in. wait is how long the node asks to be left alone after Busy, 0 if it says nothing of that.
+// Enqueue submits a message. After Busy, retryAfter is the delay that the node asks for before a retry, or 0 if it
+// gives none.
 func (c *Client) Enqueue(m Message) (a Answer, retryAfter time.Duration, err error) {
 	fields := fmt.Sprintf("c=%s,d=%d,dest=%d", m.Class, m.TTL.Milliseconds(), m.Dest)
 	if m.Tenant != "" {
@@ -78,15 +80,15 @@
 	case strings.HasPrefix(line, "+"):
 		return Accepted, 0, nil
 	case strings.HasPrefix(line, "-BUSY"):
-		ms, _ := strconv.Atoi(strings.TrimSpace(strings.TrimPrefix(line, "-BUSY"))) // no number is no wait
+		ms, _ := strconv.Atoi(strings.TrimSpace(strings.TrimPrefix(line, "-BUSY"))) // a missing number means no delay
 		return Busy, time.Duration(ms) * time.Millisecond, nil
 	case strings.HasPrefix(line, "-"):
 		return Failed, 0, errors.New(line[1:])
 	}
-	return NoAnswer, 0, fmt.Errorf("%s says %q", c.addr, line)
+	return NoAnswer, 0, fmt.Errorf("%s sent an unexpected answer: %q", c.addr, line)
 }
 
-// Ping tells whether the node takes clients.
+// Ping reports whether the node accepts clients.
 func (c *Client) Ping() bool {
 	line, err := c.roundTrip(EncodeCommand("PING"))
 	return err == nil && line == "+PONG"
@@ -114,7 +116,7 @@
 	return strings.TrimRight(string(raw), "\r\n"), err
 }
 
-// Request writes words as an array of bulk strings.
+// EncodeCommand encodes words as a RESP array of bulk strings.
 func EncodeCommand(words ...string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "*%d\r\n", len(words))
--- a/internal/units/units.go
+++ b/internal/units/units.go
@@ -1,5 +1,5 @@
-// Package units is the span of time that people write with a unit ("150ms") and the platform as a bare number of
-// milliseconds.
+// Package units provides a duration type that is written with a unit in configuration files ("150ms") and as a plain
+// number of milliseconds in JSON.
 package units
 
 import (
@@ -9,15 +9,16 @@
 	"time"
 )
 
-// Millis is a span of time. As a JSON number it is milliseconds, with a fraction; as text it is Go's form, "1.5s".
+// Millis is a duration in milliseconds. In JSON it is a number, which may have a fraction; as text it has the form of
+// time.Duration, such as "1.5s".
 type Millis float64
 
-// Duration is the span to the microsecond, the finest that the simulator counts.
+// Duration returns m rounded to the microsecond, which is the resolution of the simulator.
 func (m Millis) Duration() time.Duration {
 	return time.Duration(math.Round(float64(m)*1000)) * time.Microsecond
 }
 
-// UnmarshalText reads "150ms".
+// UnmarshalText parses a duration with a unit, such as "150ms".
 func (m *Millis) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -27,11 +28,11 @@
 	return nil
 }
 
-// MarshalText writes what UnmarshalText reads.
+// MarshalText returns the form that UnmarshalText parses.
 func (m Millis) MarshalText() ([]byte, error) { return []byte(m.Duration().String()), nil }
 
-// UnmarshalJSON reads a number of milliseconds.
+// UnmarshalJSON parses a number of milliseconds.
 func (m *Millis) UnmarshalJSON(b []byte) error { return json.Unmarshal(b, (*float64)(m)) }
 
-// MarshalJSON writes the number of milliseconds.
+// MarshalJSON returns the number of milliseconds.
 func (m Millis) MarshalJSON() ([]byte, error) { return json.Marshal(float64(m)) }
