--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,6 +1,6 @@
-// Package demo plays a small fleet on loopback: a list service, three nodes and stand-in partners with limits, a few
-// seconds of traffic, and one partner that shuts and comes back. It starts its own processes and ends them, and no
-// others.
+// Package demo runs a small fleet on loopback for a demonstration: a list service, three nodes, stand-in partners with
+// limits, and a few seconds of traffic, during which one partner refuses calls and then recovers. It starts its own
+// processes and ends only those.
 package demo
 
 import (
@@ -25,34 +25,35 @@
 	"harrierramp/internal/partner"
 )
 
-// Options are what may be changed. Zero values are taken as the defaults.
+// Options configures the demonstration. Zero values mean the defaults.
 type Options struct {
-	Program         string        // of the nodes; this one if empty
-	TrafficDuration time.Duration // of traffic; 6 s, 1 min at most
-	Rate            float64       // messages a second at each node; 40, 500 at most
-	Out             io.Writer     // for people
-	Log             io.Writer     // of the processes; nil to drop it
+	Program         string        // executable of the nodes; this one if empty
+	TrafficDuration time.Duration // of the traffic; 6 s by default, 1 min at most
+	Rate            float64       // messages per second at each node; 40 by default, 500 at most
+	Out             io.Writer     // for the report
+	Log             io.Writer     // for the logs of the processes; nil to drop them
 }
 
 const (
 	nodeCount     = 3
-	messageTTL    = 8 * time.Second // of a message
+	messageTTL    = 8 * time.Second
 	startTimeout  = 10 * time.Second
-	settleTimeout = messageTTL + 5*time.Second // until the last message has its end
-	stopTimeout   = 5 * time.Second            // for a process to end after SIGTERM
+	settleTimeout = messageTTL + 5*time.Second // until the last message is settled
+	stopTimeout   = 5 * time.Second            // for a process to exit after SIGTERM
 )
 
-// Result is what came of the messages.
+// Result counts the messages by outcome.
 type Result struct {
 	Submitted, Accepted, Refused, Delivered, Returned, Failed, Lost, Repeated int
-	FirstDelivered                                                            time.Duration // since the start of the demonstration
+	FirstDelivered                                                            time.Duration // since the start
 }
 
+// fleet is the processes and partners of one demonstration.
 type fleet struct {
 	Options
 	startedAt  time.Time
-	listAddr   string   // the list service's address
-	nodeAddrs  []string // of the nodes
+	listAddr   string   // address of the list service
+	nodeAddrs  []string // client addresses of the nodes
 	adminAddrs []string
 	ledger     *partner.Ledger
 	partners   []*partner.Partner
@@ -60,7 +61,7 @@
 	logCopiers sync.WaitGroup
 }
 
-// Run plays the demonstration and prints its table.
+// Run runs the demonstration and prints a table of the results.
 func Run(ctx context.Context, o Options) (r Result, err error) {
 	if o.TrafficDuration <= 0 || o.TrafficDuration > time.Minute {
 		o.TrafficDuration = 6 * time.Second
@@ -98,7 +99,7 @@
 	return r, f.printTable(r)
 }
 
-// start brings up the list service, the partners and the nodes.
+// start starts the list service, the partners and the nodes, and waits until the nodes are ready.
 func (f *fleet) start(ctx context.Context, dir string, leases *sync.WaitGroup) error {
 	free, err := freeAddrs(2*nodeCount + 1)
 	if err != nil {
@@ -124,13 +125,13 @@
 			return err
 		}
 		f.partners = append(f.partners, p)
-		dest := max(0, i-1) // the two portals are one destination
+		dest := max(0, i-1) // the two portals are endpoints of the same destination
 		leases.Go(func() {
 			partner.KeepRegistered(ctx, http.DefaultClient, []string{f.listAddr}, partner.Instance{
 				ID: cfg.ID, Addr: p.Addr(), Zone: "a", Kind: "partner", Dest: dest, Size: 1,
 			})
 		})
-		fmt.Fprintf(f.Out, "partner %s at %s takes messages for destination %d\n", cfg.ID, p.Addr(), dest)
+		fmt.Fprintf(f.Out, "partner %s at %s accepts messages for destination %d\n", cfg.ID, p.Addr(), dest)
 	}
 	for i, addr := range f.nodeAddrs {
 		name := fmt.Sprintf("n%d", i+1)
@@ -146,10 +147,10 @@
 	for i, addr := range f.nodeAddrs {
 		for end := time.Now().Add(startTimeout); !f.isReady(ctx, f.adminAddrs[i]); time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) || ctx.Err() != nil {
-				return fmt.Errorf("node %d at %s is not ready", i+1, addr)
+				return fmt.Errorf("node n%d at %s is not ready", i+1, addr)
 			}
 		}
-		fmt.Fprintf(f.Out, "node n%d at %s, its operators' door at %s\n", i+1, addr, f.adminAddrs[i])
+		fmt.Fprintf(f.Out, "node n%d at %s, admin API at %s\n", i+1, addr, f.adminAddrs[i])
 	}
 	return nil
 }
@@ -178,7 +179,7 @@
 `, name, listen, adminAddr, state, list, nodeCount, messageTTL.String())
 }
 
-// knows tells that the node behind a door serves and has heard of all partners.
+// isReady reports whether the node with the given admin address is serving and has all partners in its list.
 func (f *fleet) isReady(ctx context.Context, adminAddr string) bool {
 	text, err := httpGet(ctx, "http://"+adminAddr+"/ops/stats")
 	return err == nil && strings.Contains(text, fmt.Sprintf("router.pool_size:%d|", len(f.partners)))
@@ -198,7 +199,7 @@
 	return string(text), err
 }
 
-// spawn starts one process of ours.
+// startProcess starts a process of the program with the given arguments.
 func (f *fleet) startProcess(args ...string) error {
 	cmd := exec.Command(f.Program, args...)
 	cmd.Env = append(os.Environ(), "ROUTER_CONFIG=", "ROUTER_STATE=", "ROUTER_CONSOLE=")
@@ -214,7 +215,7 @@
 	return nil
 }
 
-// close ends what was started, and nothing else.
+// close stops the processes and partners that were started.
 func (f *fleet) close() error {
 	var errs []error
 	for _, p := range f.processes {
@@ -224,11 +225,11 @@
 	}
 	slow := time.AfterFunc(stopTimeout, func() {
 		for _, p := range f.processes {
-			p.Process.Kill() // one that has ended is no error here
+			p.Process.Kill() // the error for a process that has exited does not matter
 		}
 	})
 	defer slow.Stop()
-	f.logCopiers.Wait() // a pipe is read to its end before the process is waited for
+	f.logCopiers.Wait() // read the pipes to their end before Wait, which closes them
 	for _, p := range f.processes {
 		if err := p.Wait(); err != nil {
 			errs = append(errs, fmt.Errorf("%s: %w", strings.Join(p.Args[1:], " "), err))
@@ -240,7 +241,7 @@
 	return errors.Join(errs...)
 }
 
-// play hands messages in while a partner shuts and comes back, and waits until each has its end.
+// runTraffic submits messages while one partner refuses calls and recovers, and waits until every message is settled.
 func (f *fleet) runTraffic(ctx context.Context) (Result, error) {
 	var r Result
 	var mu sync.Mutex
@@ -275,10 +276,10 @@
 		})
 	}
 	sleep(ctx, f.TrafficDuration/3)
-	fmt.Fprintln(f.Out, "partner office-2 shuts")
+	fmt.Fprintln(f.Out, "partner office-2 starts to refuse calls")
 	failing.SetRefusing(true)
 	sleep(ctx, f.TrafficDuration/3)
-	fmt.Fprintln(f.Out, "partner office-2 is back")
+	fmt.Fprintln(f.Out, "partner office-2 accepts calls again")
 	failing.SetRefusing(false)
 	senders.Wait()
 	r.Accepted = len(accepted)
@@ -315,7 +316,7 @@
 	return r, ctx.Err()
 }
 
-// notices reads what nodes have told the platform's side of messages that are not delivered.
+// readNotices reads the notices that the nodes have sent for undelivered messages, as states by message ID.
 func (f *fleet) readNotices(ctx context.Context, into map[string]string) error {
 	text, err := httpGet(ctx, "http://"+f.listAddr+"/reports?after=0")
 	if err != nil {
@@ -339,7 +340,7 @@
 		name  string
 		count int
 	}{
-		{"handed in", r.Submitted}, {"taken on", r.Accepted}, {"delivered", r.Delivered}, {"refused at once", r.Refused},
+		{"submitted to nodes", r.Submitted}, {"accepted by nodes", r.Accepted}, {"delivered", r.Delivered}, {"refused at once", r.Refused},
 		{"returned later", r.Returned}, {"failed", r.Failed}, {"lost", r.Lost}, {"repeated", r.Repeated},
 	} {
 		fmt.Fprintf(w, "%s\t%d\t\n", row.name, row.count)
@@ -354,7 +355,7 @@
 	}
 }
 
-// freeAddrs are addresses of loopback that nobody listens on.
+// freeAddrs returns loopback addresses that are not in use.
 func freeAddrs(count int) ([]string, error) {
 	var out []string
 	for range count {
--- a/internal/partner/lease.go
+++ b/internal/partner/lease.go
@@ -12,19 +12,19 @@
 
 const (
 	leaseDuration         = 6 * time.Second
-	leaseCallTimeout      = time.Second // for one call to a list server
+	leaseCallTimeout      = time.Second // for one call to a server of the list service
 	maxLeaseResponseBytes = 64 << 10
 )
 
-// Instance is how an endpoint stands in the list.
+// Instance is the entry of an endpoint in the endpoint list.
 type Instance struct {
 	ID, Addr, Zone, Kind string
 	Dest                 int
 	Size                 float64
 }
 
-// Lease keeps an instance registered at the list service until ctx ends, and then withdraws it. It asks the next
-// server when one is out or is not the primary.
+// KeepRegistered keeps an instance registered at the list service by renewing its lease until ctx is done, and then
+// withdraws it. It tries the next server if one does not answer or is not the primary.
 func KeepRegistered(ctx context.Context, client *http.Client, servers []string, i Instance) {
 	owner := fmt.Sprintf("%s.%d", i.ID, time.Now().UnixNano())
 	claim := fmt.Sprintf(`{"host_port":%q,"locality":%q,"flavor":%q,"cell":%d,"size":%g,"owner":%q,"lease_ms":%d}`,
@@ -53,7 +53,7 @@
 	}
 }
 
-// tell makes one call and returns its status, 0 if there was no answer.
+// call makes one HTTP call and returns the status code, or 0 if there was no response.
 func call(ctx context.Context, client *http.Client, method, url, body string) int {
 	ctx, cancel := context.WithTimeout(ctx, leaseCallTimeout)
 	defer cancel()
@@ -66,6 +66,6 @@
 		return 0
 	}
 	defer resp.Body.Close()
-	io.Copy(io.Discard, io.LimitReader(resp.Body, maxLeaseResponseBytes)) // so that the connection serves again
+	io.Copy(io.Discard, io.LimitReader(resp.Body, maxLeaseResponseBytes)) // so that the connection can be reused
 	return resp.StatusCode
 }
--- a/internal/partner/partner.go
+++ b/internal/partner/partner.go
@@ -1,6 +1,6 @@
-// Package partner is a stand-in for the outside partners that nodes deliver to: an HTTP endpoint with a limit, a time
-// to answer, and troubles that can be turned on. It keeps a ledger of what ran, so that what clients and nodes say can
-// be held against it. It serves demonstrations, tests and the lab on loopback.
+// Package partner implements a stand-in for the external partners that nodes deliver to: an HTTP endpoint with a rate
+// limit, a latency, and faults that can be switched on. A ledger records the executed calls, so that the results that
+// clients and nodes report can be checked against it. Demonstrations, tests and the lab use it on loopback.
 package partner
 
 import (
@@ -19,61 +19,62 @@
 
 const (
 	maxBodyBytes    = 64 << 10
-	shutdownTimeout = time.Second // for calls under way when a partner closes
+	shutdownTimeout = time.Second // for calls in progress when a partner closes
 )
 
-// Config is what one endpoint is like.
+// Config configures one endpoint.
 type Config struct {
 	ID        string
-	Rate      float64       // calls a second that it takes; above it refuses. 0 for no limit
-	Burst     float64       // calls that it takes at once after a pause; at least 1 where there is a rate
-	Latency   time.Duration // from a call's last byte to its answer
-	Listen    string        // an address of loopback; a free port if empty
-	MaxConns  int           // connections that it takes, 0 for any number; who comes beyond is hung up on
+	Rate      float64       // accepted calls per second; calls above it are refused. 0 for no limit
+	Burst     float64       // calls accepted at once after a pause; at least 1 if there is a rate
+	Latency   time.Duration // from the last byte of a call to its response
+	Listen    string        // a loopback address; a free port if empty
+	MaxConns  int           // connections above this number are closed; 0 for no limit
 	ColdStart ColdStart
-	OnEvent   func(Event) // hears of what comes, from many goroutines, and must not wait; may be nil
+	OnEvent   func(Event) // called from many goroutines; must not block; may be nil
 }
 
-// Cold is what an endpoint is like after a start, where it has a rate: it takes From of that, and all of it Within. Sent
-// more than Multiple of what it takes, over a span of Fall, it falls over: it refuses everything for DownFor, and is cold
-// again. The zero value is always warm.
+// ColdStart is the behavior after a start of an endpoint that has a rate limit. Its capacity rises linearly from
+// InitialShare of the rate to the whole rate within WarmUpTime. If it gets more than OverloadFactor times its current
+// capacity over a period of OverloadWindow, it becomes overloaded: it refuses every call for Downtime, and is cold
+// again after that. With the zero value an endpoint is always warm.
 type ColdStart struct {
 	InitialShare, OverloadFactor         float64
 	WarmUpTime, OverloadWindow, Downtime time.Duration
 }
 
-// What tells what a Seen is of.
+// EventType is the type of an Event.
 type EventType uint8
 
-// What comes to a partner.
+// The types of events.
 const (
 	ConnectionOpened   EventType = iota
-	ConnectionRejected           // a connection beyond the limit
-	ConnectionClosed             // a connection has ended
-	CallReceived                 // a call has come whole
-	CallRefused                  // over the limit, shut, or fallen
-	CallExecuted                 // a call has run; its answer may get lost
-	Overloaded                   // too much was sent to it while it was cold
+	ConnectionRejected           // a connection above the limit was closed
+	ConnectionClosed             // a connection ended
+	CallReceived                 // a call was received completely
+	CallRefused                  // above the limit, switched to refuse, or down after an overload
+	CallExecuted                 // a call was executed; its response may get lost
+	Overloaded                   // the endpoint was sent too much while it was cold
 )
 
-// Seen is one thing that comes to a partner. Load is what was sent in the last span over what it bears, where it is cold.
+// Event is something that a partner observed.
 type Event struct {
 	Type      EventType
 	Endpoint  string
 	PeerAddr  string // host and port
-	MessageID string // of the message
+	MessageID string
 	Header    http.Header
-	Load      float64
+	Load      float64 // calls in the last OverloadWindow relative to the overload threshold; 0 unless cold
 }
 
-// Ledger is what has run at all partners that share it. It is safe for use by many goroutines.
+// Ledger counts the executed calls of all partners that share it. It is safe for concurrent use.
 type Ledger struct {
 	mu       sync.Mutex
 	runs     map[string]int
 	firstRun time.Time
 }
 
-// NewLedger makes an empty one.
+// NewLedger returns an empty ledger.
 func NewLedger() *Ledger { return &Ledger{runs: map[string]int{}} }
 
 func (l *Ledger) recordRun(id string) {
@@ -84,21 +85,21 @@
 	}
 }
 
-// Runs is how often a message ran.
+// Runs returns how often a message was executed.
 func (l *Ledger) Runs(id string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.runs[id]
 }
 
-// First is when the first message ran; zero if none has.
+// FirstRun returns the time of the first execution, or the zero time if there was none.
 func (l *Ledger) FirstRun() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.firstRun
 }
 
-// Counts are the messages that ran, and how many of them ran more than once.
+// Counts returns the number of messages that were executed, and how many of them more than once.
 func (l *Ledger) Counts() (delivered, repeated int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -122,13 +123,13 @@
 	mu          sync.Mutex
 	tokens      float64
 	lastRefill  time.Time
-	warmUpStart time.Time   // it is as warm as this says
-	downUntil   time.Time   // it has fallen over
-	recentCalls []time.Time // of the last span of Cold.Fall
+	warmUpStart time.Time   // start of the current warm-up
+	downUntil   time.Time   // end of the downtime after an overload
+	recentCalls []time.Time // within the last OverloadWindow
 	openConns   int
 }
 
-// Start serves on a free port of loopback until Close.
+// Start starts a partner, which serves until Close.
 func Start(cfg Config, ledger *Ledger) (*Partner, error) {
 	ln, err := net.Listen("tcp", cmp.Or(cfg.Listen, "127.0.0.1:0"))
 	if err != nil {
@@ -140,14 +141,14 @@
 		Handler: p, ReadTimeout: 10 * time.Second, WriteTimeout: 10 * time.Second, IdleTimeout: 15 * time.Second,
 		ConnState: p.onConnState, ErrorLog: log.New(io.Discard, "", 0),
 	}
-	p.served.Go(func() { p.srv.Serve(ln) }) // its error says that it was closed
+	p.served.Go(func() { p.srv.Serve(ln) }) // always returns an error after Close
 	return p, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address on which the partner listens.
 func (p *Partner) Addr() string { return p.ln.Addr().String() }
 
-// Shut makes it refuse every call, or take them again; then it is cold.
+// SetRefusing makes the partner refuse every call, or accept calls again. Either way it starts a new warm-up.
 func (p *Partner) SetRefusing(refusing bool) {
 	p.refusing.Store(refusing)
 	p.mu.Lock()
@@ -162,7 +163,7 @@
 	}
 }
 
-// connection counts connections, and hangs up on who comes beyond the limit.
+// onConnState counts connections and closes those above the limit.
 func (p *Partner) onConnState(nc net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
@@ -183,7 +184,7 @@
 	}
 }
 
-// Close ends it, after the calls that are under way.
+// Close stops the partner. It waits for calls in progress for up to shutdownTimeout.
 func (p *Partner) Close() {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
@@ -193,7 +194,7 @@
 	p.served.Wait()
 }
 
-// ServeHTTP answers one call. (http.Handler)
+// ServeHTTP answers one call. It implements http.Handler.
 func (p *Partner) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, maxBodyBytes)); err != nil {
 		http.Error(w, "the body can't be read", http.StatusBadRequest)
@@ -231,12 +232,12 @@
 		case <-r.Context().Done():
 		}
 	}
-	p.ledger.recordRun(e.MessageID) // it may have run, whether or not the answer arrives
+	p.ledger.recordRun(e.MessageID) // counts as executed even if the response does not arrive
 	e.Type = CallExecuted
 	p.emit(e)
 }
 
-// warmth is the share of its rate that it takes at a moment. The lock is held.
+// capacityShare returns the share of the rate that is accepted at the time now. The caller holds p.mu.
 func (p *Partner) capacityShare(now time.Time) float64 {
 	c := p.cfg.ColdStart
 	if c.WarmUpTime <= 0 || now.Sub(p.warmUpStart) >= c.WarmUpTime {
@@ -245,7 +246,8 @@
 	return c.InitialShare + (1-c.InitialShare)*float64(now.Sub(p.warmUpStart))/float64(c.WarmUpTime)
 }
 
-// bear counts a call, and tells what share of what a cold endpoint bears it has been sent, and whether it falls now.
+// recordLoad counts a call. load is the load of a cold endpoint relative to its overload threshold, and overloaded
+// reports whether this call exceeds the threshold.
 func (p *Partner) recordLoad(now time.Time) (load float64, overloaded bool) {
 	c := p.cfg.ColdStart
 	p.mu.Lock()
@@ -274,7 +276,7 @@
 	return now.Before(p.downUntil)
 }
 
-// take takes a token, or tells when there is one.
+// takeToken takes a token from the rate limiter, or returns the time until one is available.
 func (p *Partner) takeToken(now time.Time) (time.Duration, bool) {
 	if p.cfg.Rate <= 0 {
 		return 0, true
