--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -45,7 +45,7 @@
 	firstRequestTimeout   = 2800 * time.Millisecond // from accepting a connection to the last byte of its first request
 	closeGrace            = 500 * time.Millisecond  // for partially read requests when the server closes
 	drainPropagationDelay = 500 * time.Millisecond  // load balancers notice a drain in 0.1 s, act 0.2 s later
-	lingerTimeout         = 200 * time.Millisecond  // for a client to read its last answer; drops its input
+	lingerTimeout         = 200 * time.Millisecond  // for a client to read its last answer, while input is dropped
 	evictedLingerTimeout  = 20 * time.Millisecond   // lingerTimeout when a new connection waits for the slot
 	finalReadBytes        = 512                     // read without blocking when the wait for a request ends
 )
@@ -279,7 +279,8 @@
 			if errors.Is(err, os.ErrDeadlineExceeded) { // interrupted by Pause
 				continue
 			}
-			if errors.Is(err, net.ErrClosed) || !backoff.Sleep(ctx, backoff.InitialDelay) { // mostly no descriptors
+			// Other errors are most likely a lack of descriptors, so accept again after a delay.
+			if errors.Is(err, net.ErrClosed) || !backoff.Sleep(ctx, backoff.InitialDelay) {
 				return
 			}
 			continue
