--- a/internal/egress/endpoint_test.go
+++ b/internal/egress/endpoint_test.go
@@ -9,16 +9,16 @@
 
 // A cooldown must neither end early nor last longer if the wall clock is stepped.
 func TestCooldownIgnoresWallClockStep(t *testing.T) {
-	told := time.Now()
+	start := time.Now()
 	var w Cooldown
-	if w.Active(told) {
+	if w.Active(start) {
 		t.Error("the zero value is active")
 	}
-	w.Extend(told.Add(time.Second))
-	w.Extend(told.Add(time.Millisecond)) // a shorter cooldown has no effect
+	w.Extend(start.Add(time.Second))
+	w.Extend(start.Add(time.Millisecond)) // a shorter cooldown has no effect
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour} {
-		within, after := testkit.StepWallClock(told.Add(900*time.Millisecond), step), testkit.StepWallClock(told.Add(1100*time.Millisecond), step)
-		if step != 0 && within.Round(0).Sub(told.Round(0)) != 900*time.Millisecond+step {
+		within, after := testkit.StepWallClock(start.Add(900*time.Millisecond), step), testkit.StepWallClock(start.Add(1100*time.Millisecond), step)
+		if step != 0 && within.Round(0).Sub(start.Round(0)) != 900*time.Millisecond+step {
 			t.Fatal("the clock is not stepped")
 		}
 		if !w.Active(within) || w.Active(after) {
@@ -26,7 +26,7 @@
 		}
 	}
 	e := &Endpoint{Cooldown: &w}
-	if !e.blocked(testkit.StepWallClock(told, time.Hour)) {
+	if !e.blocked(testkit.StepWallClock(start, time.Hour)) {
 		t.Error("a step of the wall clock unblocks the endpoint")
 	}
 }
--- a/internal/egress/races_test.go
+++ b/internal/egress/races_test.go
@@ -160,18 +160,18 @@
 // newFullPool returns a pool with a single connection slot, which a call holds until release is called.
 func newFullPool(t *testing.T, dial time.Duration) (pool *Pool, release func()) {
 	t.Helper()
-	inside, goOn := make(chan struct{}), make(chan struct{})
+	entered, proceed := make(chan struct{}), make(chan struct{})
 	p := testkit.NewPartner(t, func(nc net.Conn, _ *http.Request) bool {
-		close(inside)
-		<-goOn
+		close(entered)
+		<-proceed
 		io.WriteString(nc, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 		return false
 	})
 	pool = NewPool(nil, dial, time.Minute, 16, 1, new(atomic.Int64))
 	t.Cleanup(pool.Close)
 	go pool.Do(t.Context(), testCall(&Endpoint{ID: "holder", Addr: p.Addr(), Cooldown: new(Cooldown)}))
-	<-inside
-	return pool, func() { close(goOn) }
+	<-entered
+	return pool, func() { close(proceed) }
 }
 
 // Conditions may change while a call waits for its connection. The request must announce the time that is left when it
@@ -214,9 +214,9 @@
 				}
 				return
 			}
-			told := p.Next(t).Header.Get("X-Expires-In")
-			if ms, err := strconv.Atoi(strings.TrimSuffix(told, "m")); err != nil || ms > int((5*time.Second-wait).Milliseconds()) {
-				t.Errorf("X-Expires-In is %q after %v of 5 s", told, wait)
+			expiresIn := p.Next(t).Header.Get("X-Expires-In")
+			if ms, err := strconv.Atoi(strings.TrimSuffix(expiresIn, "m")); err != nil || ms > int((5*time.Second-wait).Milliseconds()) {
+				t.Errorf("X-Expires-In is %q after %v of 5 s", expiresIn, wait)
 			}
 		})
 	}
@@ -260,10 +260,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			inside, goOn, ended := make(chan struct{}), make(chan struct{}), make(chan error, 1)
+			entered, proceed, ended := make(chan struct{}), make(chan struct{}), make(chan error, 1)
 			p := testkit.NewPartner(t, func(nc net.Conn, _ *http.Request) bool {
-				close(inside)
-				<-goOn
+				close(entered)
+				<-proceed
 				io.WriteString(nc, testkit.DeliveredResponse)
 				_, err := bufio.NewReader(nc).ReadByte()
 				ended <- err
@@ -273,9 +273,9 @@
 			defer pool.Close()
 			res := make(chan Result)
 			go func() { res <- pool.Do(t.Context(), testCall(e)) }()
-			<-inside
+			<-entered
 			change(pool, e)
-			close(goOn)
+			close(proceed)
 			if got := <-res; got.Outcome != choice.Success {
 				t.Errorf("%+v", got)
 			}
--- a/internal/ingress/close_test.go
+++ b/internal/ingress/close_test.go
@@ -40,10 +40,10 @@
 				t.Fatal(err)
 			}
 			addr, ended := ln.Addr().String(), make(chan *net.TCPConn, 8)
-			goOn := make(chan struct{})
+			proceed := make(chan struct{})
 			s := NewServer(testkit.CloseHookListener{TCPListener: ln.(*net.TCPListener), BeforeClose: func(nc *net.TCPConn) {
 				ended <- nc
-				<-goOn
+				<-proceed
 			}}, c.most, testkit.TestNames, func(q Request) Answer {
 				t.Errorf("request %q accepted after the close", q.ID)
 				return Answer{}
@@ -67,7 +67,7 @@
 				t.Fatal(err)
 			}
 			testkit.WaitForPendingData(t, near)
-			close(goOn)
+			close(proceed)
 			if got, err := io.ReadAll(br); err != nil || string(got) != c.want {
 				t.Errorf("client read %q, %v", got, err)
 			}
@@ -139,19 +139,19 @@
 // Guards against Close hanging on a connection that still waits for a slot: it must be closed like the others, and all
 // connections must use up their time limits concurrently.
 func TestCloseEndsConnWaitingForSlot(t *testing.T) {
-	inside, goOn := make(chan struct{}), make(chan struct{})
+	entered, proceed := make(chan struct{}), make(chan struct{})
 	c, addr := startTestServer(t, 1, func(Request) Answer {
-		close(inside)
-		<-goOn
+		close(entered)
+		<-proceed
 		return Answer{}
 	})
 	busy, busyReader := testkit.Dial(t, addr)
 	if _, err := io.WriteString(busy, testkit.EnqueueRequest("a", "c=notice,d=8000,dest=7", "b")); err != nil {
 		t.Fatal(err)
 	}
-	<-inside
-	waits, waitsReader := testkit.Dial(t, addr)
-	if _, err := io.WriteString(waits, testkit.EncodeRESP("PING")); err != nil {
+	<-entered
+	waiting, waitingReader := testkit.Dial(t, addr)
+	if _, err := io.WriteString(waiting, testkit.EncodeRESP("PING")); err != nil {
 		t.Fatal(err)
 	}
 	closed := make(chan struct{})
@@ -159,12 +159,12 @@
 		c.Close()
 		close(closed)
 	}()
-	if _, err := waitsReader.ReadByte(); err != io.EOF { // a connection that was not accepted yet is reset: ECONNRESET
+	if _, err := waitingReader.ReadByte(); err != io.EOF { // a connection that was not accepted yet is reset: ECONNRESET
 		if !errors.Is(err, syscall.ECONNRESET) {
 			t.Errorf("waiting connection: %v", err)
 		}
 	}
-	close(goOn)
+	close(proceed)
 	if line, err := busyReader.ReadString('\n'); line != "+OK\r\n" {
 		t.Errorf("got %q, %v", line, err)
 	}
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -104,9 +104,9 @@
 
 // Close must not drop requests that were already read: they still get their answer, while idle connections are closed.
 func TestCloseAnswersRequestsAlreadyRead(t *testing.T) {
-	inside, release := make(chan struct{}), make(chan struct{})
+	entered, release := make(chan struct{}), make(chan struct{})
 	c, addr := startTestServer(t, 100, func(Request) Answer {
-		close(inside)
+		close(entered)
 		<-release
 		return Answer{}
 	})
@@ -117,7 +117,7 @@
 	}
 	nc, br := testkit.Dial(t, addr)
 	io.WriteString(nc, testkit.EnqueueRequest("a", "c=notice,d=8000,dest=7", "b"))
-	<-inside
+	<-entered
 	done := make(chan struct{})
 	go func() {
 		c.Close()
