--- a/cmd/harrierramp/faultnode_test.go
+++ b/cmd/harrierramp/faultnode_test.go
@@ -62,7 +62,7 @@
 	return n
 }
 
-var nodeBlock = sync.OnceValues(process.HoldBlock)
+var nodeBlock = sync.OnceValues(process.ReserveBlock)
 
 var nodeCount atomic.Int64
 
@@ -73,7 +73,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return process.At(block.Own(relay.Party{Kind: relay.Node, N: int(nodeCount.Add(1))}), process.ClientPort)
+	return process.HostPort(block.OwnAddr(relay.Party{Kind: relay.Node, Index: int(nodeCount.Add(1))}), process.ClientPort)
 }
 
 // configure replaces the node's configuration.
@@ -386,7 +386,7 @@
 	at := time.Since(s.startedAt)
 	if s.killNextWrite && isStateWrite(c) && c.Size > 1 {
 		s.killNextWrite = false
-		return sysfault.Verdict{Most: 1 + s.rng.IntN(c.Size-1), Kill: true}
+		return sysfault.Verdict{MaxBytes: 1 + s.rng.IntN(c.Size-1), Kill: true}
 	}
 	for _, f := range s.faults {
 		if at < f.from || at >= f.to {
@@ -449,7 +449,7 @@
 		switch {
 		case isStateWrite(c) && !torn && c.Size > 1:
 			torn = true
-			return sysfault.Verdict{Most: c.Size - 1 - rng.IntN(c.Size/2)}
+			return sysfault.Verdict{MaxBytes: c.Size - 1 - rng.IntN(c.Size/2)}
 		case isStateWrite(c), !truncates && isStateCall(unix.SYS_FTRUNCATE)(c):
 			return sysfault.Verdict{Errno: errno}
 		}
@@ -470,7 +470,7 @@
 // short has reads and writes transfer a part of what they ask for.
 func shortenTransfers(c sysfault.Call, rng *rand.Rand) sysfault.Verdict {
 	if (c.Socket || inStateDir(c)) && c.Size > 1 && rng.IntN(2) == 0 {
-		return sysfault.Verdict{Most: 1 + rng.IntN(min(c.Size-1, 64))}
+		return sysfault.Verdict{MaxBytes: 1 + rng.IntN(min(c.Size-1, 64))}
 	}
 	return sysfault.Verdict{}
 }
--- a/cmd/harrierramp/faults_test.go
+++ b/cmd/harrierramp/faults_test.go
@@ -67,7 +67,7 @@
 	outage := p.schedule.addFault(time.Minute, func(c sysfault.Call, _ *rand.Rand) sysfault.Verdict {
 		switch {
 		case isStateWrite(c):
-			return sysfault.Verdict{Most: c.Size, Errno: syscall.EIO}
+			return sysfault.Verdict{MaxBytes: c.Size, Errno: syscall.EIO}
 		case isStateCall(unix.SYS_FTRUNCATE, unix.SYS_OPENAT)(c) && !strings.HasSuffix(c.Path, "/lock"):
 			return sysfault.Verdict{Errno: syscall.EIO}
 		}
@@ -116,7 +116,7 @@
 		if c.Number == unix.SYS_READ && strings.HasSuffix(c.Path, stateDirectory+"/journal") {
 			if reads++; reads <= 6 { // half of the first read arrives, and then none for a while
 				if reads%2 == 1 {
-					return sysfault.Verdict{Most: 500}
+					return sysfault.Verdict{MaxBytes: 500}
 				}
 				return sysfault.Verdict{Errno: syscall.EIO}
 			}
--- a/cmd/harrierramp/faultscenario_test.go
+++ b/cmd/harrierramp/faultscenario_test.go
@@ -212,7 +212,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t.Logf("%v\n%v\nthe play itself was held up for %v at the most, its injector for %v, %d answers were interrupted",
-		plan, l.counts, longestStall(), n.injector.Slowest(), n.injector.Interrupted())
+		plan, l.counts, longestStall(), n.injector.MaxResponseTime(), n.injector.Interrupted())
 	if l.counts["delivered"] < 100 || l.counts["reported failed"]+l.counts["reported returned"] == 0 {
 		t.Error("no verdict: too little was seen")
 	}
@@ -261,7 +261,7 @@
 				continue
 			}
 			scenario.ledger.recordViolation("silence", "the node has not answered PING for %v; its injector: slowest %v, interrupted %d\n%s",
-				time.Since(lastAnswer), scenario.node.injector.Slowest(), scenario.node.injector.Interrupted(), scenario.node.threadStates())
+				time.Since(lastAnswer), scenario.node.injector.MaxResponseTime(), scenario.node.injector.Interrupted(), scenario.node.threadStates())
 			scenario.node.signal(syscall.SIGQUIT)
 			return
 		}
--- a/cmd/harrierramp/main_test.go
+++ b/cmd/harrierramp/main_test.go
@@ -26,7 +26,7 @@
 
 // TestMain is the node itself when a test starts this binary as a child.
 func TestMain(m *testing.M) {
-	if sysfault.Requested() {
+	if sysfault.ExecRequired() {
 		fmt.Fprintln(os.Stderr, sysfault.Exec("/proc/self/exe", os.Args))
 		os.Exit(1)
 	}
--- a/internal/lab/cli/stage.go
+++ b/internal/lab/cli/stage.go
@@ -39,7 +39,7 @@
 				o.Program = besides()
 			}
 			if !quiet {
-				o.Out = c.ErrOrStderr()
+				o.Output = c.ErrOrStderr()
 			}
 			r, err := stage.Play(c.Context(), s, o)
 			if err != nil {
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -47,16 +47,16 @@
 	nodes []*node
 	hands sync.WaitGroup
 
-	block  *process.Block
+	block  *process.AddrBlock
 	starts *process.Starter
-	net    *relay.Net
+	net    *relay.Network
 	zones  map[relay.Party]int
 	parts  sync.WaitGroup
 
 	mu      sync.Mutex
 	sockets map[string]*socket // by endpoint
 	order   []relay.Party      // of the endpoints
-	wait    map[string]*relay.Rule
+	wait    map[string]*relay.FaultRule
 }
 
 // Play plays a day and returns what the ledger says of it.
@@ -74,16 +74,16 @@
 	if err != nil {
 		return nil, fmt.Errorf("loopback: %w", err)
 	}
-	block, err := process.HoldBlock()
+	block, err := process.ReserveBlock()
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("loopback: %w", err), os.RemoveAll(dir))
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	r := &run{
 		Options: o, ctx: ctx, day: &day, block: block, starts: process.NewStarter(), zones: map[relay.Party]int{},
-		sockets: map[string]*socket{}, wait: map[string]*relay.Rule{},
+		sockets: map[string]*socket{}, wait: map[string]*relay.FaultRule{},
 	}
-	r.net = relay.New(day.Seed, block.Who, func(relay.Event) {})
+	r.net = relay.New(day.Seed, block.PartyAt, func(relay.Event) {})
 	ledger := judge.New(&day)
 	var remotes []model.Remote
 	for i := range day.Nodes {
@@ -121,10 +121,10 @@
 	for _, n := range r.nodes {
 		parties = append(parties, n.self)
 		r.zones[n.self] = r.day.Nodes[n.n].Zone
-		faces = append(faces, process.At(r.block.Face(n.self), process.NotePort))
-		owns = append(owns, process.At(r.block.Own(n.self), process.NotePort))
+		faces = append(faces, process.HostPort(r.block.FaceAddr(n.self), process.PeerPort))
+		owns = append(owns, process.HostPort(r.block.OwnAddr(n.self), process.PeerPort))
 	}
-	if err := r.net.UDP(parties, faces, owns); err != nil {
+	if err := r.net.ListenUDP(parties, faces, owns); err != nil {
 		return err
 	}
 	for _, e := range r.world.List() {
@@ -151,11 +151,11 @@
 // open opens the socket of an endpoint and its face, and tells all nodes of it.
 func (r *run) open(e model.ListEntry) error {
 	r.mu.Lock()
-	p := relay.Party{Kind: relay.Partner, N: len(r.order)}
+	p := relay.Party{Kind: relay.Partner, Index: len(r.order)}
 	r.order = append(r.order, p)
 	r.zones[p] = e.Zone
 	r.mu.Unlock()
-	own, face := process.At(r.block.Own(p), process.CallPort), process.At(r.block.Face(p), process.CallPort)
+	own, face := process.HostPort(r.block.OwnAddr(p), process.PartnerPort), process.HostPort(r.block.FaceAddr(p), process.PartnerPort)
 	s, err := newSocket(r, p, e.Endpoint, own)
 	if err != nil {
 		return err
@@ -164,7 +164,7 @@
 	r.mu.Lock()
 	r.sockets[e.Endpoint] = s
 	r.mu.Unlock()
-	if err := r.net.TCP(face, p, own); err != nil {
+	if err := r.net.ListenTCP(face, p, own); err != nil {
 		return err
 	}
 	for _, n := range r.nodes {
@@ -189,7 +189,7 @@
 		s.close()
 	}
 	r.starts.Close()
-	return errors.Join(append(errs, r.block.Free())...)
+	return errors.Join(append(errs, r.block.Release())...)
 }
 
 // impair plays the troubles of the network that the model leaves to the ways.
@@ -197,8 +197,8 @@
 	if t.Kind != model.ZonePartition && t.Kind != model.DatagramsBlocked || !backoff.Sleep(r.ctx, t.At) {
 		return
 	}
-	from, to := relay.Set{}, relay.Set{}
-	var rules []*relay.Rule
+	from, to := relay.PartySet{}, relay.PartySet{}
+	var rules []*relay.FaultRule
 	r.mu.Lock()
 	for p, zone := range r.zones {
 		if t.Kind == model.ZonePartition && zone == t.Zone {
@@ -207,17 +207,17 @@
 			to[p] = true
 		} else if p.Kind == relay.Node {
 			from[p] = true
-			to[p] = len(t.Nodes) == 0 || slices.Contains(t.Nodes, p.N)
+			to[p] = len(t.Nodes) == 0 || slices.Contains(t.Nodes, p.Index)
 		}
 	}
 	r.mu.Unlock()
-	rules = append(rules, r.net.Impair(from, to, relay.Fault{Vanish: true}))
+	rules = append(rules, r.net.AddFault(from, to, relay.Fault{ResetOnHeal: true}))
 	if t.Kind == model.ZonePartition {
-		rules = append(rules, r.net.Impair(to, from, relay.Fault{Vanish: true}))
+		rules = append(rules, r.net.AddFault(to, from, relay.Fault{ResetOnHeal: true}))
 	}
 	backoff.Sleep(r.ctx, t.Duration)
 	for _, rule := range rules {
-		r.net.Lift(rule)
+		r.net.RemoveFault(rule)
 	}
 }
 
@@ -230,22 +230,22 @@
 	switch kind {
 	case model.Crash:
 		s.refuse(down)
-		if err := r.net.Down(s.party, down); err != nil {
+		if err := r.net.SetDown(s.party, down); err != nil {
 			fmt.Fprintf(r.Log, "loopback: endpoint %s: %v\n", endpoint, err)
 		}
 	case model.Unresponsive:
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		if rule := r.wait[endpoint]; rule != nil {
-			r.net.Lift(rule)
+			r.net.RemoveFault(rule)
 			delete(r.wait, endpoint)
 		}
 		if down {
-			from := relay.Set{}
+			from := relay.PartySet{}
 			for _, n := range r.nodes {
 				from[n.self] = true
 			}
-			r.wait[endpoint] = r.net.Impair(from, relay.Set{s.party: true}, relay.Fault{Vanish: true})
+			r.wait[endpoint] = r.net.AddFault(from, relay.PartySet{s.party: true}, relay.Fault{ResetOnHeal: true})
 		}
 	}
 }
--- a/internal/lab/loopback/node.go
+++ b/internal/lab/loopback/node.go
@@ -48,16 +48,16 @@
 	if err := os.MkdirAll(state, 0o700); err != nil {
 		return nil, err
 	}
-	self := relay.Party{Kind: relay.Node, N: n}
-	front, err := net.Listen("tcp4", process.At(r.block.Own(self), process.AgentPort))
+	self := relay.Party{Kind: relay.Node, Index: n}
+	front, err := net.Listen("tcp4", process.HostPort(r.block.OwnAddr(self), process.AgentPort))
 	if err != nil {
 		return nil, err
 	}
 	x := &node{
-		r: r, n: n, self: self, dir: dir, addr: process.At(r.block.Own(self), process.ClientPort), front: front,
+		r: r, n: n, self: self, dir: dir, addr: process.HostPort(r.block.OwnAddr(self), process.ClientPort), front: front,
 		clients: make(chan *client.Client, maxClients), revision: 1, members: map[string]listwatch.Member{}, watchers: map[chan []byte]bool{},
 		process: process.Process{
-			Name: self.String(), Starter: r.starts, Program: r.Program, State: state, Log: filepath.Join(dir, "log"),
+			Name: self.String(), Starter: r.starts, Program: r.Program, StateDir: state, LogPath: filepath.Join(dir, "log"),
 			Env: []string{"ROUTER_CONFIG=" + filepath.Join(dir, "config.json"), "ROUTER_STATE=" + state},
 		},
 	}
@@ -173,9 +173,9 @@
 	known := x.whole()
 	x.mu.Unlock()
 	raw, err := json.Marshal(map[string]any{
-		"name": fmt.Sprint("n", x.n), "listen": x.addr, "discovery": x.front.Addr().String(), "source": x.r.block.Own(x.self).String(), "seed": fmt.Sprintf("%x", x.r.day.Seed+uint64(x.n)),
+		"name": fmt.Sprint("n", x.n), "listen": x.addr, "discovery": x.front.Addr().String(), "source": x.r.block.OwnAddr(x.self).String(), "seed": fmt.Sprintf("%x", x.r.day.Seed+uint64(x.n)),
 		"limits":      map[string]any{"cores": 1, "memory_mb": 128, "sockets": 1024, "disk_mb": 3},
-		"peer_listen": process.At(x.r.block.Own(x.self), process.NotePort), "peers": peers, "known": known, "settings": settings(x.r.day, x.n),
+		"peer_listen": process.HostPort(x.r.block.OwnAddr(x.self), process.PeerPort), "peers": peers, "known": known, "settings": settings(x.r.day, x.n),
 	})
 	if err != nil {
 		return err
@@ -235,7 +235,7 @@
 func (x *node) Kill() { x.failed(x.process.Kill()) }
 
 // Leave tells it to end. (model.Remote)
-func (x *node) Terminate() { x.failed(x.process.Leave()) }
+func (x *node) Terminate() { x.failed(x.process.Terminate()) }
 
 func (x *node) failed(err error) {
 	if err != nil {
@@ -281,7 +281,7 @@
 
 func (x *node) close() error {
 	x.Kill()
-	if raw, err := os.ReadFile(x.process.Log); err == nil { // one that never ran has none
+	if raw, err := os.ReadFile(x.process.LogPath); err == nil { // one that never ran has none
 		x.r.Log.Write(raw)
 	}
 	for range maxClients {
--- a/internal/lab/loopback/socket.go
+++ b/internal/lab/loopback/socket.go
@@ -111,7 +111,7 @@
 // converse answers calls on one connection, as the model's endpoint says.
 func (s *socket) converse(nc net.Conn) {
 	br := bufio.NewReader(nc)
-	from, ok := s.r.block.Who(nc.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap())
+	from, ok := s.r.block.PartyAt(nc.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap())
 	if !ok || from.Kind != relay.Node {
 		return
 	}
@@ -129,7 +129,7 @@
 		id := req.Header.Get("X-Trace-Id")
 		answers := make(chan outcome, 1)
 		s.r.world.Do(s.r.ctx, func() {
-			s.r.world.HandleCall(from.N, s.endpoint, id, func(o choice.Outcome, wait time.Duration) { answers <- outcome{o, wait} })
+			s.r.world.HandleCall(from.Index, s.endpoint, id, func(o choice.Outcome, wait time.Duration) { answers <- outcome{o, wait} })
 		})
 		// The node gives a call up by closing its connection.
 		gone := make(chan struct{})
@@ -145,7 +145,7 @@
 			nc.SetReadDeadline(time.Unix(1, 0))
 			<-gone
 		case <-gone:
-			s.r.world.Do(s.r.ctx, func() { s.r.world.CallAbandoned(from.N, id) })
+			s.r.world.Do(s.r.ctx, func() { s.r.world.CallAbandoned(from.Index, id) })
 			return
 		case <-s.r.ctx.Done():
 			return
--- a/internal/lab/process/process.go
+++ b/internal/lab/process/process.go
@@ -20,23 +20,23 @@
 	"golang.org/x/sys/unix"
 )
 
-const endWait = 6 * time.Second // for a process to end after SIGTERM, before it is killed
+const terminateTimeout = 6 * time.Second // for a process to end after SIGTERM, before it is killed
 
 // Starter starts processes from one thread that lives as long as the stage: the kernel ends a child with the thread
 // that has started it, so that no process outlives a stage that is killed.
 type Starter struct {
-	orders chan func()
-	done   chan struct{}
+	requests chan func()
+	done     chan struct{}
 }
 
 // NewStarter begins one, and asks for as many descriptors as the system gives.
 func NewStarter() *Starter {
-	roomForFiles()
+	raiseFileLimit()
 	s := &Starter{make(chan func()), make(chan struct{})}
 	go func() {
 		defer close(s.done)
 		runtime.LockOSThread() // never unlocked: the thread ends with the goroutine
-		for run := range s.orders {
+		for run := range s.requests {
 			run()
 		}
 	}()
@@ -46,34 +46,34 @@
 func (s *Starter) start(cmd *exec.Cmd) error {
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	result := make(chan error)
-	s.orders <- func() { result <- cmd.Start() }
+	s.requests <- func() { result <- cmd.Start() }
 	return <-result
 }
 
 // Close ends the thread; whatever it has started has ended by then, or ends now.
 func (s *Starter) Close() {
-	close(s.orders)
+	close(s.requests)
 	<-s.done
 }
 
 // Process is one real process that may be started many times. Its fields are set before; its methods may be called from
 // many goroutines.
 type Process struct {
-	Name    string
-	Starter *Starter
-	Program string
-	Args    []string
-	Env     []string               // beside this process's own
-	State   string                 // its lasting folder
-	Log     string                 // its file
-	Crashed func(name, how string) // hears of an end that nobody asked for; nil for nobody
+	Name     string
+	Starter  *Starter
+	Program  string
+	Args     []string
+	Env      []string               // beside this process's own
+	StateDir string                 // its lasting folder
+	LogPath  string                 // its file
+	OnCrash  func(name, how string) // hears of an end that nobody asked for; nil for nobody
 
-	mu      sync.Mutex
-	cmd     *exec.Cmd
-	dead    chan struct{} // closed when it has ended
-	stopped bool          // by SIGSTOP
-	full    bool          // its disk is
-	told    bool          // to end
+	mu            sync.Mutex
+	cmd           *exec.Cmd
+	exited        chan struct{} // closed when it has ended
+	paused        bool          // by SIGSTOP
+	diskFull      bool          // its disk is
+	exitRequested bool          // to end
 }
 
 // Start starts it, if it does not run.
@@ -83,7 +83,7 @@
 	if p.cmd != nil {
 		return nil
 	}
-	out, err := os.OpenFile(p.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	out, err := os.OpenFile(p.LogPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return fmt.Errorf("%s: %w", p.Name, err)
 	}
@@ -98,27 +98,27 @@
 		return fmt.Errorf("%s: %w", p.Name, err)
 	}
 	dead := make(chan struct{})
-	p.cmd, p.dead, p.stopped, p.told = cmd, dead, false, false
+	p.cmd, p.exited, p.paused, p.exitRequested = cmd, dead, false, false
 	go func() {
 		err := cmd.Wait()
 		out.Close()
 		p.mu.Lock()
 		p.cmd = nil
-		told := p.told
+		told := p.exitRequested
 		p.mu.Unlock()
-		if !told && p.Crashed != nil {
-			p.Crashed(p.Name, fmt.Sprint(err))
+		if !told && p.OnCrash != nil {
+			p.OnCrash(p.Name, fmt.Sprint(err))
 		}
 		close(dead)
 	}()
-	if p.full {
-		return p.bound(0)
+	if p.diskFull {
+		return p.setFileSizeLimit(0)
 	}
 	return nil
 }
 
 // Runs tells whether the process is there, paused or not.
-func (p *Process) Runs() bool {
+func (p *Process) Running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd != nil
@@ -135,7 +135,7 @@
 }
 
 // Pause stops the process where it is, or lets it go on.
-func (p *Process) Pause(on bool) error {
+func (p *Process) SetPaused(on bool) error {
 	s := syscall.SIGCONT
 	if on {
 		s = syscall.SIGSTOP
@@ -145,7 +145,7 @@
 }
 
 // Leave tells it to end, and does not wait for that.
-func (p *Process) Leave() error {
+func (p *Process) Terminate() error {
 	_, err := p.signal(syscall.SIGTERM)
 	return err
 }
@@ -159,16 +159,16 @@
 	}
 	switch s {
 	case syscall.SIGSTOP:
-		p.stopped = true
+		p.paused = true
 	case syscall.SIGCONT:
-		p.stopped = false
+		p.paused = false
 	case syscall.SIGKILL, syscall.SIGTERM:
-		p.told = true
+		p.exitRequested = true
 	}
 	if err := p.cmd.Process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		return nil, fmt.Errorf("%s: %w", p.Name, err)
 	}
-	return p.dead, nil
+	return p.exited, nil
 }
 
 // Kill ends it at once, and returns when it is gone.
@@ -181,9 +181,9 @@
 }
 
 // End tells it to end, and kills it if it takes too long.
-func (p *Process) End() error {
+func (p *Process) Stop() error {
 	p.mu.Lock()
-	stopped := p.stopped
+	stopped := p.paused
 	p.mu.Unlock()
 	if stopped {
 		return p.Kill()
@@ -195,28 +195,28 @@
 	select {
 	case <-dead:
 		return nil
-	case <-time.After(endWait):
-		return errors.Join(fmt.Errorf("%s: it did not end within %v", p.Name, endWait), p.Kill())
+	case <-time.After(terminateTimeout):
+		return errors.Join(fmt.Errorf("%s: it did not end within %v", p.Name, terminateTimeout), p.Kill())
 	}
 }
 
 // Fill makes the process's disk full, or gives it room again. It is a bound on the length of every file that it
 // writes, which it meets as an error of the write.
-func (p *Process) Fill(full bool) error {
+func (p *Process) SetDiskFull(full bool) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.full = full
+	p.diskFull = full
 	if p.cmd == nil {
 		return nil
 	}
 	if full {
-		return p.bound(0)
+		return p.setFileSizeLimit(0)
 	}
-	return p.bound(unix.RLIM_INFINITY)
+	return p.setFileSizeLimit(unix.RLIM_INFINITY)
 }
 
 // bound is the most bytes that a file may have. The lock is held.
-func (p *Process) bound(bytes uint64) error {
+func (p *Process) setFileSizeLimit(bytes uint64) error {
 	limit := unix.Rlimit{Cur: bytes, Max: unix.RLIM_INFINITY}
 	if err := unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, &limit, nil); err != nil {
 		return fmt.Errorf("%s: %w", p.Name, err)
@@ -227,13 +227,13 @@
 // Usage is what a process has cost so far.
 type Usage struct {
 	CPU        time.Duration
-	MostMemory int64 // bytes that stood in memory at once
+	PeakMemory int64 // bytes that stood in memory at once
 }
 
 const ticksPerSecond = 100 // of the times in /proc, on every machine that this runs on
 
 // Cost reads what the running process has cost.
-func (p *Process) Cost() (u Usage, err error) {
+func (p *Process) Usage() (u Usage, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
@@ -265,25 +265,25 @@
 		if _, err := fmt.Sscan(after, &kb); err != nil {
 			return u, fmt.Errorf("%s: %w", p.Name, err)
 		}
-		u.MostMemory = kb << 10
+		u.PeakMemory = kb << 10
 	}
 	return u, nil
 }
 
 // Empty takes away what the process has kept. It must not run.
-func (p *Process) Empty() error {
-	if p.Runs() {
+func (p *Process) ClearState() error {
+	if p.Running() {
 		return fmt.Errorf("%s: it runs, and its folder is not taken away", p.Name)
 	}
-	return errors.Join(os.RemoveAll(p.State), os.MkdirAll(p.State, 0o700))
+	return errors.Join(os.RemoveAll(p.StateDir), os.MkdirAll(p.StateDir, 0o700))
 }
 
 // Damage flips one byte of one of its files, or cuts it there. It must not run.
-func (p *Process) Damage(file string, rng *rand.Rand) error {
-	if p.Runs() {
+func (p *Process) CorruptFile(file string, rng *rand.Rand) error {
+	if p.Running() {
 		return fmt.Errorf("%s: it runs, and its files are not damaged", p.Name)
 	}
-	path := filepath.Join(p.State, filepath.Base(file))
+	path := filepath.Join(p.StateDir, filepath.Base(file))
 	raw, err := os.ReadFile(path)
 	if err != nil || len(raw) == 0 {
 		return err
@@ -297,15 +297,15 @@
 	return os.WriteFile(path, raw, 0o600)
 }
 
-const wantedFiles = 1 << 17 // each connection on the stage takes up to four descriptors here
+const wantedOpenFiles = 1 << 17 // each connection on the stage takes up to four descriptors here
 
 // roomForFiles asks for as many descriptors as the system gives this process.
-func roomForFiles() {
+func raiseFileLimit() {
 	var l unix.Rlimit
-	if unix.Getrlimit(unix.RLIMIT_NOFILE, &l) != nil || l.Cur >= wantedFiles {
+	if unix.Getrlimit(unix.RLIMIT_NOFILE, &l) != nil || l.Cur >= wantedOpenFiles {
 		return
 	}
-	more := unix.Rlimit{Cur: wantedFiles, Max: max(l.Max, wantedFiles)}
+	more := unix.Rlimit{Cur: wantedOpenFiles, Max: max(l.Max, wantedOpenFiles)}
 	if unix.Setrlimit(unix.RLIMIT_NOFILE, &more) != nil { // only root may have more than it was given
 		l.Cur = l.Max
 		unix.Setrlimit(unix.RLIMIT_NOFILE, &l) // no more can be had then
--- a/internal/lab/relay/fault.go
+++ b/internal/lab/relay/fault.go
@@ -28,14 +28,14 @@
 
 // Party is one process, or what stands for one.
 type Party struct {
-	Kind Kind
-	N    int
+	Kind  Kind
+	Index int
 }
 
-func (p Party) String() string { return fmt.Sprintf("%s-%d", kindNames[p.Kind], p.N) }
+func (p Party) String() string { return fmt.Sprintf("%s-%d", kindNames[p.Kind], p.Index) }
 
 // Set are some parties.
-type Set map[Party]bool
+type PartySet map[Party]bool
 
 // Fault is what is wrong with one way from one party to another. The zero value passes everything.
 type Fault struct {
@@ -44,48 +44,48 @@
 	Cut bool
 	// Vanish is a Cut at whose end the connections that were held in it are reset: the machine is back, and knows nothing
 	// of them.
-	Vanish bool
+	ResetOnHeal bool
 	// Refuse closes new connections at once. It counts on the way from who connects.
 	Refuse bool
 	// Reset is the share of new connections, from 0 to 1, that are reset at a moment within ResetWithin. It counts on
 	// the way from who connects.
-	Reset       float64
+	ResetShare  float64
 	ResetWithin time.Duration
 	// Delay is added to everything, and up to Jitter more by chance. The order on a connection stays.
 	Delay, Jitter time.Duration
 	// Rate is the most bytes a second on one connection; 0 for any number.
-	Rate int
+	BytesPerSecond int
 	// StopAfter holds a connection after so many bytes of its own on this way, as Cut does; 0 for never.
-	StopAfter int
+	StallAfter int
 	// Lose, Repeat and Reorder are shares of datagrams, from 0 to 1. One that is reordered comes up to 50 ms late.
-	Lose, Repeat, Reorder float64
+	LossShare, DuplicateShare, ReorderShare float64
 }
 
 const (
-	reorderLate = 50 * time.Millisecond
-	mostDelay   = 10 * time.Minute
+	maxReorderDelay = 50 * time.Millisecond
+	maxDelay        = 10 * time.Minute
 )
 
 // Check tells what is impossible in a fault.
 func (f Fault) Check() error {
-	for name, v := range map[string]float64{"reset": f.Reset, "lose": f.Lose, "repeat": f.Repeat, "reorder": f.Reorder} {
+	for name, v := range map[string]float64{"reset": f.ResetShare, "lose": f.LossShare, "repeat": f.DuplicateShare, "reorder": f.ReorderShare} {
 		if !(v >= 0 && v <= 1) {
 			return fmt.Errorf("%s is %v: a share from 0 to 1", name, v)
 		}
 	}
 	for name, v := range map[string]time.Duration{"delay": f.Delay, "jitter": f.Jitter, "reset_within": f.ResetWithin} {
-		if v < 0 || v > mostDelay {
-			return fmt.Errorf("%s is %v: from 0 to %v", name, v, mostDelay)
+		if v < 0 || v > maxDelay {
+			return fmt.Errorf("%s is %v: from 0 to %v", name, v, maxDelay)
 		}
 	}
-	if f.Rate < 0 || f.StopAfter < 0 {
-		return fmt.Errorf("rate %d and stop_after %d: from 0 on", f.Rate, f.StopAfter)
+	if f.BytesPerSecond < 0 || f.StallAfter < 0 {
+		return fmt.Errorf("rate %d and stop_after %d: from 0 on", f.BytesPerSecond, f.StallAfter)
 	}
 	return nil
 }
 
 // with is both faults together: the worse of each.
-func (f Fault) with(o Fault) Fault {
+func (f Fault) combine(o Fault) Fault {
 	least := func(a, b int) int {
 		if a == 0 || b == 0 {
 			return max(a, b)
@@ -93,105 +93,105 @@
 		return min(a, b)
 	}
 	return Fault{
-		Cut: f.Cut || o.Cut, Vanish: f.Vanish || o.Vanish, Refuse: f.Refuse || o.Refuse,
-		Reset: max(f.Reset, o.Reset), ResetWithin: max(f.ResetWithin, o.ResetWithin),
+		Cut: f.Cut || o.Cut, ResetOnHeal: f.ResetOnHeal || o.ResetOnHeal, Refuse: f.Refuse || o.Refuse,
+		ResetShare: max(f.ResetShare, o.ResetShare), ResetWithin: max(f.ResetWithin, o.ResetWithin),
 		Delay: f.Delay + o.Delay, Jitter: f.Jitter + o.Jitter,
-		Rate: least(f.Rate, o.Rate), StopAfter: least(f.StopAfter, o.StopAfter),
-		Lose: max(f.Lose, o.Lose), Repeat: max(f.Repeat, o.Repeat), Reorder: max(f.Reorder, o.Reorder),
+		BytesPerSecond: least(f.BytesPerSecond, o.BytesPerSecond), StallAfter: least(f.StallAfter, o.StallAfter),
+		LossShare: max(f.LossShare, o.LossShare), DuplicateShare: max(f.DuplicateShare, o.DuplicateShare), ReorderShare: max(f.ReorderShare, o.ReorderShare),
 	}
 }
 
 // What tells what an Event is.
-type What uint8
+type EventType uint8
 
 // What a Net sees.
 const (
-	Opened   What = iota // a connection: From has reached To
-	Turned               // a connection that found nobody, or was refused by a fault
-	Broken               // a connection that a fault has reset
-	Passed               // Bytes on a connection
-	Datagram             // one passed, of Bytes
-	Lost                 // one did not
+	ConnOpened        EventType = iota // a connection: From has reached To
+	ConnFailed                         // a connection that found nobody, or was refused by a fault
+	ConnReset                          // a connection that a fault has reset
+	DataForwarded                      // Bytes on a connection
+	DatagramForwarded                  // one passed, of Bytes
+	DatagramLost                       // one did not
 )
 
 // Event is one thing that a Net sees. Text is the beginning of what passed, for Passed only; it must not be kept.
 type Event struct {
-	What     What
+	Type     EventType
 	From, To Party
 	Bytes    int
-	Text     []byte
+	Data     []byte
 }
 
 // Net owns the relays and what is wrong with them. Its methods may be called from many goroutines.
-type Net struct {
-	who  func(netip.Addr) (Party, bool)
-	tell func(Event)
+type Network struct {
+	partyAt func(netip.Addr) (Party, bool)
+	onEvent func(Event)
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	rules   []*Rule
-	changed chan struct{} // closed when the rules change
-	closers []func()
-	late    int // datagrams on their way
-	faces   map[Party]*face
-	closed  bool
-	over    chan struct{} // closed with the Net
-	wg      sync.WaitGroup
+	mu               sync.Mutex
+	rng              *rand.Rand
+	rules            []*FaultRule
+	rulesChanged     chan struct{} // closed when the rules change
+	closers          []func()
+	delayedDatagrams int // datagrams on their way
+	faces            map[Party]*face
+	closed           bool
+	done             chan struct{} // closed with the Net
+	wg               sync.WaitGroup
 }
 
 // Rule is a fault that holds between two sets of parties until it is lifted.
-type Rule struct {
-	from, to Set
+type FaultRule struct {
+	from, to PartySet
 	fault    Fault
 }
 
 // New makes a Net without a socket. who names the party of an address; tell hears what passes, from many goroutines,
 // and must not wait. Chance is drawn from the seed.
-func New(seed uint64, who func(netip.Addr) (Party, bool), tell func(Event)) *Net {
-	return &Net{who: who, tell: tell, rng: rand.New(rand.NewPCG(seed, 0x57a6e)), changed: make(chan struct{}), over: make(chan struct{}), faces: map[Party]*face{}}
+func New(seed uint64, who func(netip.Addr) (Party, bool), tell func(Event)) *Network {
+	return &Network{partyAt: who, onEvent: tell, rng: rand.New(rand.NewPCG(seed, 0x57a6e)), rulesChanged: make(chan struct{}), done: make(chan struct{}), faces: map[Party]*face{}}
 }
 
 // Impair puts a fault on the ways from each of the one set to each of the other, until Lift.
-func (n *Net) Impair(from, to Set, f Fault) *Rule {
-	r := &Rule{from, to, f}
+func (n *Network) AddFault(from, to PartySet, f Fault) *FaultRule {
+	r := &FaultRule{from, to, f}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.rules = append(n.rules, r)
-	n.news()
+	n.notifyRulesChanged()
 	return r
 }
 
 // Lift ends a fault. What was held goes on.
-func (n *Net) Lift(r *Rule) {
+func (n *Network) RemoveFault(r *FaultRule) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.rules = slices.DeleteFunc(n.rules, func(o *Rule) bool { return o == r })
-	n.news()
+	n.rules = slices.DeleteFunc(n.rules, func(o *FaultRule) bool { return o == r })
+	n.notifyRulesChanged()
 }
 
-func (n *Net) news() {
-	close(n.changed)
-	n.changed = make(chan struct{})
+func (n *Network) notifyRulesChanged() {
+	close(n.rulesChanged)
+	n.rulesChanged = make(chan struct{})
 }
 
 // holds tells that nothing passes.
-func (f Fault) holds() bool { return f.Cut || f.Vanish }
+func (f Fault) blocks() bool { return f.Cut || f.ResetOnHeal }
 
 // fault is what is wrong with a way now, and a channel that closes when that may have changed.
-func (n *Net) fault(from, to Party) (Fault, <-chan struct{}) {
+func (n *Network) currentFault(from, to Party) (Fault, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var f Fault
 	for _, r := range n.rules {
 		if r.from[from] && r.to[to] {
-			f = f.with(r.fault)
+			f = f.combine(r.fault)
 		}
 	}
-	return f, n.changed
+	return f, n.rulesChanged
 }
 
 // chance tells whether something of this share happens, and draws a time below a bound.
-func (n *Net) chance(share float64) bool {
+func (n *Network) happens(share float64) bool {
 	if share <= 0 {
 		return false
 	}
@@ -200,7 +200,7 @@
 	return n.rng.Float64() < share
 }
 
-func (n *Net) within(bound time.Duration) time.Duration {
+func (n *Network) randomDuration(bound time.Duration) time.Duration {
 	if bound <= 0 {
 		return 0
 	}
@@ -210,7 +210,7 @@
 }
 
 // keep has Close call end, or calls it now if the Net is closed already.
-func (n *Net) keep(end func()) bool {
+func (n *Network) addCloser(end func()) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.closed {
@@ -222,10 +222,10 @@
 }
 
 // Close ends all relays, and every connection on them.
-func (n *Net) Close() {
+func (n *Network) Close() {
 	n.mu.Lock()
 	if !n.closed {
-		close(n.over)
+		close(n.done)
 	}
 	n.closed = true
 	ends := n.closers
@@ -238,13 +238,13 @@
 }
 
 // OnLoopback refuses every address that is not on this machine.
-func OnLoopback(addr string) error {
-	_, err := loopback(addr)
+func CheckLoopback(addr string) error {
+	_, err := parseLoopback(addr)
 	return err
 }
 
 // loopback refuses every address that is not on this machine.
-func loopback(addr string) (netip.AddrPort, error) {
+func parseLoopback(addr string) (netip.AddrPort, error) {
 	a, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return a, fmt.Errorf("relay: %w", err)
--- a/internal/lab/relay/tcp.go
+++ b/internal/lab/relay/tcp.go
@@ -11,34 +11,34 @@
 )
 
 const (
-	chunkSize   = 16 << 10
-	chunksAhead = 64 // read and not yet passed on, on one way of a connection
-	dialWait    = 2 * time.Second
+	chunkBytes        = 16 << 10
+	maxBufferedChunks = 64 // read and not yet passed on, on one way of a connection
+	dialTimeout       = 2 * time.Second
 )
 
 // face is where a party is reached. It is bound while the party is up.
 type face struct {
-	at     *net.TCPAddr
-	to     Party
-	target string
-	ln     *net.TCPListener // nil while the party is down
+	addr     *net.TCPAddr
+	party    Party
+	target   string
+	listener *net.TCPListener // nil while the party is down
 }
 
 // TCP opens a face: who connects there reaches the party at the target, by the faults of the ways between them. The
 // face is bound before TCP returns, and held until Close, or while Down.
-func (n *Net) TCP(addr string, to Party, target string) error {
-	if _, err := loopback(target); err != nil {
+func (n *Network) ListenTCP(addr string, to Party, target string) error {
+	if _, err := parseLoopback(target); err != nil {
 		return err
 	}
-	at, err := loopback(addr)
+	at, err := parseLoopback(addr)
 	if err != nil {
 		return err
 	}
-	f := &face{at: net.TCPAddrFromAddrPort(at), to: to, target: target}
-	if err := n.open(f); err != nil {
+	f := &face{addr: net.TCPAddrFromAddrPort(at), party: to, target: target}
+	if err := n.openFace(f); err != nil {
 		return err
 	}
-	if !n.keep(func() { n.shut(f) }) {
+	if !n.addCloser(func() { n.closeFace(f) }) {
 		return net.ErrClosed
 	}
 	n.mu.Lock()
@@ -48,7 +48,7 @@
 }
 
 // Down has a party's face refuse connections, as the machine of a process that is gone does, or take them again.
-func (n *Net) Down(p Party, down bool) error {
+func (n *Network) SetDown(p Party, down bool) error {
 	n.mu.Lock()
 	f := n.faces[p]
 	n.mu.Unlock()
@@ -56,33 +56,33 @@
 		return fmt.Errorf("relay: %s has no face", p)
 	}
 	if down {
-		n.shut(f)
+		n.closeFace(f)
 		return nil
 	}
-	return n.open(f)
+	return n.openFace(f)
 }
 
-func (n *Net) shut(f *face) {
+func (n *Network) closeFace(f *face) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if f.ln != nil {
-		f.ln.Close()
-		f.ln = nil
+	if f.listener != nil {
+		f.listener.Close()
+		f.listener = nil
 	}
 }
 
 // open binds a face, if it is not, and accepts there.
-func (n *Net) open(f *face) error {
+func (n *Network) openFace(f *face) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if f.ln != nil || n.closed {
+	if f.listener != nil || n.closed {
 		return nil
 	}
-	ln, err := net.ListenTCP("tcp4", f.at)
+	ln, err := net.ListenTCP("tcp4", f.addr)
 	if err != nil {
 		return fmt.Errorf("relay: %w", err)
 	}
-	f.ln = ln
+	f.listener = ln
 	n.wg.Go(func() {
 		for {
 			nc, err := ln.AcceptTCP()
@@ -93,44 +93,44 @@
 				time.Sleep(10 * time.Millisecond)
 				continue
 			}
-			n.wg.Go(func() { n.converse(nc, f.to, f.target) })
+			n.wg.Go(func() { n.proxy(nc, f.party, f.target) })
 		}
 	})
 	return nil
 }
 
 // link is one connection through a relay.
-type link struct {
-	near *net.TCPConn
-	gone chan struct{} // closed when it is over
+type proxiedConn struct {
+	downstream *net.TCPConn
+	done       chan struct{} // closed when it is over
 
-	mu   sync.Mutex
-	far  *net.TCPConn // nil until the other party is reached
-	over bool
+	mu       sync.Mutex
+	upstream *net.TCPConn // nil until the other party is reached
+	closed   bool
 }
 
 // reached takes the other half, and tells whether the link is still wanted.
-func (l *link) reached(far *net.TCPConn) bool {
+func (l *proxiedConn) setUpstream(far *net.TCPConn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.over {
+	if l.closed {
 		far.Close()
 		return false
 	}
-	l.far = far
+	l.upstream = far
 	return true
 }
 
 // end ends both halves; with a reset the other sides read that.
-func (l *link) end(reset bool) {
+func (l *proxiedConn) close(reset bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.over {
+	if l.closed {
 		return
 	}
-	l.over = true
-	close(l.gone)
-	for _, nc := range []*net.TCPConn{l.near, l.far} {
+	l.closed = true
+	close(l.done)
+	for _, nc := range []*net.TCPConn{l.downstream, l.upstream} {
 		if nc == nil {
 			continue
 		}
@@ -141,15 +141,15 @@
 	}
 }
 
-func (n *Net) converse(near *net.TCPConn, to Party, target string) {
+func (n *Network) proxy(near *net.TCPConn, to Party, target string) {
 	source := near.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap()
-	from, known := n.who(source)
-	l := &link{near: near, gone: make(chan struct{})}
-	defer l.end(false)
-	f, _ := n.fault(from, to)
+	from, known := n.partyAt(source)
+	l := &proxiedConn{downstream: near, done: make(chan struct{})}
+	defer l.close(false)
+	f, _ := n.currentFault(from, to)
 	if !known || f.Refuse {
-		n.tell(Event{What: Turned, From: from, To: to})
-		l.end(true)
+		n.onEvent(Event{Type: ConnFailed, From: from, To: to})
+		l.close(true)
 		return
 	}
 	stop := make(chan struct{})
@@ -157,48 +157,48 @@
 	n.wg.Go(func() { // a closed Net ends its connections
 		select {
 		case <-stop:
-		case <-n.over:
-			l.end(true)
+		case <-n.done:
+			l.close(true)
 		}
 	})
-	if !n.reach(l, from, to) { // the first packet does not arrive
+	if !n.awaitReachable(l, from, to) { // the first packet does not arrive
 		return
 	}
-	d := net.Dialer{Timeout: dialWait, LocalAddr: &net.TCPAddr{IP: net.IP(source.AsSlice())}}
+	d := net.Dialer{Timeout: dialTimeout, LocalAddr: &net.TCPAddr{IP: net.IP(source.AsSlice())}}
 	far, err := d.Dial("tcp4", target)
 	if err != nil {
-		n.tell(Event{What: Turned, From: from, To: to})
-		l.end(true)
+		n.onEvent(Event{Type: ConnFailed, From: from, To: to})
+		l.close(true)
 		return
 	}
-	if !l.reached(far.(*net.TCPConn)) {
+	if !l.setUpstream(far.(*net.TCPConn)) {
 		return
 	}
-	n.tell(Event{What: Opened, From: from, To: to})
-	if n.chance(f.Reset) {
-		t := time.AfterFunc(n.within(f.ResetWithin), func() {
-			n.tell(Event{What: Broken, From: from, To: to})
-			l.end(true)
+	n.onEvent(Event{Type: ConnOpened, From: from, To: to})
+	if n.happens(f.ResetShare) {
+		t := time.AfterFunc(n.randomDuration(f.ResetWithin), func() {
+			n.onEvent(Event{Type: ConnReset, From: from, To: to})
+			l.close(true)
 		})
 		defer t.Stop()
 	}
 	var ways sync.WaitGroup
-	ways.Go(func() { n.way(l, l.near, l.far, from, to) })
-	ways.Go(func() { n.way(l, l.far, l.near, to, from) })
+	ways.Go(func() { n.forward(l, l.downstream, l.upstream, from, to) })
+	ways.Go(func() { n.forward(l, l.upstream, l.downstream, to, from) })
 	ways.Wait()
 }
 
 // reach waits while the way to the other party is cut, and tells whether the connection is still wanted.
-func (n *Net) reach(l *link, from, to Party) bool {
+func (n *Network) awaitReachable(l *proxiedConn, from, to Party) bool {
 	for vanished := false; ; {
-		f, changed := n.fault(from, to)
-		if vanished = vanished || f.Vanish; !f.holds() {
+		f, changed := n.currentFault(from, to)
+		if vanished = vanished || f.ResetOnHeal; !f.blocks() {
 			if vanished {
-				l.end(true)
+				l.close(true)
 			}
 			return !vanished
 		}
-		if gone(l.near, l.gone, changed) {
+		if awaitChange(l.downstream, l.done, changed) {
 			return false
 		}
 	}
@@ -206,7 +206,7 @@
 
 // gone waits until the faults change or the link is over, and tells the latter. A connection that nobody reads from is
 // looked at now and then: who has given it up is not to be connected later.
-func gone(nc *net.TCPConn, over, changed <-chan struct{}) bool {
+func awaitChange(nc *net.TCPConn, over, changed <-chan struct{}) bool {
 	look := time.NewTicker(50 * time.Millisecond)
 	defer look.Stop()
 	for {
@@ -216,7 +216,7 @@
 		case <-changed:
 			return false
 		case <-look.C:
-			if hungUp(nc) {
+			if peerClosed(nc) {
 				return true
 			}
 		}
@@ -224,7 +224,7 @@
 }
 
 // hungUp tells whether the other side has closed a connection, without taking anything from it.
-func hungUp(nc *net.TCPConn) bool {
+func peerClosed(nc *net.TCPConn) bool {
 	raw, err := nc.SyscallConn()
 	if err != nil {
 		return true
@@ -240,35 +240,35 @@
 
 // chunk is what was read at once, to be passed on when it is due; without text, the end of what there is.
 type chunk struct {
-	text  []byte
+	data  []byte
 	due   time.Time
 	reset bool
 }
 
 // way passes on what comes from one half to the other, until it ends.
-func (n *Net) way(l *link, src, dst *net.TCPConn, from, to Party) {
-	ahead := make(chan chunk, chunksAhead)
+func (n *Network) forward(l *proxiedConn, src, dst *net.TCPConn, from, to Party) {
+	ahead := make(chan chunk, maxBufferedChunks)
 	var reader sync.WaitGroup
 	defer reader.Wait()
 	reader.Go(func() {
 		defer close(ahead)
 		var last time.Time
 		for {
-			b := make([]byte, chunkSize)
+			b := make([]byte, chunkBytes)
 			k, err := src.Read(b)
-			f, _ := n.fault(from, to)
-			due := time.Now().Add(f.Delay + n.within(f.Jitter))
+			f, _ := n.currentFault(from, to)
+			due := time.Now().Add(f.Delay + n.randomDuration(f.Jitter))
 			if due.Before(last) {
 				due = last
 			}
 			last = due
-			c := chunk{text: b[:k], due: due}
+			c := chunk{data: b[:k], due: due}
 			if err != nil {
 				c.reset = !errors.Is(err, io.EOF)
 			}
 			select {
 			case ahead <- c:
-			case <-l.gone:
+			case <-l.done:
 				return
 			}
 			if err != nil {
@@ -278,63 +278,63 @@
 	})
 	passed := 0
 	for c := range ahead {
-		if !n.pass(l, dst, c, from, to, &passed) {
-			l.end(true)
+		if !n.writeChunk(l, dst, c, from, to, &passed) {
+			l.close(true)
 			return
 		}
 	}
 }
 
 // pass writes one chunk when it is due and the way is not cut. It tells whether the connection goes on.
-func (n *Net) pass(l *link, dst *net.TCPConn, c chunk, from, to Party, passed *int) bool {
-	if !rest(l, time.Until(c.due)) {
+func (n *Network) writeChunk(l *proxiedConn, dst *net.TCPConn, c chunk, from, to Party, passed *int) bool {
+	if !sleep(l, time.Until(c.due)) {
 		return false
 	}
 	vanished := false
-	for text := c.text; len(text) > 0; {
-		f, changed := n.fault(from, to)
-		if vanished && !f.holds() {
+	for text := c.data; len(text) > 0; {
+		f, changed := n.currentFault(from, to)
+		if vanished && !f.blocks() {
 			return false
 		}
 		room := len(text)
-		if f.StopAfter > 0 {
-			room = min(room, f.StopAfter-*passed)
+		if f.StallAfter > 0 {
+			room = min(room, f.StallAfter-*passed)
 		}
-		if f.holds() || room <= 0 {
-			vanished = vanished || f.Vanish
+		if f.blocks() || room <= 0 {
+			vanished = vanished || f.ResetOnHeal
 			select {
 			case <-changed:
 				continue
-			case <-l.gone:
+			case <-l.done:
 				return false
 			}
 		}
-		if f.Rate > 0 { // in pieces of a tenth of a second or so
-			room = min(room, max(f.Rate/10, 1))
-			if !rest(l, time.Duration(room)*time.Second/time.Duration(f.Rate)) {
+		if f.BytesPerSecond > 0 { // in pieces of a tenth of a second or so
+			room = min(room, max(f.BytesPerSecond/10, 1))
+			if !sleep(l, time.Duration(room)*time.Second/time.Duration(f.BytesPerSecond)) {
 				return false
 			}
 		}
 		if _, err := dst.Write(text[:room]); err != nil {
 			return false
 		}
-		n.tell(Event{What: Passed, From: from, To: to, Bytes: room, Text: text[:room]})
+		n.onEvent(Event{Type: DataForwarded, From: from, To: to, Bytes: room, Data: text[:room]})
 		*passed += room
 		text = text[room:]
 	}
-	if len(c.text) > 0 && !c.reset {
+	if len(c.data) > 0 && !c.reset {
 		return true
 	}
 	// An end is held like anything else.
 	for {
-		f, changed := n.fault(from, to)
-		if !f.holds() && (f.StopAfter == 0 || *passed < f.StopAfter) {
+		f, changed := n.currentFault(from, to)
+		if !f.blocks() && (f.StallAfter == 0 || *passed < f.StallAfter) {
 			break
 		}
-		vanished = vanished || f.Vanish
+		vanished = vanished || f.ResetOnHeal
 		select {
 		case <-changed:
-		case <-l.gone:
+		case <-l.done:
 			return false
 		}
 	}
@@ -345,7 +345,7 @@
 }
 
 // rest waits, and tells whether the link is still there.
-func rest(l *link, d time.Duration) bool {
+func sleep(l *proxiedConn, d time.Duration) bool {
 	if d <= 0 {
 		return true
 	}
@@ -354,7 +354,7 @@
 	select {
 	case <-t.C:
 		return true
-	case <-l.gone:
+	case <-l.done:
 		return false
 	}
 }
--- a/internal/lab/relay/udp.go
+++ b/internal/lab/relay/udp.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	maxDatagram = 2048
-	mostLate    = 1 << 14 // datagrams on their way at once; more are lost
+	maxDatagramBytes    = 2048
+	maxDelayedDatagrams = 1 << 14 // datagrams on their way at once; more are lost
 )
 
 // UDP opens a face for each party: what arrives at the face of one goes on to its own address, from the face of who
 // sent it. So each is known to the others by its face, and no process hears of another's own address.
-func (n *Net) UDP(parties []Party, faces, targets []string) error {
+func (n *Network) ListenUDP(parties []Party, faces, targets []string) error {
 	if len(faces) != len(parties) || len(targets) != len(parties) {
 		return fmt.Errorf("relay: %d parties with %d faces and %d addresses", len(parties), len(faces), len(targets))
 	}
 	conns := map[Party]*net.UDPConn{}
 	at := map[Party]netip.AddrPort{}
 	for i, p := range parties {
-		own, err := loopback(targets[i])
+		own, err := parseLoopback(targets[i])
 		if err != nil {
 			return err
 		}
-		face, err := loopback(faces[i])
+		face, err := parseLoopback(faces[i])
 		if err != nil {
 			return err
 		}
@@ -34,14 +34,14 @@
 		if err != nil {
 			return fmt.Errorf("relay: %w", err)
 		}
-		if !n.keep(func() { conn.Close() }) {
+		if !n.addCloser(func() { conn.Close() }) {
 			return net.ErrClosed
 		}
 		conns[p], at[p] = conn, own
 	}
 	for _, to := range parties {
 		n.wg.Go(func() {
-			b := make([]byte, maxDatagram)
+			b := make([]byte, maxDatagramBytes)
 			for {
 				k, source, err := conns[to].ReadFromUDPAddrPort(b)
 				if errors.Is(err, net.ErrClosed) {
@@ -50,11 +50,11 @@
 				if err != nil { // the answer to one that found nobody
 					continue
 				}
-				from, known := n.who(source.Addr().Unmap())
+				from, known := n.partyAt(source.Addr().Unmap())
 				if !known || conns[from] == nil || source.Port() != at[from].Port() {
 					continue
 				}
-				n.datagram(conns[from], at[to], from, to, b[:k])
+				n.forwardDatagram(conns[from], at[to], from, to, b[:k])
 			}
 		})
 	}
@@ -62,51 +62,51 @@
 }
 
 // datagram passes one on, or not.
-func (n *Net) datagram(face *net.UDPConn, target netip.AddrPort, from, to Party, text []byte) {
-	f, _ := n.fault(from, to)
-	if f.holds() || n.chance(f.Lose) {
-		n.tell(Event{What: Lost, From: from, To: to, Bytes: len(text)})
+func (n *Network) forwardDatagram(face *net.UDPConn, target netip.AddrPort, from, to Party, text []byte) {
+	f, _ := n.currentFault(from, to)
+	if f.blocks() || n.happens(f.LossShare) {
+		n.onEvent(Event{Type: DatagramLost, From: from, To: to, Bytes: len(text)})
 		return
 	}
 	copies := 1
-	if n.chance(f.Repeat) {
+	if n.happens(f.DuplicateShare) {
 		copies = 2
 	}
 	for range copies {
-		late := f.Delay + n.within(f.Jitter)
-		if n.chance(f.Reorder) {
-			late += n.within(reorderLate)
+		late := f.Delay + n.randomDuration(f.Jitter)
+		if n.happens(f.ReorderShare) {
+			late += n.randomDuration(maxReorderDelay)
 		}
 		if late <= 0 {
-			n.deliver(face, target, from, to, text)
+			n.sendDatagram(face, target, from, to, text)
 			continue
 		}
 		n.mu.Lock()
-		full := n.late >= mostLate || n.closed
+		full := n.delayedDatagrams >= maxDelayedDatagrams || n.closed
 		if !full {
-			n.late++
+			n.delayedDatagrams++
 		}
 		n.mu.Unlock()
 		if full {
-			n.tell(Event{What: Lost, From: from, To: to, Bytes: len(text)})
+			n.onEvent(Event{Type: DatagramLost, From: from, To: to, Bytes: len(text)})
 			continue
 		}
 		kept := append([]byte(nil), text...)
 		time.AfterFunc(late, func() {
 			n.mu.Lock()
-			n.late--
+			n.delayedDatagrams--
 			n.mu.Unlock()
-			if f, _ := n.fault(from, to); !f.holds() {
-				n.deliver(face, target, from, to, kept)
+			if f, _ := n.currentFault(from, to); !f.blocks() {
+				n.sendDatagram(face, target, from, to, kept)
 			}
 		})
 	}
 }
 
-func (n *Net) deliver(face *net.UDPConn, target netip.AddrPort, from, to Party, text []byte) {
-	what := Datagram
+func (n *Network) sendDatagram(face *net.UDPConn, target netip.AddrPort, from, to Party, text []byte) {
+	what := DatagramForwarded
 	if _, err := face.WriteToUDPAddrPort(text, target); err != nil {
-		what = Lost
+		what = DatagramLost
 	}
-	n.tell(Event{What: what, From: from, To: to, Bytes: len(text)})
+	n.onEvent(Event{Type: what, From: from, To: to, Bytes: len(text)})
 }
--- a/internal/lab/stage/audit.go
+++ b/internal/lab/stage/audit.go
@@ -21,9 +21,9 @@
 func (st *Stage) Audit() (auditlog.Report, error) {
 	var best auditlog.History
 	var errs []error
-	for i := range st.lists {
+	for i := range st.servers {
 		var h auditlog.History
-		raw, err := get("http://" + process.At(st.block.Own(relay.Party{Kind: relay.Server, N: i}), process.ListPort) + "/registry/history")
+		raw, err := httpGet("http://" + process.HostPort(st.addrs.OwnAddr(relay.Party{Kind: relay.Server, Index: i}), process.ListPort) + "/registry/history")
 		if err == nil {
 			err = json.Unmarshal(raw, &h)
 		}
@@ -33,12 +33,12 @@
 		}
 		best = auditlog.MoreComplete(best, h)
 	}
-	if len(errs) == len(st.lists) {
+	if len(errs) == len(st.servers) {
 		return auditlog.Report{}, fmt.Errorf("stage: no list server tells what it remembers: %w", errors.Join(errs...))
 	}
 	a := auditlog.Auditor{History: best, Grace: st.ledger.day.Settings.DrainTimeout + lateSlack, Slack: auditSlack}
 	for i := range st.nodes {
-		name := relay.Party{Kind: relay.Node, N: i}.String()
+		name := relay.Party{Kind: relay.Node, Index: i}.String()
 		raw, err := auditlog.ReadDir(filepath.Join(st.dir, name))
 		if err != nil {
 			return auditlog.Report{}, fmt.Errorf("stage: %w", err)
@@ -49,33 +49,33 @@
 }
 
 // auditEntry is what an audit and the ledger are held against each other by.
-type auditEntry struct {
-	node     string
-	life     uint32
-	endpoint string
-	revision int64
+type auditKey struct {
+	node        string
+	incarnation uint32
+	endpoint    string
+	revision    int64
 }
 
 // compare holds what an audit has found against what partners have seen. Missed are late calls that it neither found nor
 // told as unsure; false ones it found that were not so. Nodes' records that it told as unreadable, or lives without a clock,
 // are excused: it says that it does not know.
-func compare(late []LateCalls, r auditlog.Report) (missed, wrong int, text []string) {
+func compareAudit(late []LateCalls, r auditlog.Report) (missed, wrong int, text []string) {
 	unknown := map[string]bool{}
 	for _, u := range r.Unknown {
 		unknown[fmt.Sprint(u.Node, " ", u.Incarnation)] = true
 	}
-	found := map[auditEntry]auditlog.Finding{}
+	found := map[auditKey]auditlog.Finding{}
 	for _, f := range r.Findings {
-		k := auditEntry{f.Node, f.Incarnation, f.Endpoint, f.Revision}
+		k := auditKey{f.Node, f.Incarnation, f.Endpoint, f.Revision}
 		sum := found[k]
 		sum.LateCalls, sum.UnsureCalls = sum.LateCalls+f.LateCalls, sum.UnsureCalls+f.UnsureCalls
 		found[k] = sum
 	}
 	for _, l := range late {
-		k := auditEntry{relay.Party{Kind: relay.Node, N: l.Node}.String(), l.Life, l.Endpoint, l.Revision}
+		k := auditKey{relay.Party{Kind: relay.Node, Index: l.Node}.String(), l.Incarnation, l.Endpoint, l.Revision}
 		f := found[k]
 		delete(found, k)
-		if unknown[fmt.Sprint(k.node, " ", k.life)] || unknown[fmt.Sprint(k.node, " ", 0)] {
+		if unknown[fmt.Sprint(k.node, " ", k.incarnation)] || unknown[fmt.Sprint(k.node, " ", 0)] {
 			continue
 		}
 		if l.Count > f.LateCalls+f.UnsureCalls {
@@ -98,13 +98,13 @@
 }
 
 // holdAudit puts into a report how the nodes' records stand against the ledger.
-func (st *Stage) holdAudit(r *Report) {
+func (st *Stage) reportAudit(r *Report) {
 	found, err := st.Audit()
 	if err != nil {
 		r.Missed = append(r.Missed, err.Error())
 		return
 	}
-	missed, wrong, text := compare(r.Late, found)
+	missed, wrong, text := compareAudit(r.LateCalls, found)
 	f := r.Figures
 	f["audit_missed"], f["audit_wrong"] = float64(missed), float64(wrong)
 	f["audit_calls"], f["audit_unknown"] = float64(found.Calls), float64(len(found.Unknown))
@@ -112,11 +112,11 @@
 		f["audit_late"] += float64(x.LateCalls)
 		f["audit_unsure"] += float64(x.UnsureCalls)
 	}
-	r.Audit, r.AuditText = &found, text
+	r.Audit, r.AuditDifferences = &found, text
 }
 
-func sortLate(all []LateCalls) {
+func sortLateCalls(all []LateCalls) {
 	slices.SortFunc(all, func(a, b LateCalls) int {
-		return cmp.Or(cmp.Compare(a.Endpoint, b.Endpoint), cmp.Compare(a.Node, b.Node), cmp.Compare(a.Life, b.Life), cmp.Compare(a.Revision, b.Revision))
+		return cmp.Or(cmp.Compare(a.Endpoint, b.Endpoint), cmp.Compare(a.Node, b.Node), cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Revision, b.Revision))
 	})
 }
--- a/internal/lab/stage/audit_test.go
+++ b/internal/lab/stage/audit_test.go
@@ -20,8 +20,8 @@
 // Half of a fleet goes on calling an endpoint that is withdrawn, since neither list server reaches it, one of it is killed
 // meanwhile and one paused. What the nodes have on record of that equals what partners saw, entry by entry, and the
 // command finds the same by the nodes' doors as the stage in their folders.
-func TestTheAuditEqualsTheLedger(t *testing.T) {
-	s := script(t, `
+func TestAuditMatchesLedger(t *testing.T) {
+	s := loadScript(t, `
 name = "audited"
 seed = 1
 nodes = 8
@@ -57,13 +57,13 @@
 audit_wrong = 0
 [expect_least]
 audit_late = 10
-`+small)
-	s.Node.Audit, s.Node.Beat, s.Node.Door, s.Node.Record = true, 250, true, 128
-	st, _, done := playing(t, s)
+`+smallFleet)
+	s.Node.Audit, s.Node.ListHeartbeat, s.Node.Admin, s.Node.AuditLogKB = true, 250, true, 128
+	st, _, done := openStage(t, s)
 	r := done()
 	var servers []string // a node tells one of them
 	for i := range s.Servers {
-		servers = append(servers, process.At(st.block.Own(relay.Party{Kind: relay.Server, N: i}), process.ListPort))
+		servers = append(servers, process.HostPort(st.addrs.OwnAddr(relay.Party{Kind: relay.Server, Index: i}), process.ListPort))
 	}
 	var out, errs bytes.Buffer
 	code := cli.Main([]string{"fleet", "audit", "--json", "--servers", strings.Join(servers, ","), "--grace", "1050ms", "--slack", auditSlack.String()}, &out, &errs)
@@ -71,7 +71,7 @@
 	if err := json.Unmarshal(out.Bytes(), &by); err != nil || code != 1 {
 		t.Fatalf("status %d, %v, %s", code, err, errs.String())
 	}
-	if _, wrong, text := compare(r.Late, by); wrong > 0 || len(by.Findings) != len(r.Audit.Findings) {
+	if _, wrong, text := compareAudit(r.LateCalls, by); wrong > 0 || len(by.Findings) != len(r.Audit.Findings) {
 		t.Errorf("by the doors %d findings, in the folders %d: %v, unknown %v", len(by.Findings), len(r.Audit.Findings), text, by.Unknown)
 	}
 	for _, f := range by.Findings {
@@ -83,8 +83,8 @@
 
 // Both list servers fall silent towards some nodes while an endpoint is withdrawn: they hear from the others that the list
 // has moved on, and stop calling before the grace is over by half a second; with all of it mended they deliver again.
-func TestWhoCantFollowIsShutOut(t *testing.T) {
-	s := script(t, `
+func TestNodesBehindTheListAreFenced(t *testing.T) {
+	s := loadScript(t, `
 name = "shut out"
 seed = 1
 nodes = 6
@@ -110,12 +110,12 @@
 [expect_least]
 busy = 20
 delivered = 300
-`+small)
-	s.Node.Audit, s.Node.ShutOut, s.Node.Beat, s.Node.Door = true, true, 250, true
-	st, _, done := playing(t, s)
+`+smallFleet)
+	s.Node.Audit, s.Node.Fencing, s.Node.ListHeartbeat, s.Node.Admin = true, true, 250, true
+	st, _, done := openStage(t, s)
 	done()
 	for n := range s.Nodes {
-		if outs := figureAt("http://"+st.Door(n)+"/ops/stats", "router.shut_outs:"); (outs > 0) != (n < 2) {
+		if outs := fetchFigure("http://"+st.AdminAddr(n)+"/ops/stats", "router.shut_outs:"); (outs > 0) != (n < 2) {
 			t.Errorf("node %d was shut out %d times", n, outs)
 		}
 	}
@@ -123,8 +123,8 @@
 
 // A floor that nobody reaches is refused, and named, unless it is forced; then all are shut out, and back once it is
 // released. One that all reach shuts nobody out. The list service keeps it over a restart.
-func TestAFloorIsKept(t *testing.T) {
-	s := script(t, `
+func TestMinimumVersionIsEnforced(t *testing.T) {
+	s := loadScript(t, `
 name = "floor"
 seed = 1
 nodes = 3
@@ -137,13 +137,13 @@
 lost = 0
 [expect_least]
 delivered = 100
-`+small)
+`+smallFleet)
 	s.Servers = 1
-	s.Node.Audit, s.Node.ShutOut, s.Node.Beat, s.Node.Door = true, true, 250, true
-	st, run, done := playing(t, s)
+	s.Node.Audit, s.Node.Fencing, s.Node.ListHeartbeat, s.Node.Admin = true, true, 250, true
+	st, run, done := openStage(t, s)
 	run()
-	first := relay.Party{Kind: relay.Server, N: 0}
-	server := process.At(st.block.Own(first), process.ListPort)
+	first := relay.Party{Kind: relay.Server, Index: 0}
+	server := process.HostPort(st.addrs.OwnAddr(first), process.ListPort)
 	fleet := func(want int, args ...string) string {
 		t.Helper()
 		var out, errs bytes.Buffer
@@ -156,16 +156,16 @@
 		t.Helper()
 		testkit.Eventually(t, fmt.Sprint(want, " are shut out"), func() bool {
 			out := 0
-			for _, r := range st.Roster().Nodes {
+			for _, r := range st.RolloutStatus().Nodes {
 				if r.Fenced {
 					out++
 				}
 			}
-			return out == want && len(st.Roster().Nodes) == s.Nodes
+			return out == want && len(st.RolloutStatus().Nodes) == s.Nodes
 		})
 	}
 	shut(0)
-	head := strconv.FormatInt(st.Roster().Head, 10)
+	head := strconv.FormatInt(st.RolloutStatus().Head, 10)
 	fleet(0, "require", "--revision", head)
 	if said := fleet(1, "require", "--build", "another"); !strings.Contains(said, "3 of 3 nodes do not reach it now: node-0 node-1 node-2") {
 		t.Errorf("%q", said)
@@ -178,7 +178,7 @@
 	if err := errors.Join(st.Kill(first), st.Start(first)); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Eventually(t, "it serves again", func() bool { return st.Roster().Head > 0 })
+	testkit.Eventually(t, "it serves again", func() bool { return st.RolloutStatus().Head > 0 })
 	shut(3)
 	testkit.Eventually(t, "it takes writes", func() bool {
 		return cli.Main([]string{"fleet", "release", "--servers", server}, io.Discard, io.Discard) == 0
@@ -188,8 +188,8 @@
 }
 
 // Each way in which an audit and the ledger can differ is told.
-func TestTheStageSeesAWrongAudit(t *testing.T) {
-	late := []LateCalls{{Endpoint: "p0-0", Node: 1, Life: 2, Revision: 7, Count: 5}}
+func TestAuditDifferencesAreReported(t *testing.T) {
+	late := []LateCalls{{Endpoint: "p0-0", Node: 1, Incarnation: 2, Revision: 7, Count: 5}}
 	finding := func(calls, unsure int) auditlog.Report {
 		return auditlog.Report{Findings: []auditlog.Finding{{Node: "node-1", Incarnation: 2, Endpoint: "p0-0", Revision: 7, LateCalls: calls, UnsureCalls: unsure}}}
 	}
@@ -206,7 +206,7 @@
 		"nothing, and it says": {late, auditlog.Report{Unknown: []auditlog.Unknown{{Node: "node-1", Incarnation: 2}}}, 0, 0},
 		"invented":             {nil, finding(2, 0), 0, 2},
 	} {
-		if missed, wrong, text := compare(c.late, c.audit); missed != c.missed || wrong != c.wrong {
+		if missed, wrong, text := compareAudit(c.late, c.audit); missed != c.missed || wrong != c.wrong {
 			t.Errorf("%s: missed %d, wrong %d: %v", name, missed, wrong, text)
 		}
 	}
--- a/internal/lab/stage/judge_test.go
+++ b/internal/lab/stage/judge_test.go
@@ -152,9 +152,9 @@
 }
 
 // A partner that gets one thing wrong is named as well, whatever the nodes do.
-func TestTheStageSaysWhatAPartnerGetsWrong(t *testing.T) {
-	s := script(t, "name = \"partner\"\nnodes = 1\n[[destination]]\nendpoints = 2\n")
-	day, err := s.day()
+func TestPartnerFaultsAreReported(t *testing.T) {
+	s := loadScript(t, "name = \"partner\"\nnodes = 1\n[[destination]]\nendpoints = 2\n")
+	day, err := s.judgeDay()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -171,13 +171,13 @@
 		"runs what was not called":   {[]partner.Event{{Type: partner.CallExecuted, MessageID: "m"}}, "without a call"},
 	} {
 		l := newLedger(&s, day, time.Now())
-		l.started(0)
-		m := &message{id: "m", class: classOnce, until: time.Second}
-		l.hand(m)
-		l.answered(m, model.SubmitAccepted, true)
+		l.nodeStarted(0)
+		m := &message{id: "m", class: classAtMostOnce, deadline: time.Second}
+		l.submitting(m)
+		l.submissionAnswered(m, model.SubmitAccepted, true)
 		for _, e := range c.does {
 			e.Endpoint, e.PeerAddr = "p0-0", "127.0.0.1:1"
-			l.partner(0, e)
+			l.partnerEvent(0, e)
 		}
 		broken := strings.Join(l.report(nil).Broken, "\n")
 		if (c.want == "") != (broken == "") || !strings.Contains(broken, c.want) {
@@ -188,7 +188,7 @@
 
 // The stage judges truly: each rule that a faulty node breaks on purpose is named, and a node that breaks none is not
 // accused.
-func TestTheStageSaysWhatIsWrong(t *testing.T) {
+func TestNodeFaultsAreReported(t *testing.T) {
 	const text = `
 name = "judged"
 seed = 1
@@ -209,10 +209,10 @@
 	} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
-			s := script(t, text)
+			s := loadScript(t, text)
 			if fault == "goes on" {
-				s.Acts = []Act{{At: 1000, Who: "partners:0", Do: "withdraw"}}
-				s.For = 4500
+				s.Actions = []ActionSpec{{At: 1000, Targets: "partners:0", Type: "withdraw"}}
+				s.Length = 4500
 			}
 			r, err := Play(t.Context(), s, Options{Program: os.Args[0], Env: []string{childEnv + "=1", faultEnv + "=" + fault}})
 			if err != nil && fault != "crashes" {
@@ -225,8 +225,8 @@
 			if late := r.Figures["late_calls"]; (late > 0) != (fault == "goes on") {
 				t.Errorf("%v calls at an endpoint after it was withdrawn", late)
 			}
-			if fault == "goes on" && (len(r.Late) != 1 || r.Late[0].Node != 0 || r.Figures["last_late_call"] < 1) {
-				t.Errorf("%+v, the last after %v s", r.Late, r.Figures["last_late_call"])
+			if fault == "goes on" && (len(r.LateCalls) != 1 || r.LateCalls[0].Node != 0 || r.Figures["last_late_call"] < 1) {
+				t.Errorf("%+v, the last after %v s", r.LateCalls, r.Figures["last_late_call"])
 			}
 		})
 	}
--- a/internal/lab/stage/play.go
+++ b/internal/lab/stage/play.go
@@ -23,12 +23,12 @@
 )
 
 const (
-	pingPause    = 40 * time.Millisecond // between tries at a node that does not take clients
-	clientsANode = 8                     // connections to one node
-	leastWait    = 50 * time.Millisecond // before a client comes again
-	noticePause  = 300 * time.Millisecond
-	settleFor    = 5 * time.Second // after the last message's time
-	maxPage      = 4 << 20
+	pingInterval       = 40 * time.Millisecond // between tries at a node that does not take clients
+	clientsPerNode     = 8                     // connections to one node
+	minRetryDelay      = 50 * time.Millisecond // before a client comes again
+	noticePollInterval = 300 * time.Millisecond
+	settleTime         = 5 * time.Second // after the last message's time
+	maxPageBytes       = 4 << 20
 )
 
 // Play sets a stage up, plays its script, and returns what came of it. A broken rule is no error of Play.
@@ -54,60 +54,60 @@
 	marks := slices.Clone(st.marks)
 	st.mu.Unlock()
 	r := st.ledger.report(marks)
-	if st.script.Node.Door {
-		r.Figures["stale_nodes"] = float64(st.stale())
+	if st.script.Node.Admin {
+		r.Figures["stale_nodes"] = float64(st.countStaleNodes())
 		for name, figure := range map[string]string{"shut_outs": "router.shut_outs:", "gaps": "router.gaps:"} {
 			for i := range st.nodes { // of the processes that run now
-				r.Figures[name] += float64(max(figureAt("http://"+st.Door(i)+"/ops/stats", figure), 0))
+				r.Figures[name] += float64(max(fetchFigure("http://"+st.AdminAddr(i)+"/ops/stats", figure), 0))
 			}
 		}
 	}
-	for i, p := range st.lists {
-		cost, err := p.Cost()
+	for i, p := range st.servers {
+		cost, err := p.Usage()
 		if err != nil {
 			continue // it does not run
 		}
 		name := fmt.Sprintf("server%d_", i)
-		r.Figures[name+"cpu_s"], r.Figures[name+"mb"] = cost.CPU.Seconds(), float64(cost.MostMemory)/(1<<20)
+		r.Figures[name+"cpu_s"], r.Figures[name+"mb"] = cost.CPU.Seconds(), float64(cost.PeakMemory)/(1<<20)
 	}
 	for _, p := range st.nodes { // processes that run now
-		if cost, err := p.Cost(); err == nil {
+		if cost, err := p.Usage(); err == nil {
 			r.Figures["nodes_cpu_s"] += cost.CPU.Seconds()
-			r.Figures["node_most_mb"] = max(r.Figures["node_most_mb"], float64(cost.MostMemory)/(1<<20))
+			r.Figures["node_most_mb"] = max(r.Figures["node_most_mb"], float64(cost.PeakMemory)/(1<<20))
 		}
 	}
-	if st.script.Node.Record > 0 {
-		st.holdAudit(r)
+	if st.script.Node.AuditLogKB > 0 {
+		st.reportAudit(r)
 	}
-	r.hold(&st.script)
+	r.checkExpectations(&st.script)
 	return r
 }
 
 // Roster is what the list servers know of the nodes' versions.
-func (st *Stage) Roster() rollout.Snapshot {
+func (st *Stage) RolloutStatus() rollout.Snapshot {
 	var views []rollout.Snapshot
-	for i := range st.lists {
-		addr := process.At(st.block.Own(relay.Party{Kind: relay.Server, N: i}), process.ListPort)
+	for i := range st.servers {
+		addr := process.HostPort(st.addrs.OwnAddr(relay.Party{Kind: relay.Server, Index: i}), process.ListPort)
 		var v rollout.Snapshot
-		if text, err := get("http://" + addr + "/registry/nodes"); err == nil && json.Unmarshal(text, &v) == nil {
+		if text, err := httpGet("http://" + addr + "/registry/nodes"); err == nil && json.Unmarshal(text, &v) == nil {
 			views = append(views, v)
 		}
 	}
 	return rollout.Merge(views)
 }
 
-const staleWait = 10 * time.Second // after the traffic, for every node to have the newest list
+const staleTimeout = 10 * time.Second // after the traffic, for every node to have the newest list
 
 // stale is how many nodes don't have the newest revision of the list some time after all is over.
-func (st *Stage) stale() (behind int) {
-	for end := time.Now().Add(staleWait); ; time.Sleep(50 * time.Millisecond) {
+func (st *Stage) countStaleNodes() (behind int) {
+	for end := time.Now().Add(staleTimeout); ; time.Sleep(50 * time.Millisecond) {
 		var newest int64
-		for i := range st.lists {
-			newest = max(newest, figureAt("http://"+st.ops(i)+"/ops/stats", "registry.revision:"))
+		for i := range st.servers {
+			newest = max(newest, fetchFigure("http://"+st.serverAdminAddr(i)+"/ops/stats", "registry.revision:"))
 		}
 		behind = 0
 		for i := range st.nodes {
-			if figureAt("http://"+st.Door(i)+"/ops/stats", "router.list_revision:") < newest {
+			if fetchFigure("http://"+st.AdminAddr(i)+"/ops/stats", "router.list_revision:") < newest {
 				behind++
 			}
 		}
@@ -118,12 +118,12 @@
 }
 
 // ops is the operators' door of a list server.
-func (st *Stage) ops(i int) string {
-	return process.At(st.block.Own(relay.Party{Kind: relay.Server, N: i}), process.OpsPort)
+func (st *Stage) serverAdminAddr(i int) string {
+	return process.HostPort(st.addrs.OwnAddr(relay.Party{Kind: relay.Server, Index: i}), process.ListAdminPort)
 }
 
 // get reads what a process says at one of its own addresses.
-func get(url string) ([]byte, error) {
+func httpGet(url string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -136,12 +136,12 @@
 		return nil, err
 	}
 	defer resp.Body.Close()
-	return io.ReadAll(io.LimitReader(resp.Body, maxPage))
+	return io.ReadAll(io.LimitReader(resp.Body, maxPageBytes))
 }
 
 // figureAt reads one figure of a door; -1 if it can't be had.
-func figureAt(url, name string) int64 {
-	text, err := get(url)
+func fetchFigure(url, name string) int64 {
+	text, err := httpGet(url)
 	_, after, found := strings.Cut(string(text), name)
 	if err != nil || !found {
 		return -1
@@ -155,26 +155,26 @@
 }
 
 // moment is something that is due.
-type moment struct {
-	at time.Duration
-	do func()
+type plannedEvent struct {
+	at  time.Duration
+	run func()
 }
 
 // Run plays the script: starts, traffic, faults; and waits until every message has its end, or is past it.
 func (st *Stage) Run() error {
-	var plan []moment
-	add := func(at time.Duration, do func()) { plan = append(plan, moment{at, do}) }
+	var plan []plannedEvent
+	add := func(at time.Duration, do func()) { plan = append(plan, plannedEvent{at, do}) }
 	st.planStarts(add)
-	st.planFaults(add)
-	slices.SortStableFunc(plan, func(a, b moment) int { return cmp.Compare(a.at, b.at) })
-	st.ledger.restart()
+	st.planFaultsAndActions(add)
+	slices.SortStableFunc(plan, func(a, b plannedEvent) int { return cmp.Compare(a.at, b.at) })
+	st.ledger.resetClock()
 	for i := range st.partners {
-		st.List(i, true)
+		st.SetListed(i, true)
 	}
-	until := st.script.For.Duration()
+	until := st.script.Length.Duration()
 	var clients sync.WaitGroup
 	for n := range st.nodes {
-		clients.Go(func() { st.traffic(n, until) })
+		clients.Go(func() { st.runClients(n, until) })
 	}
 	var notices sync.WaitGroup
 	polling, stop := context.WithCancel(st.ctx)
@@ -182,15 +182,15 @@
 	defer stop()
 	var doing sync.WaitGroup
 	for _, m := range plan {
-		if !st.sleepTo(m.at) {
+		if !st.sleepUntil(m.at) {
 			break
 		}
-		doing.Go(m.do) // one that waits must not delay the next
+		doing.Go(m.run) // one that waits must not delay the next
 	}
-	st.sleepTo(until)
+	st.sleepUntil(until)
 	clients.Wait()
-	last := until + st.script.Traffic.Life.Duration() + settleFor
-	for st.ledger.open() > 0 && st.ledger.now() < last && st.ctx.Err() == nil {
+	last := until + st.script.Traffic.TTL.Duration() + settleTime
+	for st.ledger.openMessages() > 0 && st.ledger.now() < last && st.ctx.Err() == nil {
 		time.Sleep(20 * time.Millisecond)
 	}
 	doing.Wait()
@@ -201,7 +201,7 @@
 }
 
 // sleepTo waits for a moment of the play, and tells whether the play still goes on.
-func (st *Stage) sleepTo(at time.Duration) bool {
+func (st *Stage) sleepUntil(at time.Duration) bool {
 	t := time.NewTimer(at - st.ledger.now())
 	defer t.Stop()
 	select {
@@ -213,54 +213,54 @@
 }
 
 func (st *Stage) planStarts(add func(time.Duration, func())) {
-	for i := range st.lists {
-		p, when := relay.Party{Kind: relay.Server, N: i}, time.Duration(0)
+	for i := range st.servers {
+		p, when := relay.Party{Kind: relay.Server, Index: i}, time.Duration(0)
 		if i < len(st.script.Start.Servers) {
 			when = st.script.Start.Servers[i].Duration()
 		}
 		add(when, func() {
 			if when > 0 {
-				st.ledger.excuse()
-				st.mark("start " + p.String())
+				st.ledger.allowLateNotices()
+				st.recordMark("start " + p.String())
 			}
-			st.failed(st.Start(p))
+			st.recordError(st.Start(p))
 		})
 	}
 	rng := rand.New(rand.NewPCG(st.script.Seed, 2))
 	for i := range st.nodes {
-		p, when := relay.Party{Kind: relay.Node, N: i}, st.script.Start.Nodes.Duration()
+		p, when := relay.Party{Kind: relay.Node, Index: i}, st.script.Start.Nodes.Duration()
 		if spread := st.script.Start.Spread.Duration(); spread > 0 {
 			when += time.Duration(rng.Int64N(int64(spread)))
 		}
-		add(when, func() { st.failed(st.Start(p)) })
+		add(when, func() { st.recordError(st.Start(p)) })
 	}
 }
 
 // planFaults draws who is meant, once for each time that something comes.
-func (st *Stage) planFaults(add func(time.Duration, func())) {
+func (st *Stage) planFaultsAndActions(add func(time.Duration, func())) {
 	rng := rand.New(rand.NewPCG(st.script.Seed, 3))
 	for _, f := range st.script.Faults {
 		for at := f.At.Duration(); ; at += f.Every.Duration() {
 			from, _ := st.script.Group(f.From, rng) // checked by Check
 			to, _ := st.script.Group(f.To, rng)
-			add(at, func() { st.impair(f, from, to) })
-			if f.Every <= 0 || at+f.Every.Duration() >= st.script.For.Duration() {
+			add(at, func() { st.runFault(f, from, to) })
+			if f.Every <= 0 || at+f.Every.Duration() >= st.script.Length.Duration() {
 				break
 			}
 		}
 	}
-	for _, a := range st.script.Acts {
+	for _, a := range st.script.Actions {
 		for at := a.At.Duration(); ; at += a.Every.Duration() {
-			who, _ := st.script.Group(a.Who, rng)
-			add(at, func() { st.mark(fmt.Sprintf("%s %s", a.Do, named(who))) })
+			who, _ := st.script.Group(a.Targets, rng)
+			add(at, func() { st.recordMark(fmt.Sprintf("%s %s", a.Type, describeGroup(who))) })
 			for _, p := range who {
 				when := at
 				if a.Spread > 0 {
 					when += time.Duration(rng.Int64N(int64(a.Spread.Duration())))
 				}
-				add(when, func() { st.act(a, p) })
+				add(when, func() { st.runAction(a, p) })
 			}
-			if a.Every <= 0 || at+a.Every.Duration() >= st.script.For.Duration() {
+			if a.Every <= 0 || at+a.Every.Duration() >= st.script.Length.Duration() {
 				break
 			}
 		}
@@ -268,7 +268,7 @@
 }
 
 // named tells a group in few words.
-func named(who []relay.Party) string {
+func describeGroup(who []relay.Party) string {
 	if len(who) > 3 {
 		return fmt.Sprintf("%s and %d more", who[0], len(who)-1)
 	}
@@ -280,74 +280,74 @@
 }
 
 // impair holds a fault for its time.
-func (st *Stage) impair(f FaultAt, from, to []relay.Party) {
-	lifts := []func(){st.Impair(from, to, f.fault())}
-	if f.Both {
-		lifts = append(lifts, st.Impair(to, from, f.fault()))
+func (st *Stage) runFault(f FaultSpec, from, to []relay.Party) {
+	lifts := []func(){st.AddFault(from, to, f.relayFault())}
+	if f.BothWays {
+		lifts = append(lifts, st.AddFault(to, from, f.relayFault()))
 	}
-	st.mark(fmt.Sprintf("fault from %s to %s", named(from), named(to)))
-	if f.For <= 0 {
+	st.recordMark(fmt.Sprintf("fault from %s to %s", describeGroup(from), describeGroup(to)))
+	if f.Length <= 0 {
 		return
 	}
-	st.sleepTo(st.ledger.now() + f.For.Duration())
+	st.sleepUntil(st.ledger.now() + f.Length.Duration())
 	for _, lift := range lifts {
 		lift()
 	}
-	st.mark(fmt.Sprintf("fault from %s to %s is over", named(from), named(to)))
+	st.recordMark(fmt.Sprintf("fault from %s to %s is over", describeGroup(from), describeGroup(to)))
 }
 
 // act does something to one party, and undoes it after its time.
-func (st *Stage) act(a Act, p relay.Party) {
+func (st *Stage) runAction(a ActionSpec, p relay.Party) {
 	var undo func() error
 	err := error(nil)
-	switch a.Do {
+	switch a.Type {
 	case "pause":
-		err = st.Pause(p, true)
-		undo = func() error { return st.Pause(p, false) }
+		err = st.SetPaused(p, true)
+		undo = func() error { return st.SetPaused(p, false) }
 	case "kill":
 		err = st.Kill(p)
 		undo = func() error { return st.Start(p) }
 	case "end":
-		err = st.End(p)
+		err = st.Stop(p)
 		undo = func() error { return st.Start(p) }
 	case "start":
 		err = st.Start(p)
 	case "empty", "damage":
-		if err = st.Kill(p); err == nil && a.Do == "empty" {
-			err = st.Empty(p)
+		if err = st.Kill(p); err == nil && a.Type == "empty" {
+			err = st.ClearState(p)
 		} else if err == nil {
-			err = st.Damage(p, a.File)
+			err = st.CorruptFile(p, a.File)
 		}
 		undo = func() error { return st.Start(p) }
 	case "fill":
-		err = st.Fill(p, true)
-		undo = func() error { return st.Fill(p, false) }
+		err = st.SetDiskFull(p, true)
+		undo = func() error { return st.SetDiskFull(p, false) }
 	case "shut":
-		st.Shut(p.N, true)
-		undo = func() error { st.Shut(p.N, false); return nil }
+		st.SetRefusing(p.Index, true)
+		undo = func() error { st.SetRefusing(p.Index, false); return nil }
 	case "withdraw", "return":
-		st.List(p.N, a.Do == "return")
+		st.SetListed(p.Index, a.Type == "return")
 	}
-	st.failed(err)
-	if undo == nil || a.For <= 0 {
+	st.recordError(err)
+	if undo == nil || a.Length <= 0 {
 		return
 	}
-	if st.sleepTo(st.ledger.now() + a.For.Duration()) {
-		st.failed(undo())
+	if st.sleepUntil(st.ledger.now() + a.Length.Duration()) {
+		st.recordError(undo())
 	}
 }
 
 // traffic is what the clients of one node hand in.
-func (st *Stage) traffic(n int, until time.Duration) {
+func (st *Stage) runClients(n int, until time.Duration) {
 	rng := rand.New(rand.NewPCG(st.script.Seed, uint64(n)+100))
-	clients := make(chan *client.Client, clientsANode)
-	for range clientsANode {
-		clients <- client.New(st.Addr(n), client.AnswerTimeout)
+	clients := make(chan *client.Client, clientsPerNode)
+	for range clientsPerNode {
+		clients <- client.New(st.ClientAddr(n), client.AnswerTimeout)
 	}
 	var hands sync.WaitGroup
 	defer func() {
 		hands.Wait()
-		for range clientsANode {
+		for range clientsPerNode {
 			(<-clients).Close()
 		}
 	}()
@@ -360,19 +360,19 @@
 			clients <- c
 			break
 		}
-		st.sleepTo(st.ledger.now() + pingPause/2 + time.Duration(rng.Int64N(int64(pingPause))))
+		st.sleepUntil(st.ledger.now() + pingInterval/2 + time.Duration(rng.Int64N(int64(pingInterval))))
 	}
-	st.ledger.pong(n)
+	st.ledger.nodeReady(n)
 	number := 0
 	one := func() {
 		m := &message{id: fmt.Sprintf("m%d-%d", n, number), node: n, dest: rng.IntN(len(st.script.Dests))}
-		if rng.Float64() < st.script.Traffic.Unsafe {
-			m.class = classOnce
+		if rng.Float64() < st.script.Traffic.AtMostOnceShare {
+			m.class = classAtMostOnce
 		}
 		number++
-		m.until = st.ledger.now() + st.script.Traffic.Life.Duration()
+		m.deadline = st.ledger.now() + st.script.Traffic.TTL.Duration()
 		seed := rng.Uint64()
-		hands.Go(func() { st.hand(m, clients, rand.New(rand.NewPCG(seed, 0))) })
+		hands.Go(func() { st.submit(m, clients, rand.New(rand.NewPCG(seed, 0))) })
 	}
 	for range st.script.Traffic.Burst {
 		one()
@@ -382,7 +382,7 @@
 	}
 	for at := st.ledger.now(); ; {
 		at += time.Duration(rng.ExpFloat64() / st.script.Traffic.Rate * float64(time.Second))
-		if at > until || !st.sleepTo(at) {
+		if at > until || !st.sleepUntil(at) {
 			return
 		}
 		one()
@@ -390,47 +390,47 @@
 }
 
 // hand hands one message in, and again while the node asks for that or says nothing, until its time is over.
-func (st *Stage) hand(m *message, clients chan *client.Client, rng *rand.Rand) {
-	m.next = true
+func (st *Stage) submit(m *message, clients chan *client.Client, rng *rand.Rand) {
+	m.newSubmission = true
 	for again := true; again; {
-		left := m.until - st.ledger.now()
+		left := m.deadline - st.ledger.now()
 		if left <= 0 || st.ctx.Err() != nil {
-			st.ledger.answered(m, model.SubmitUnanswered, true)
+			st.ledger.submissionAnswered(m, model.SubmitUnanswered, true)
 			return
 		}
 		var told client.Answer
 		var wait time.Duration
 		select {
 		case c := <-clients:
-			if m.next {
-				st.ledger.hand(m)
-				m.next = false
+			if m.newSubmission {
+				st.ledger.submitting(m)
+				m.newSubmission = false
 			}
 			told, wait, _ = c.Enqueue(client.Message{
-				ID: m.tryID, Class: classNames[m.class], Tenant: "t", Dest: m.dest, TTL: left, Body: []byte("body of " + m.id),
+				ID: m.submissionID, Class: classNames[m.class], Tenant: "t", Dest: m.dest, TTL: left, Body: []byte("body of " + m.id),
 			})
 			clients <- c
 		case <-st.ctx.Done():
 			return
 		}
-		wait = max(wait, leastWait)
+		wait = max(wait, minRetryDelay)
 		wait += time.Duration(rng.Int64N(int64(wait)/4 + 1))
 		switch told {
 		case client.Accepted:
-			st.ledger.answered(m, model.SubmitAccepted, true)
+			st.ledger.submissionAnswered(m, model.SubmitAccepted, true)
 			return
 		case client.Failed:
-			st.ledger.answered(m, model.SubmitFailed, true)
+			st.ledger.submissionAnswered(m, model.SubmitFailed, true)
 			return
 		case client.Busy:
-			again = st.ledger.now()+wait < m.until
-			m.next = true
-			st.ledger.answered(m, model.SubmitRejected, !again)
+			again = st.ledger.now()+wait < m.deadline
+			m.newSubmission = true
+			st.ledger.submissionAnswered(m, model.SubmitRejected, !again)
 		case client.NoAnswer:
-			again = m.class == classSafe // the other kind may have been taken on
-			st.ledger.answered(m, model.SubmitUnanswered, !again)
+			again = m.class == classIdempotent // the other kind may have been taken on
+			st.ledger.submissionAnswered(m, model.SubmitUnanswered, !again)
 		}
-		if again && !st.sleepTo(st.ledger.now()+wait) {
+		if again && !st.sleepUntil(st.ledger.now()+wait) {
 			return
 		}
 	}
@@ -442,7 +442,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(noticePause):
+		case <-time.After(noticePollInterval):
 			st.readNotices()
 		}
 	}
@@ -450,21 +450,21 @@
 
 // readNotices reads all servers once. One that is out or paused is read later.
 func (st *Stage) readNotices() {
-	for i := range st.lists {
-		if !st.lists[i].Runs() {
+	for i := range st.servers {
+		if !st.servers[i].Running() {
 			continue
 		}
-		for st.readPage(i) {
+		for st.readNoticePage(i) {
 		}
 	}
 }
 
 // readPage reads one page, and tells whether there may be more.
-func (st *Stage) readPage(i int) bool {
+func (st *Stage) readNoticePage(i int) bool {
 	ctx, cancel := context.WithTimeout(st.ctx, time.Second)
 	defer cancel()
-	addr := process.At(st.block.Own(relay.Party{Kind: relay.Server, N: i}), process.ListPort)
-	url := "http://" + addr + "/reports?after=" + strconv.FormatInt(st.seqs[i], 10)
+	addr := process.HostPort(st.addrs.OwnAddr(relay.Party{Kind: relay.Server, Index: i}), process.ListPort)
+	url := "http://" + addr + "/reports?after=" + strconv.FormatInt(st.noticeSeqs[i], 10)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return false
@@ -475,7 +475,7 @@
 		return false
 	}
 	defer resp.Body.Close()
-	lines, some := bufio.NewScanner(io.LimitReader(resp.Body, maxPage)), false
+	lines, some := bufio.NewScanner(io.LimitReader(resp.Body, maxPageBytes)), false
 	for lines.Scan() {
 		var n struct {
 			Seq   int64  `json:"seq"`
@@ -487,7 +487,7 @@
 			return false
 		}
 		some = true
-		st.seqs[i] = n.Seq
+		st.noticeSeqs[i] = n.Seq
 		st.ledger.notice(n.ID, n.State, time.UnixMilli(n.AtMS))
 	}
 	return some
--- a/internal/lab/stage/report.go
+++ b/internal/lab/stage/report.go
@@ -31,40 +31,40 @@
 
 // Report is what came of a play.
 type Report struct {
-	Name    string             `json:"name"`
-	Seed    uint64             `json:"seed"`
-	Nodes   int                `json:"nodes"`
-	Figures map[string]float64 `json:"figures"` // by name; times are in seconds
-	Broken  []string           `json:"broken"`  // rules, 40 at most
-	Missed  []string           `json:"missed"`  // what the script expects and did not see
-	Late    []LateCalls        `json:"late"`
-	Stories []string           `json:"stories"` // of messages that ended badly, 10 at most
-	Marks   []Mark             `json:"marks"`
-	Bins    []Bin              `json:"bins"` // of 100 ms each
-	Result  *judge.Result      `json:"result"`
+	Name      string             `json:"name"`
+	Seed      uint64             `json:"seed"`
+	Nodes     int                `json:"nodes"`
+	Figures   map[string]float64 `json:"figures"` // by name; times are in seconds
+	Broken    []string           `json:"broken"`  // rules, 40 at most
+	Missed    []string           `json:"missed"`  // what the script expects and did not see
+	LateCalls []LateCalls        `json:"late"`
+	Traces    []string           `json:"stories"` // of messages that ended badly, 10 at most
+	Marks     []Mark             `json:"marks"`
+	Bins      []Bin              `json:"bins"` // of 100 ms each
+	Result    *judge.Result      `json:"result"`
 	// Audit is what the nodes' own records of acts say, where they keep them, and AuditText where the ledger differs.
-	Audit     *auditlog.Report `json:"audit,omitempty"`
-	AuditText []string         `json:"audit_text,omitempty"`
+	Audit            *auditlog.Report `json:"audit,omitempty"`
+	AuditDifferences []string         `json:"audit_text,omitempty"`
 }
 
 // LateCalls are the calls of a node at an endpoint after that was withdrawn and the grace was over.
 type LateCalls struct {
-	Endpoint string `json:"endpoint"`
-	Node     int    `json:"node"`
-	Life     uint32 `json:"life,omitempty"`     // of the node's process, and
-	Revision int64  `json:"revision,omitempty"` // the list that the calls rest on, where calls are marked
-	Count    int    `json:"count"`
+	Endpoint    string `json:"endpoint"`
+	Node        int    `json:"node"`
+	Incarnation uint32 `json:"life,omitempty"`     // of the node's process, and
+	Revision    int64  `json:"revision,omitempty"` // the list that the calls rest on, where calls are marked
+	Count       int    `json:"count"`
 }
 
 // tell adds a message's story.
-func (r *Report) tell(m *message) {
-	if len(r.Stories) < 10 {
-		r.Stories = append(r.Stories, m.id+": "+strings.Join(m.story, "; "))
+func (r *Report) addTrace(m *message) {
+	if len(r.Traces) < 10 {
+		r.Traces = append(r.Traces, m.id+": "+strings.Join(m.trace, "; "))
 	}
 }
 
 // busiest is the most of a count in so many bins in a row.
-func busiest(bins []Bin, wide int, of func(Bin) int) float64 {
+func maxWindowSum(bins []Bin, wide int, of func(Bin) int) float64 {
 	most, sum := 0, 0
 	for i, b := range bins {
 		if sum += of(b); i >= wide {
@@ -76,33 +76,33 @@
 }
 
 // times are quantiles of spans in seconds: the median, 99 of 100, and the last, with how many there were not.
-type times struct {
-	h     *hdrhistogram.Histogram
-	never int
-	most  time.Duration
+type durationStats struct {
+	histogram *hdrhistogram.Histogram
+	never     int
+	max       time.Duration
 }
 
-func newTimes() *times {
-	return &times{h: hdrhistogram.New(1, (2 * MaxFor).Microseconds(), 3)}
+func newDurationStats() *durationStats {
+	return &durationStats{histogram: hdrhistogram.New(1, (2 * MaxLength).Microseconds(), 3)}
 }
 
-func (t *times) add(d time.Duration) {
+func (t *durationStats) add(d time.Duration) {
 	if d < 0 {
 		t.never++
 		return
 	}
-	t.most = max(t.most, d)
-	t.h.RecordValue(max(d.Microseconds(), 1)) // bounded by the play's length
+	t.max = max(t.max, d)
+	t.histogram.RecordValue(max(d.Microseconds(), 1)) // bounded by the play's length
 }
 
-func (t *times) put(into map[string]float64, name string) {
+func (t *durationStats) writeFigures(into map[string]float64, name string) {
 	into[name+"_never"] = float64(t.never)
-	if t.h.TotalCount() == 0 {
+	if t.histogram.TotalCount() == 0 {
 		return
 	}
-	into[name+"_median"] = float64(t.h.ValueAtQuantile(50)) / 1e6
-	into[name+"_p99"] = float64(t.h.ValueAtQuantile(99)) / 1e6
-	into[name+"_last"] = t.most.Seconds()
+	into[name+"_median"] = float64(t.histogram.ValueAtQuantile(50)) / 1e6
+	into[name+"_p99"] = float64(t.histogram.ValueAtQuantile(99)) / 1e6
+	into[name+"_last"] = t.max.Seconds()
 }
 
 // report closes the ledger.
@@ -111,88 +111,88 @@
 	defer l.mu.Unlock()
 	r := &Report{Name: l.script.Name, Seed: l.script.Seed, Nodes: l.script.Nodes, Figures: map[string]float64{}, Marks: marks, Bins: l.bins}
 	f := r.Figures
-	ends, delays, first99 := map[string]int{}, newTimes(), []time.Duration{}
+	ends, delays, first99 := map[string]int{}, newDurationStats(), []time.Duration{}
 	repeats, tries := 0, 0
-	for _, m := range l.firsts {
-		end := m.end
-		if !m.over {
+	for _, m := range l.messages {
+		end := m.outcome
+		if !m.ended {
 			end = "lost"
 		}
 		if ends[end]++; end == "lost" {
-			r.tell(m)
+			r.addTrace(m)
 		}
-		tries += m.tries
-		repeats += max(m.ran-1, 0)
-		if m.ran > 0 {
-			delays.add(m.firstRan - m.at)
-			first99 = append(first99, m.firstRan)
+		tries += m.submissions
+		repeats += max(m.executions-1, 0)
+		if m.executions > 0 {
+			delays.add(m.firstExecutedAt - m.submittedAt)
+			first99 = append(first99, m.firstExecutedAt)
 		}
 	}
 	for _, end := range []string{"delivered", "returned", "refused", "failed", "failed late", "unheard", "lost"} {
-		f[slug(end)] = float64(ends[end])
+		f[figureName(end)] = float64(ends[end])
 	}
-	f["handed_in"], f["hand_ins"], f["repeated"] = float64(len(l.firsts)), float64(tries), float64(repeats)
-	delays.put(f, "delivery")
+	f["handed_in"], f["hand_ins"], f["repeated"] = float64(len(l.messages)), float64(tries), float64(repeats)
+	delays.writeFigures(f, "delivery")
 	if slices.Sort(first99); len(first99) > 0 {
 		f["first_delivery"] = first99[0].Seconds()
 		f["deliveries_99"] = first99[(len(first99)*99)/100].Seconds()
 	}
-	ready, listed, called := newTimes(), newTimes(), newTimes()
+	ready, listed, called := newDurationStats(), newDurationStats(), newDurationStats()
 	for _, n := range l.nodes {
 		ready.add(n.ready)
 		listed.add(n.listed)
 		called.add(n.called)
 	}
-	ready.put(f, "ready")
-	listed.put(f, "list")
-	called.put(f, "call")
+	ready.writeFigures(f, "ready")
+	listed.writeFigures(f, "list")
+	called.writeFigures(f, "call")
 	var sum Bin
 	for _, b := range l.bins {
-		sum.Asks, sum.Served, sum.Told, sum.ListBytes = sum.Asks+b.Asks, sum.Served+b.Served, sum.Told+b.Told, sum.ListBytes+b.ListBytes
-		sum.Conns, sum.HungUp, sum.Calls, sum.Refused, sum.Ran = sum.Conns+b.Conns, sum.HungUp+b.HungUp, sum.Calls+b.Calls, sum.Refused+b.Refused, sum.Ran+b.Ran
-		sum.Datagrams, sum.Lost, sum.Busy = sum.Datagrams+b.Datagrams, sum.Lost+b.Lost, sum.Busy+b.Busy
+		sum.ListRequests, sum.ListsServed, sum.ListRequestsDeferred, sum.ListBytes = sum.ListRequests+b.ListRequests, sum.ListsServed+b.ListsServed, sum.ListRequestsDeferred+b.ListRequestsDeferred, sum.ListBytes+b.ListBytes
+		sum.Conns, sum.ConnsRejected, sum.Calls, sum.CallsRefused, sum.CallsExecuted = sum.Conns+b.Conns, sum.ConnsRejected+b.ConnsRejected, sum.Calls+b.Calls, sum.CallsRefused+b.CallsRefused, sum.CallsExecuted+b.CallsExecuted
+		sum.Datagrams, sum.DatagramsLost, sum.Busy = sum.Datagrams+b.Datagrams, sum.DatagramsLost+b.DatagramsLost, sum.Busy+b.Busy
 	}
 	for name, of := range series {
 		f[name] = float64(of(sum))
-		f[name+"_in_1s"] = busiest(l.bins, 10, of)
-		f[name+"_in_100ms"] = busiest(l.bins, 1, of)
+		f[name+"_in_1s"] = maxWindowSum(l.bins, 10, of)
+		f[name+"_in_100ms"] = maxWindowSum(l.bins, 1, of)
 	}
-	f["refused_share"] = ratio(float64(sum.Refused), float64(sum.Calls))
+	f["refused_share"] = ratio(float64(sum.CallsRefused), float64(sum.Calls))
 	fell := 0
 	for _, e := range l.endpoints {
-		fell += e.fell
-		f["open_early"], f["open_most"] = max(f["open_early"], float64(e.mostEarly)), max(f["open_most"], float64(e.mostOpen))
-		f["open_last"] = max(f["open_last"], float64(e.mostLast))
-		f["cold_load"] = max(f["cold_load"], e.load)
+		fell += e.overloads
+		f["open_early"], f["open_most"] = max(f["open_early"], float64(e.maxOpenAtStart)), max(f["open_most"], float64(e.maxOpenConns))
+		f["open_last"] = max(f["open_last"], float64(e.maxOpenLastThird))
+		f["cold_load"] = max(f["cold_load"], e.maxLoad)
 		f["late_calls"] += float64(e.lateCalls)
-		f["last_late_call"] = max(f["last_late_call"], e.lastLate.Seconds())
-		for by, n := range e.lateBy {
-			r.Late = append(r.Late, LateCalls{e.id, by.node, by.life, by.revision, n})
+		f["last_late_call"] = max(f["last_late_call"], e.lastLateCall.Seconds())
+		for by, n := range e.lateCallsByBasis {
+			r.LateCalls = append(r.LateCalls, LateCalls{e.id, by.node, by.incarnation, by.revision, n})
 		}
 	}
-	sortLate(r.Late)
-	f["fell"], f["strange"], f["crashes"] = float64(fell), float64(l.strange), float64(l.crashes)
-	f["unmarked"] = float64(l.unmarked)
+	sortLateCalls(r.LateCalls)
+	f["fell"], f["strange"], f["crashes"] = float64(fell), float64(l.unexpectedEvents), float64(l.crashes)
+	f["unmarked"] = float64(l.unmarkedCalls)
 	r.Result = l.judge.Result()
-	r.Broken = slices.Clone(l.broken)
+	r.Broken = slices.Clone(l.violations)
 	for _, v := range r.Result.Violations {
 		r.Broken = append(r.Broken, fmt.Sprintf("%9.3f s  %s: node %d, %s: %s", v.At.Seconds(), v.Rule, v.Node, v.Msg, v.Text))
-		if m := l.byID[v.Msg]; m != nil && m.end != "" {
-			r.tell(m)
+		if m := l.bySubmissionID[v.Msg]; m != nil && m.outcome != "" {
+			r.addTrace(m)
 		}
 	}
-	f["broken"] = float64(l.brokenN + r.Result.ViolationCount)
+	f["broken"] = float64(l.violationCount + r.Result.ViolationCount)
 	return r
 }
 
 var series = map[string]func(Bin) int{
-	"asks": func(b Bin) int { return b.Asks }, "lists": func(b Bin) int { return b.Served }, "told": func(b Bin) int { return b.Told },
-	"conns": func(b Bin) int { return b.Conns }, "hung_up": func(b Bin) int { return b.HungUp }, "calls": func(b Bin) int { return b.Calls },
-	"calls_refused": func(b Bin) int { return b.Refused }, "ran": func(b Bin) int { return b.Ran }, "busy": func(b Bin) int { return b.Busy },
-	"list_bytes": func(b Bin) int { return b.ListBytes }, "datagrams": func(b Bin) int { return b.Datagrams }, "datagrams_lost": func(b Bin) int { return b.Lost },
+	"asks": func(b Bin) int { return b.ListRequests }, "lists": func(b Bin) int { return b.ListsServed }, "told": func(b Bin) int { return b.ListRequestsDeferred },
+	"conns": func(b Bin) int { return b.Conns }, "hung_up": func(b Bin) int { return b.ConnsRejected }, "calls": func(b Bin) int { return b.Calls },
+	"calls_refused": func(b Bin) int { return b.CallsRefused }, "ran": func(b Bin) int { return b.CallsExecuted }, "busy": func(b Bin) int { return b.Busy },
+	"list_bytes": func(b Bin) int { return b.ListBytes }, "datagrams": func(b Bin) int { return b.Datagrams }, "datagrams_lost": func(b Bin) int { return b.DatagramsLost },
 }
 
-func slug(end string) string {
+func figureName(end string) string {
 	if end == "failed late" {
 		return "failed_late"
 	}
@@ -207,7 +207,7 @@
 }
 
 // hold notes what the script expects and the figures don't show.
-func (r *Report) hold(s *Script) {
+func (r *Report) checkExpectations(s *Script) {
 	check := func(bounds map[string]float64, most bool) {
 		for _, name := range slices.Sorted(maps.Keys(bounds)) {
 			v, known := r.Figures[name]
@@ -215,9 +215,9 @@
 			case !known:
 				r.Missed = append(r.Missed, fmt.Sprintf("%s is expected, and there is no such figure", name))
 			case most && v > bounds[name]:
-				r.Missed = append(r.Missed, fmt.Sprintf("%s is %v, at most %v is expected", name, round(v), bounds[name]))
+				r.Missed = append(r.Missed, fmt.Sprintf("%s is %v, at most %v is expected", name, roundToThousandths(v), bounds[name]))
 			case !most && v < bounds[name]:
-				r.Missed = append(r.Missed, fmt.Sprintf("%s is %v, at least %v is expected", name, round(v), bounds[name]))
+				r.Missed = append(r.Missed, fmt.Sprintf("%s is %v, at least %v is expected", name, roundToThousandths(v), bounds[name]))
 			}
 		}
 	}
@@ -225,7 +225,7 @@
 	check(s.ExpectLeast, false)
 }
 
-func round(v float64) float64 { return math.Round(v*1000) / 1000 }
+func roundToThousandths(v float64) float64 { return math.Round(v*1000) / 1000 }
 
 // Failed tells whether a rule is broken or an expectation missed.
 func (r *Report) Failed() bool { return r.Figures["broken"] > 0 || len(r.Missed) > 0 }
@@ -240,7 +240,7 @@
 	for i := range rows {
 		for k := range columns {
 			if at := k*rows + i; at < len(names) {
-				fmt.Fprintf(t, "%s\t%v\t", names[at], round(r.Figures[names[at]]))
+				fmt.Fprintf(t, "%s\t%v\t", names[at], roundToThousandths(r.Figures[names[at]]))
 			}
 		}
 		fmt.Fprintln(t)
@@ -248,13 +248,13 @@
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	for _, x := range r.Late {
+	for _, x := range r.LateCalls {
 		fmt.Fprintf(w, "late: node %d made %d calls at %s after it was withdrawn\n", x.Node, x.Count, x.Endpoint)
 	}
-	for _, x := range r.Stories {
+	for _, x := range r.Traces {
 		fmt.Fprintf(w, "story: %s\n", x)
 	}
-	for _, x := range r.AuditText {
+	for _, x := range r.AuditDifferences {
 		fmt.Fprintf(w, "audit: %s\n", x)
 	}
 	for _, x := range r.Broken {
@@ -266,7 +266,7 @@
 	return nil
 }
 
-var page = template.Must(template.New("stage").Parse(`<!doctype html>
+var pageTemplate = template.Must(template.New("stage").Parse(`<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Report.Name}}</title><style>
 body{font:15px/1.45 system-ui,sans-serif;margin:2em auto;max-width:1100px;padding:0 1em;color:#222}
 table{border-collapse:collapse;margin:1em 0;columns:3}td{padding:.15em .8em;text-align:right;border-bottom:1px solid #ddd}
@@ -298,16 +298,16 @@
 		{"Messages: run, answered with -BUSY, in 100 ms", []string{"ran", "busy"}},
 		{"Datagrams between nodes, and those lost, in 100 ms", []string{"datagrams", "datagrams_lost"}},
 	} {
-		svg, err := r.overTime(one.lines)
+		svg, err := r.plotSeries(one.lines)
 		if err != nil {
 			return fmt.Errorf("stage: %w", err)
 		}
 		data.Figures = append(data.Figures, figure{one.title, svg})
 	}
-	return page.Execute(w, data)
+	return pageTemplate.Execute(w, data)
 }
 
-func (r *Report) overTime(names []string) (template.HTML, error) {
+func (r *Report) plotSeries(names []string) (template.HTML, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Min = "seconds", 0
 	p.Legend.Top = true
@@ -315,7 +315,7 @@
 	for i, name := range names {
 		points := make(plotter.XYs, len(r.Bins))
 		for k, b := range r.Bins {
-			points[k] = plotter.XY{X: float64(k) * binSize.Seconds(), Y: float64(series[name](b))}
+			points[k] = plotter.XY{X: float64(k) * binWidth.Seconds(), Y: float64(series[name](b))}
 			top = max(top, points[k].Y)
 		}
 		line, err := plotter.NewLine(points)
--- a/internal/lab/stage/settings.go
+++ b/internal/lab/stage/settings.go
@@ -14,8 +14,8 @@
 
 // The classes of messages on a stage.
 const (
-	classSafe = iota
-	classOnce
+	classIdempotent = iota
+	classAtMostOnce
 )
 
 var classNames = []string{"notice", "once"}
@@ -24,19 +24,19 @@
 
 // settings are the facts of the deployment, in the platform's words.
 func (s *Script) settings(number int) map[string]any {
-	life := float64(s.Traffic.Life)
+	life := float64(s.Traffic.TTL)
 	class := func(name, effect string) map[string]any {
 		return map[string]any{"name": name, "aim": life / 4, "deadline": life, "worth": 1, "lateWorth": 0.3, "effect": effect}
 	}
 	return map[string]any{
 		"fleetSize": s.Nodes, "myNumber": number, "flavors": []string{"partner"}, "failureDomains": []string{"a"},
-		"categories": []any{class(classNames[classSafe], "idempotent"), class(classNames[classOnce], "at_most_once")},
+		"categories": []any{class(classNames[classIdempotent], "idempotent"), class(classNames[classAtMostOnce], "at_most_once")},
 		"customers":  []any{map[string]any{"name": "t", "allowancePerS": 1e6}},
 		"discovery":  "pushed", "weights": s.Node.Weights, "overShareWorth": 0.2, "tick": 5,
 		"domain": map[string]any{"decay": "line", "workers": s.Node.Slots, "separateRoutes": []bool{true}, "kindBatch": []int{1}},
 		"limits": map[string]any{
 			"dialTimeout": 1000, "connIdle": connIdle.Milliseconds(), "maxAttempts": 12, "maxOpen": 2000, "maxRetryAfter": 3000,
-			"retryAfter": true, "cancel": true, "mayTell": s.Node.Notes,
+			"retryAfter": true, "cancel": true, "mayTell": s.Node.PeerDatagrams,
 		},
 		"contract": map[string]any{
 			"graceToAnswer": 20, "coldFrom": 0.2, "warmWithin": 10_000, "stopSendingWithin": 1000, "fallMultiple": 2.5, "fall": 3000,
@@ -46,29 +46,29 @@
 
 // nodeConfig is a node's configuration in the platform's form: it knows the others by their faces only.
 func (st *Stage) nodeConfig(n int) ([]byte, error) {
-	self := relay.Party{Kind: relay.Node, N: n}
+	self := relay.Party{Kind: relay.Node, Index: n}
 	var peers, servers []string
 	for i := range st.script.Nodes {
-		peers = append(peers, process.At(st.block.Face(relay.Party{Kind: relay.Node, N: i}), process.NotePort))
+		peers = append(peers, process.HostPort(st.addrs.FaceAddr(relay.Party{Kind: relay.Node, Index: i}), process.PeerPort))
 	}
 	for i := range st.script.Servers {
-		servers = append(servers, process.At(st.block.Face(relay.Party{Kind: relay.Server, N: i}), process.ListPort))
+		servers = append(servers, process.HostPort(st.addrs.FaceAddr(relay.Party{Kind: relay.Server, Index: i}), process.ListPort))
 	}
 	c := map[string]any{
-		"name": self.String(), "listen": process.At(st.block.Own(self), process.ClientPort), "source": st.block.Own(self).String(),
+		"name": self.String(), "listen": process.HostPort(st.addrs.OwnAddr(self), process.ClientPort), "source": st.addrs.OwnAddr(self).String(),
 		"discovery": servers[0], "seed": fmt.Sprintf("%x", st.script.Seed<<16+uint64(n)+1),
 		"limits":   map[string]any{"cores": 1, "memory_mb": 128, "sockets": 1024, "disk_mb": 3},
-		"registry": map[string]any{"addresses": servers, "keep": st.script.Node.Keep, "beat_ms": float64(st.script.Node.Beat)},
+		"registry": map[string]any{"addresses": servers, "keep": st.script.Node.CacheList, "beat_ms": float64(st.script.Node.ListHeartbeat)},
 		"settings": st.script.settings(n),
 	}
-	if st.script.Node.Notes {
-		c["peer_listen"], c["peers"] = process.At(st.block.Own(self), process.NotePort), peers
+	if st.script.Node.PeerDatagrams {
+		c["peer_listen"], c["peers"] = process.HostPort(st.addrs.OwnAddr(self), process.PeerPort), peers
 	}
-	if st.script.Node.Door {
-		c["console"] = process.At(st.block.Own(self), process.DoorPort)
+	if st.script.Node.Admin {
+		c["console"] = process.HostPort(st.addrs.OwnAddr(self), process.NodeAdminPort)
 	}
 	if st.script.Node.Audit {
-		c["audit"] = map[string]any{"mark": true, "shut_out": st.script.Node.ShutOut, "record_mb": float64(st.script.Node.Record) / 1024}
+		c["audit"] = map[string]any{"mark": true, "shut_out": st.script.Node.Fencing, "record_mb": float64(st.script.Node.AuditLogKB) / 1024}
 	}
 	if st.script.Node.Membership {
 		c["membership"] = map[string]any{}
@@ -77,12 +77,12 @@
 }
 
 // day is the script as the judge knows days.
-func (s *Script) day() (model.Day, error) {
+func (s *Script) judgeDay() (model.Day, error) {
 	raw, err := json.Marshal(s.settings(0))
 	if err != nil {
 		return model.Day{}, err
 	}
-	d := model.Day{Name: s.Name, Seed: s.Seed, Length: s.For.Duration(), Nodes: make([]model.NodeSpec, s.Nodes), Zones: 1}
+	d := model.Day{Name: s.Name, Seed: s.Seed, Length: s.Length.Duration(), Nodes: make([]model.NodeSpec, s.Nodes), Zones: 1}
 	if d.Settings, err = wire.Settings(raw); err != nil {
 		return d, err
 	}
@@ -102,10 +102,10 @@
 
 // serverArgs is the command line of a list server, which reaches the others by their faces.
 func (st *Stage) serverArgs(n int) []string {
-	self := relay.Party{Kind: relay.Server, N: n}
+	self := relay.Party{Kind: relay.Server, Index: n}
 	args := []string{
-		"registry", "--listen", process.At(st.block.Own(self), process.ListPort), "--console", process.At(st.block.Own(self), process.OpsPort),
-		"--state", filepath.Join(st.dir, self.String()), "--source", st.block.Own(self).String(), "--number", fmt.Sprint(n),
+		"registry", "--listen", process.HostPort(st.addrs.OwnAddr(self), process.ListPort), "--console", process.HostPort(st.addrs.OwnAddr(self), process.ListAdminPort),
+		"--state", filepath.Join(st.dir, self.String()), "--source", st.addrs.OwnAddr(self).String(), "--number", fmt.Sprint(n),
 	}
 	if n == 0 {
 		args = append(args, "--bootstrap")
@@ -113,8 +113,8 @@
 	if st.script.Servers > 1 {
 		all := ""
 		for i := range st.script.Servers {
-			p := relay.Party{Kind: relay.Server, N: i}
-			addr := process.At(st.block.Face(p), process.ListPort)
+			p := relay.Party{Kind: relay.Server, Index: i}
+			addr := process.HostPort(st.addrs.FaceAddr(p), process.ListPort)
 			if i > 0 {
 				all += ","
 			}
@@ -122,5 +122,5 @@
 		}
 		args = append(args, "--servers", all)
 	}
-	return append(args, st.o.ServerArgs...)
+	return append(args, st.options.ServerArgs...)
 }
--- a/internal/lab/stage/stage_test.go
+++ b/internal/lab/stage/stage_test.go
@@ -32,7 +32,7 @@
 }
 
 // script reads a script from text.
-func script(t *testing.T, text string) Script {
+func loadScript(t *testing.T, text string) Script {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "script.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -47,10 +47,10 @@
 
 // playing opens a stage. done plays it to its end and fails the test for whatever the script does not expect; run may
 // begin that before.
-func playing(t *testing.T, s Script) (st *Stage, run func(), done func() *Report) {
+func openStage(t *testing.T, s Script) (st *Stage, run func(), done func() *Report) {
 	t.Helper()
 	t.Setenv(childEnv, "1")
-	st, err := Open(t.Context(), s, Options{Program: os.Args[0], Out: t.Output()})
+	st, err := Open(t.Context(), s, Options{Program: os.Args[0], Output: t.Output()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,17 +72,17 @@
 		r := st.Report()
 		if r.Failed() {
 			r.Print(t.Output())
-			t.Errorf("%v, %v, %v", r.Missed, r.Broken, r.AuditText)
+			t.Errorf("%v, %v, %v", r.Missed, r.Broken, r.AuditDifferences)
 		}
 		return r
 	}
 }
 
 // play plays a script and fails the test for whatever the script does not expect.
-func play(t *testing.T, text string) *Report {
+func playScript(t *testing.T, text string) *Report {
 	t.Helper()
 	t.Setenv(childEnv, "1")
-	r, err := Play(t.Context(), script(t, text), Options{Program: os.Args[0], Out: t.Output()})
+	r, err := Play(t.Context(), loadScript(t, text), Options{Program: os.Args[0], Output: t.Output()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,7 +92,7 @@
 	return r
 }
 
-const small = `
+const smallFleet = `
 [node]
 notes = true
 keep = true
@@ -110,8 +110,8 @@
 `
 
 // The list service comes seconds after its fleet: nobody is failed for want of a list, and all have it soon after.
-func TestAFleetWaitsForItsList(t *testing.T) {
-	play(t, `
+func TestFleetWaitsForLateListServer(t *testing.T) {
+	playScript(t, `
 name = "late"
 seed = 3
 nodes = 12
@@ -130,13 +130,13 @@
 list_last = 4.0
 [expect_least]
 delivered = 48
-`+small)
+`+smallFleet)
 }
 
 // Power is lost in the middle of a start, a node is paused, another's way to the list is cut: every message taken on has
 // one end, and none runs twice beyond its class.
-func TestAStartThatIsBrokenKeepsTheRules(t *testing.T) {
-	play(t, `
+func TestDisruptedStartKeepsDeliveryRules(t *testing.T) {
+	playScript(t, `
 name = "broken"
 seed = 5
 nodes = 12
@@ -182,12 +182,12 @@
 list_never = 0
 [expect_least]
 delivered = 60
-`+small)
+`+smallFleet)
 }
 
 // An endpoint that is withdrawn gets no calls after the grace from nodes whose ways are whole.
-func TestWithdrawnEndpointsAreLeftAlone(t *testing.T) {
-	r := play(t, `
+func TestWithdrawnEndpointsGetNoCalls(t *testing.T) {
+	r := playScript(t, `
 name = "withdrawn"
 seed = 1
 nodes = 6
@@ -206,7 +206,7 @@
 lost = 0
 [expect_least]
 delivered = 200
-`+small)
+`+smallFleet)
 	if len(r.Marks) == 0 || len(r.Bins) < 20 {
 		t.Errorf("%d marks and %d bins", len(r.Marks), len(r.Bins))
 	}
@@ -216,8 +216,8 @@
 }
 
 // A full disk is met as an error of the write, and not as the end of the process.
-func TestADiskThatFills(t *testing.T) {
-	play(t, `
+func TestFullDiskDoesNotEndProcesses(t *testing.T) {
+	playScript(t, `
 name = "full"
 seed = 1
 nodes = 3
@@ -237,13 +237,13 @@
 lost = 0
 [expect_least]
 delivered = 50
-`+small)
+`+smallFleet)
 }
 
 // The list service knows who acts on what: a node that is cut off from it is behind a change that the others have, and
 // current again when it is healed; each call says on which list it rests.
-func TestTheFleetsVersionsAreKnown(t *testing.T) {
-	s := script(t, `
+func TestRolloutStatusShowsNodeCutOffFromList(t *testing.T) {
+	s := loadScript(t, `
 name = "versions"
 seed = 1
 nodes = 6
@@ -269,14 +269,14 @@
 broken = 0
 [expect_least]
 delivered = 200
-`+small)
-	s.Node.Audit, s.Node.Beat = true, 250
-	st, run, done := playing(t, s)
+`+smallFleet)
+	s.Node.Audit, s.Node.ListHeartbeat = true, 250
+	st, run, done := openStage(t, s)
 	run()
 	eventually := func(what string, holds func(current, behind int, rows []rollout.NodeStatus) bool) {
 		t.Helper()
 		for end := time.Now().Add(20 * time.Second); ; time.Sleep(50 * time.Millisecond) {
-			v := st.Roster()
+			v := st.RolloutStatus()
 			behind := slices.DeleteFunc(slices.Clone(v.Nodes), func(r rollout.NodeStatus) bool { return r.BehindMS == 0 })
 			if holds(len(v.Nodes)-len(behind), len(behind), behind) {
 				return
@@ -295,8 +295,8 @@
 }
 
 // A node that was paused notices, looks before it acts, and goes on.
-func TestAPausedNodeLooksBeforeItActs(t *testing.T) {
-	s := script(t, `
+func TestPausedNodeDetectsGap(t *testing.T) {
+	s := loadScript(t, `
 name = "paused"
 seed = 1
 nodes = 3
@@ -315,20 +315,20 @@
 late_calls = 0
 [expect_least]
 delivered = 200
-`+small)
-	s.Node.Audit, s.Node.Beat, s.Node.Door = true, 250, true
-	st, _, done := playing(t, s)
+`+smallFleet)
+	s.Node.Audit, s.Node.ListHeartbeat, s.Node.Admin = true, 250, true
+	st, _, done := openStage(t, s)
 	done()
-	if gaps := figureAt("http://"+st.Door(1)+"/ops/stats", "router.gaps:"); gaps < 1 {
+	if gaps := fetchFigure("http://"+st.AdminAddr(1)+"/ops/stats", "router.gaps:"); gaps < 1 {
 		t.Errorf("%d gaps", gaps)
 	}
 }
 
 // A stage that is opened holds its addresses; closed, it leaves no process behind, and a second one stands beside it.
-func TestTwoStagesStandBesideEachOther(t *testing.T) {
+func TestTwoStagesRunSideBySide(t *testing.T) {
 	t.Setenv(childEnv, "1")
-	s := script(t, "nodes = 2\nfor = \"1s\"\n"+small+"\n")
-	s.Node.Door = true
+	s := loadScript(t, "nodes = 2\nfor = \"1s\"\n"+smallFleet+"\n")
+	s.Node.Admin = true
 	var stages []*Stage
 	for range 2 {
 		st, err := Open(t.Context(), s, Options{Program: os.Args[0]})
@@ -339,16 +339,16 @@
 	}
 	var pids []int
 	for _, st := range stages {
-		p := relay.Party{Kind: relay.Node, N: 1}
+		p := relay.Party{Kind: relay.Node, Index: 1}
 		if err := st.Start(p); err != nil {
 			t.Fatal(err)
 		}
-		x := st.of(p)
+		x := st.process(p)
 		pids = append(pids, x.PID())
 		// Its list server is not there: the node says so, and takes no messages.
 		var why string
 		for end := time.Now().Add(20 * time.Second); why == "" && time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-			if resp, err := http.Get("http://" + st.Door(1) + "/ops/readiness"); err == nil {
+			if resp, err := http.Get("http://" + st.AdminAddr(1) + "/ops/readiness"); err == nil {
 				text, _ := io.ReadAll(resp.Body)
 				if resp.Body.Close(); resp.StatusCode == http.StatusServiceUnavailable && strings.Contains(string(text), "list") {
 					why = string(text)
@@ -372,21 +372,21 @@
 }
 
 // The same seed means the same parties.
-func TestChanceComesFromTheSeed(t *testing.T) {
-	s := Script{Nodes: 100, Servers: 1, Dests: []Dest{{Endpoints: 10}}}
+func TestGroupSelectionIsSeeded(t *testing.T) {
+	s := Script{Nodes: 100, Servers: 1, Dests: []DestSpec{{Endpoints: 10}}}
 	draw := func(seed uint64) string {
 		who, err := s.Group("nodes:30% partners:2-4,7", rand.New(rand.NewPCG(seed, 0)))
 		if err != nil || len(who) != 34 {
 			t.Fatalf("%d parties, %v", len(who), err)
 		}
-		return named(who) + who[29].String()
+		return describeGroup(who) + who[29].String()
 	}
 	if draw(1) != draw(1) || draw(1) == draw(2) {
 		t.Error("chance does not come from the seed")
 	}
 }
 
-func TestBadScriptsAreRefused(t *testing.T) {
+func TestInvalidScriptsAreRejected(t *testing.T) {
 	for text, says := range map[string]string{
 		"nodes = 0":                            "0 nodes",
 		"nodes = 301":                          "301 nodes",
@@ -418,14 +418,14 @@
 }
 
 func FuzzScript(f *testing.F) {
-	f.Add("nodes = 2\n" + small)
-	f.Add("nodes = 3\n[[act]]\nwho = \"nodes:1-2,0 partners:50%\"\ndo = \"pause\"\nevery = \"1ms\"\n" + small)
+	f.Add("nodes = 2\n" + smallFleet)
+	f.Add("nodes = 3\n[[act]]\nwho = \"nodes:1-2,0 partners:50%\"\ndo = \"pause\"\nevery = \"1ms\"\n" + smallFleet)
 	f.Fuzz(func(t *testing.T, text string) {
 		path := filepath.Join(t.TempDir(), "script.toml")
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if s, err := Load(path); err == nil && (s.Nodes < 1 || s.Nodes > MaxNodes || s.partners() > MaxEndpoints || s.For.Duration() > MaxFor) {
+		if s, err := Load(path); err == nil && (s.Nodes < 1 || s.Nodes > MaxNodes || s.partnerCount() > MaxEndpoints || s.Length.Duration() > MaxLength) {
 			t.Errorf("%+v is taken", s)
 		}
 	})
--- a/internal/lab/sysfault/injector.go
+++ b/internal/lab/sysfault/injector.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	pollMilliseconds = 100
-	longestPath      = 4096
+	pollTimeoutMS = 100
+	maxPathBytes  = 4096
 )
 
 // notification is the kernel's struct seccomp_notif.
@@ -44,12 +44,12 @@
 	listener, pidfd, pid int
 	decide               func(Call) Verdict
 	done                 chan struct{}
-	slowest              atomic.Int64 // nanoseconds
+	maxResponseNS        atomic.Int64 // nanoseconds
 	interrupted          atomic.Int64
 }
 
 // Slowest is the longest time that the Injector has taken to answer one call.
-func (in *Injector) Slowest() time.Duration { return time.Duration(in.slowest.Load()) }
+func (in *Injector) MaxResponseTime() time.Duration { return time.Duration(in.maxResponseNS.Load()) }
 
 // Done is closed when the process has ended.
 func (in *Injector) Done() <-chan struct{} { return in.done }
@@ -60,7 +60,7 @@
 	defer unix.Close(in.listener)
 	for {
 		ready := []unix.PollFd{{Fd: int32(in.listener), Events: unix.POLLIN}}
-		if _, err := unix.Poll(ready, pollMilliseconds); err != nil && !errors.Is(err, unix.EINTR) {
+		if _, err := unix.Poll(ready, pollTimeoutMS); err != nil && !errors.Is(err, unix.EINTR) {
 			return
 		}
 		if ready[0].Revents&unix.POLLIN == 0 {
@@ -70,21 +70,21 @@
 			continue
 		}
 		var n notification
-		if !in.control(unix.SECCOMP_IOCTL_NOTIF_RECV, unsafe.Pointer(&n)) {
+		if !in.ioctl(unix.SECCOMP_IOCTL_NOTIF_RECV, unsafe.Pointer(&n)) {
 			continue // the thread was killed meanwhile
 		}
 		began := time.Now()
-		r := in.answer(&n)
-		if took := int64(time.Since(began)); took > in.slowest.Load() {
-			in.slowest.Store(took)
+		r := in.respond(&n)
+		if took := int64(time.Since(began)); took > in.maxResponseNS.Load() {
+			in.maxResponseNS.Store(took)
 		}
-		in.control(unix.SECCOMP_IOCTL_NOTIF_SEND, unsafe.Pointer(&r)) // else the thread was killed meanwhile
+		in.ioctl(unix.SECCOMP_IOCTL_NOTIF_SEND, unsafe.Pointer(&r)) // else the thread was killed meanwhile
 	}
 }
 
 // control makes one request of the listener. A signal may interrupt it; an answer that was not sent would hold the thread
 // that waits for it for good.
-func (in *Injector) control(request uint, argument unsafe.Pointer) bool {
+func (in *Injector) ioctl(request uint, argument unsafe.Pointer) bool {
 	for {
 		_, _, errno := unix.Syscall(unix.SYS_IOCTL, uintptr(in.listener), uintptr(request), uintptr(argument))
 		if errno != unix.EINTR {
@@ -98,12 +98,12 @@
 func (in *Injector) Interrupted() int64 { return in.interrupted.Load() }
 
 // answer decides on a call and carries out what the kernel can't: a transfer of fewer bytes, and the end of the process.
-func (in *Injector) answer(n *notification) response {
+func (in *Injector) respond(n *notification) response {
 	r := response{id: n.id, flags: unix.SECCOMP_USER_NOTIF_FLAG_CONTINUE}
-	c := in.call(n)
+	c := in.decodeCall(n)
 	v := in.decide(c)
-	if v.Most > 0 && (v.Most < c.Size || v.Errno != 0) {
-		if moved, errno, ok := in.transfer(n, v.Most); ok {
+	if v.MaxBytes > 0 && (v.MaxBytes < c.Size || v.Errno != 0) {
+		if moved, errno, ok := in.transfer(n, v.MaxBytes); ok {
 			r.flags, r.value, r.errno = 0, int64(moved), -int32(errno)
 		}
 	}
@@ -117,14 +117,14 @@
 	return r
 }
 
-func (in *Injector) call(n *notification) Call {
+func (in *Injector) decodeCall(n *notification) Call {
 	c := Call{Number: int(n.data.number)}
 	args := n.data.args
 	switch c.Number {
 	case unix.SYS_OPENAT, unix.SYS_UNLINKAT:
-		c.Path = in.text(uintptr(args[1]))
+		c.Path = in.readPath(uintptr(args[1]))
 	case unix.SYS_RENAMEAT:
-		c.Path = in.text(uintptr(args[3]))
+		c.Path = in.readPath(uintptr(args[3]))
 	case unix.SYS_READ, unix.SYS_WRITE, unix.SYS_PREAD64, unix.SYS_PWRITE64:
 		c.Size = int(args[2])
 		fallthrough
@@ -141,13 +141,13 @@
 }
 
 // text reads a path from the process's memory.
-func (in *Injector) text(at uintptr) string {
-	b := make([]byte, longestPath)
-	n, err := unix.ProcessVMReadv(in.pid, vector(b), []unix.RemoteIovec{{Base: at, Len: len(b)}}, 0)
+func (in *Injector) readPath(at uintptr) string {
+	b := make([]byte, maxPathBytes)
+	n, err := unix.ProcessVMReadv(in.pid, iovec(b), []unix.RemoteIovec{{Base: at, Len: len(b)}}, 0)
 	if err != nil {
 		// The page behind the path may not be there.
 		rest := os.Getpagesize() - int(at)%os.Getpagesize()
-		n, err = unix.ProcessVMReadv(in.pid, vector(b), []unix.RemoteIovec{{Base: at, Len: min(rest, len(b))}}, 0)
+		n, err = unix.ProcessVMReadv(in.pid, iovec(b), []unix.RemoteIovec{{Base: at, Len: min(rest, len(b))}}, 0)
 	}
 	if err != nil {
 		return ""
@@ -156,7 +156,7 @@
 	return path
 }
 
-func vector(b []byte) []unix.Iovec {
+func iovec(b []byte) []unix.Iovec {
 	v := []unix.Iovec{{Base: &b[0]}}
 	v[0].SetLen(len(b))
 	return v
@@ -174,7 +174,7 @@
 	remote := []unix.RemoteIovec{{Base: uintptr(args[1]), Len: most}}
 	number := int(n.data.number)
 	if number == unix.SYS_WRITE || number == unix.SYS_PWRITE64 {
-		if got, err := unix.ProcessVMReadv(in.pid, vector(b), remote, 0); err != nil || got != most {
+		if got, err := unix.ProcessVMReadv(in.pid, iovec(b), remote, 0); err != nil || got != most {
 			return 0, 0, false
 		}
 	}
@@ -195,7 +195,7 @@
 		return 0, failed, true
 	}
 	if moved > 0 && (number == unix.SYS_READ || number == unix.SYS_PREAD64) {
-		if !in.write(b[:moved], uintptr(args[1])) {
+		if !in.writeMemory(b[:moved], uintptr(args[1])) {
 			return 0, unix.EFAULT, true
 		}
 	}
@@ -203,8 +203,8 @@
 }
 
 // write puts bytes into the process's memory.
-func (in *Injector) write(b []byte, at uintptr) bool {
-	local, remote := vector(b), unix.RemoteIovec{Base: at, Len: len(b)}
+func (in *Injector) writeMemory(b []byte, at uintptr) bool {
+	local, remote := iovec(b), unix.RemoteIovec{Base: at, Len: len(b)}
 	n, _, errno := unix.Syscall6(unix.SYS_PROCESS_VM_WRITEV, uintptr(in.pid), uintptr(unsafe.Pointer(&local[0])), 1,
 		uintptr(unsafe.Pointer(&remote)), 1, 0)
 	return errno == 0 && int(n) == len(b)
--- a/internal/lab/sysfault/sysfault.go
+++ b/internal/lab/sysfault/sysfault.go
@@ -21,13 +21,13 @@
 const socketEnv = "SYSFAULT_SOCKET"
 
 // filtered are the system calls that an Injector decides on; all others go on undisturbed.
-var filtered = []uint32{
+var filteredCalls = []uint32{
 	unix.SYS_READ, unix.SYS_WRITE, unix.SYS_PREAD64, unix.SYS_PWRITE64, unix.SYS_ACCEPT4, unix.SYS_SOCKET, unix.SYS_CONNECT,
 	unix.SYS_OPENAT, unix.SYS_FTRUNCATE, unix.SYS_RENAMEAT, unix.SYS_UNLINKAT, unix.SYS_FSYNC, unix.SYS_FDATASYNC,
 }
 
 // Requested tells whether this process was started by an Injector and has to call Exec.
-func Requested() bool { return os.Getenv(socketEnv) != "" }
+func ExecRequired() bool { return os.Getenv(socketEnv) != "" }
 
 // Exec filters this process's system calls, hands the listener to the Injector, and runs program in this process's place.
 // It returns only if that fails.
@@ -41,7 +41,7 @@
 	}
 	unix.CloseOnExec(socket)
 	runtime.LockOSThread() // the filter is this thread's, and so is the program that takes its place
-	listener, err := filter()
+	listener, err := installFilter()
 	if err != nil {
 		return err
 	}
@@ -52,14 +52,14 @@
 }
 
 // filter has the filtered calls of this thread wait for whoever holds the listener that it returns.
-func filter() (listener int, err error) {
+func installFilter() (listener int, err error) {
 	if err := unix.Prctl(unix.PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0); err != nil {
 		return 0, fmt.Errorf("sysfault: %w", err)
 	}
 	program := []unix.SockFilter{{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS}} // the call's number, at offset 0
-	for i, number := range filtered {
+	for i, number := range filteredCalls {
 		program = append(program, unix.SockFilter{
-			Code: unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K, Jt: uint8(len(filtered) - i), K: number,
+			Code: unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K, Jt: uint8(len(filteredCalls) - i), K: number,
 		})
 	}
 	program = append(program,
@@ -131,7 +131,7 @@
 
 // Verdict is what becomes of a call. The zero value lets it go on.
 type Verdict struct {
-	Errno syscall.Errno // it fails so, after Most bytes have been transferred if that is not 0; 0 for no failure
-	Most  int           // it transfers no more bytes than this; 0 for any number. Only of reads and writes
-	Kill  bool          // the process is killed, after Most bytes have been transferred if that is not 0
+	Errno    syscall.Errno // it fails so, after Most bytes have been transferred if that is not 0; 0 for no failure
+	MaxBytes int           // it transfers no more bytes than this; 0 for any number. Only of reads and writes
+	Kill     bool          // the process is killed, after Most bytes have been transferred if that is not 0
 }
--- a/internal/lab/sysfault/sysfault_test.go
+++ b/internal/lab/sysfault/sysfault_test.go
@@ -21,7 +21,7 @@
 	switch {
 	case path == "":
 		os.Exit(m.Run())
-	case Requested():
+	case ExecRequired():
 		fmt.Println(Exec("/proc/self/exe", os.Args))
 		os.Exit(1)
 	}
@@ -31,7 +31,7 @@
 	os.Exit(0)
 }
 
-func play(t *testing.T, path string, decide func(Call) Verdict) string {
+func runChild(t *testing.T, path string, decide func(Call) Verdict) string {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
 	var out bytes.Buffer
@@ -48,7 +48,7 @@
 	return strings.TrimSpace(out.String())
 }
 
-func TestCallsFailAsDecided(t *testing.T) {
+func TestInjectedFaultsReachTheProgram(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "file")
 	write := func(v Verdict) func(Call) Verdict {
 		return func(c Call) Verdict {
@@ -67,8 +67,8 @@
 	}{
 		{"nothing", func(Call) Verdict { return Verdict{} }, "<nil>, 0123456789, <nil>", "0123456789"},
 		{"no space", write(Verdict{Errno: syscall.ENOSPC}), "write " + path + ": no space left on device, , <nil>", ""},
-		{"short writes", write(Verdict{Most: 3}), "<nil>, 0123456789, <nil>", "0123456789"},
-		{"half a write and a kill", write(Verdict{Most: 5, Kill: true}), "signal: killed", "01234"},
+		{"short writes", write(Verdict{MaxBytes: 3}), "<nil>, 0123456789, <nil>", "0123456789"},
+		{"half a write and a kill", write(Verdict{MaxBytes: 5, Kill: true}), "signal: killed", "01234"},
 		{"interrupted once", func(c Call) Verdict {
 			if c.Path == path && c.Number == unix.SYS_OPENAT && interrupted == 0 {
 				interrupted++
@@ -78,13 +78,13 @@
 		}, "<nil>, 0123456789, <nil>", "0123456789"},
 		{"short reads", func(c Call) Verdict {
 			if c.Path == path && c.Number == unix.SYS_READ {
-				return Verdict{Most: 1}
+				return Verdict{MaxBytes: 1}
 			}
 			return Verdict{}
 		}, "<nil>, 0123456789, <nil>", "0123456789"},
 	} {
 		os.Remove(path)
-		if got := play(t, path, c.decide); got != c.says {
+		if got := runChild(t, path, c.decide); got != c.says {
 			t.Errorf("%s: the program says %q, want %q", c.name, got, c.says)
 		}
 		if text, _ := os.ReadFile(path); string(text) != c.file {
--- a/internal/lab/watchers/watchers.go
+++ b/internal/lab/watchers/watchers.go
@@ -49,7 +49,7 @@
 		return r, fmt.Errorf("watchers: %d at %d servers for %v: up to %d, one server at least, up to 10 min", o.Count, len(o.Servers), o.For, Most)
 	}
 	for _, addr := range o.Servers {
-		if err := relay.OnLoopback(addr); err != nil {
+		if err := relay.CheckLoopback(addr); err != nil {
 			return r, fmt.Errorf("watchers: %w", err)
 		}
 	}
