--- a/internal/lab/loopback/node.go
+++ b/internal/lab/loopback/node.go
@@ -48,16 +48,16 @@
 	if err := os.MkdirAll(state, 0o700); err != nil {
 		return nil, err
 	}
-	self := relay.Party{Kind: relay.Node, N: n}
-	front, err := net.Listen("tcp4", process.At(r.block.Own(self), process.AgentPort))
+	self := relay.Party{Kind: relay.Node, Index: n}
+	front, err := net.Listen("tcp4", process.HostPort(r.block.OwnAddr(self), process.AgentPort))
 	if err != nil {
 		return nil, err
 	}
 	x := &node{
-		r: r, n: n, self: self, dir: dir, addr: process.At(r.block.Own(self), process.ClientPort), front: front,
+		r: r, n: n, self: self, dir: dir, addr: process.HostPort(r.block.OwnAddr(self), process.ClientPort), front: front,
 		clients: make(chan *client.Client, maxClients), revision: 1, members: map[string]listwatch.Member{}, watchers: map[chan []byte]bool{},
 		process: process.Process{
-			Name: self.String(), Starter: r.starts, Program: r.Program, State: state, Log: filepath.Join(dir, "log"),
+			Name: self.String(), Starter: r.starts, Program: r.Program, StateDir: state, LogPath: filepath.Join(dir, "log"),
 			Env: []string{"ROUTER_CONFIG=" + filepath.Join(dir, "config.json"), "ROUTER_STATE=" + state},
 		},
 	}
@@ -73,7 +73,7 @@
 }
 
 // set changes the list as this node sees it, and tells its watchers.
-func (x *node) set(e model.Listed) {
+func (x *node) set(e model.ListEntry) {
 	socket := x.r.socket(e.Endpoint)
 	if socket == nil {
 		return // it could not be opened, which has been told
@@ -158,9 +158,9 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		told := model.Busy
+		told := model.SubmitRejected
 		if n.State == "failed" {
-			told = model.Failed
+			told = model.SubmitFailed
 		}
 		x.r.world.Do(x.r.ctx, func() { x.r.world.Notice(x.n, n.ID, told, time.Duration(n.AfterMS)*time.Millisecond) })
 	}
@@ -173,9 +173,9 @@
 	known := x.whole()
 	x.mu.Unlock()
 	raw, err := json.Marshal(map[string]any{
-		"name": fmt.Sprint("n", x.n), "listen": x.addr, "discovery": x.front.Addr().String(), "source": x.r.block.Own(x.self).String(), "seed": fmt.Sprintf("%x", x.r.day.Seed+uint64(x.n)),
+		"name": fmt.Sprint("n", x.n), "listen": x.addr, "discovery": x.front.Addr().String(), "source": x.r.block.OwnAddr(x.self).String(), "seed": fmt.Sprintf("%x", x.r.day.Seed+uint64(x.n)),
 		"limits":      map[string]any{"cores": 1, "memory_mb": 128, "sockets": 1024, "disk_mb": 3},
-		"peer_listen": process.At(x.r.block.Own(x.self), process.NotePort), "peers": peers, "known": known, "settings": settings(x.r.day, x.n),
+		"peer_listen": process.HostPort(x.r.block.OwnAddr(x.self), process.PeerPort), "peers": peers, "known": known, "settings": settings(x.r.day, x.n),
 	})
 	if err != nil {
 		return err
@@ -229,13 +229,13 @@
 func tenantName(i int) string { return fmt.Sprint("t", i) }
 
 // Begin starts the process, if it does not run. (model.Remote)
-func (x *node) Begin() { x.failed(x.process.Start()) }
+func (x *node) Start() { x.failed(x.process.Start()) }
 
 // Die kills the process. (model.Remote)
-func (x *node) Die() { x.failed(x.process.Kill()) }
+func (x *node) Kill() { x.failed(x.process.Kill()) }
 
 // Leave tells it to end. (model.Remote)
-func (x *node) Leave() { x.failed(x.process.Leave()) }
+func (x *node) Terminate() { x.failed(x.process.Terminate()) }
 
 func (x *node) failed(err error) {
 	if err != nil {
@@ -244,31 +244,31 @@
 }
 
 // Listed tells it of a change of the list. (model.Remote)
-func (x *node) Listed(e model.Listed) { x.set(e) }
+func (x *node) UpdateList(e model.ListEntry) { x.set(e) }
 
 // Hand hands a message in. (model.Remote)
-func (x *node) Hand(m model.Handed) {
+func (x *node) Submit(m model.Submission) {
 	x.r.hands.Go(func() {
-		told, wait := model.Nothing, time.Duration(0)
+		told, wait := model.SubmitUnanswered, time.Duration(0)
 		select {
 		case c := <-x.clients:
 			a, after, _ := c.Enqueue(client.Message{
-				ID: m.ID, Class: className(m.Class), Tenant: tenantName(m.Tenant), Key: m.ID, Dest: m.Dest, TTL: m.Left, Body: []byte("body of " + m.ID),
+				ID: m.ID, Class: className(m.Class), Tenant: tenantName(m.Tenant), Key: m.ID, Dest: m.Dest, TTL: m.TimeLeft, Body: []byte("body of " + m.ID),
 			})
 			x.clients <- c
 			wait = after
 			switch a {
 			case client.Accepted:
-				told = model.Taken
+				told = model.SubmitAccepted
 			case client.Busy:
-				told = model.Busy
+				told = model.SubmitRejected
 			case client.Failed:
-				told = model.Failed
+				told = model.SubmitFailed
 			}
 		case <-x.r.ctx.Done():
 			return
 		}
-		x.r.world.Do(x.r.ctx, func() { x.r.world.Answer(x.n, m.ID, told, wait) })
+		x.r.world.Do(x.r.ctx, func() { x.r.world.HandleSubmitResult(x.n, m.ID, told, wait) })
 	})
 }
 
@@ -280,8 +280,8 @@
 }
 
 func (x *node) close() error {
-	x.Die()
-	if raw, err := os.ReadFile(x.process.Log); err == nil { // one that never ran has none
+	x.Kill()
+	if raw, err := os.ReadFile(x.process.LogPath); err == nil { // one that never ran has none
 		x.r.Log.Write(raw)
 	}
 	for range maxClients {
