--- a/internal/lab/cli/cli.go
+++ b/internal/lab/cli/cli.go
@@ -68,7 +68,7 @@
 				return err
 			}
 			all := experiment.Summarize(lines)
-			if err := experiment.Table(c.OutOrStdout(), all); err != nil {
+			if err := experiment.WriteTable(c.OutOrStdout(), all); err != nil {
 				return err
 			}
 			if html != "" {
@@ -76,7 +76,7 @@
 					return err
 				}
 			}
-			return complain(c, lines)
+			return reportProblems(c, lines)
 		},
 	}
 	c.Flags().StringVar(&out, "out", "", "file of results, a JSON line a run (default: beside the experiment)")
@@ -86,7 +86,7 @@
 }
 
 // complain prints the runs that failed or broke a rule. Only those of the project's own sender are a failure.
-func complain(c *cobra.Command, lines []experiment.Line) error {
+func reportProblems(c *cobra.Command, lines []experiment.RunResult) error {
 	bad := 0
 	for _, p := range experiment.Problems(lines) {
 		if strings.HasPrefix(p, "ours") {
@@ -100,20 +100,20 @@
 	return nil
 }
 
-func writeReport(path string, e experiment.Experiment, lines []experiment.Line, all []experiment.Summary) error {
+func writeReport(path string, e experiment.Experiment, lines []experiment.RunResult, all []experiment.Summary) error {
 	f, err := os.Create(path)
 	if err != nil {
 		return err
 	}
 	defer f.Close()
-	if err := experiment.Report(f, e, lines, all); err != nil {
+	if err := experiment.WriteReport(f, e, lines, all); err != nil {
 		return err
 	}
 	return f.Close()
 }
 
 // jobFlags name one run.
-func jobFlags(c *cobra.Command, j *experiment.Job) {
+func addJobFlags(c *cobra.Command, j *experiment.Job) {
 	c.Flags().StringVar(&j.Policy, "policy", "ours", "who decides: see 'harrierlab policies'")
 	c.Flags().IntVar(&j.Nodes, "nodes", 60, "nodes of the fleet")
 	c.Flags().Uint64Var(&j.Seed, "seed", 1, "of the day and all chance in it")
@@ -126,26 +126,26 @@
 		Example: "  harrierlab day split --nodes 60 --seed 3 --policy lrt+bbc60-80",
 		RunE: func(c *cobra.Command, args []string) error {
 			j.Day = args[0]
-			line := (&experiment.Experiment{}).Play(c.Context(), j, nil)
-			if line.Failed != "" {
-				return fmt.Errorf("%s", line.Failed)
+			line := (&experiment.Experiment{}).RunJob(c.Context(), j, nil)
+			if line.Error != "" {
+				return fmt.Errorf("%s", line.Error)
 			}
-			return experiment.Day(c.OutOrStdout(), line)
+			return experiment.WriteRun(c.OutOrStdout(), line)
 		},
 	}
-	jobFlags(c, &j)
+	addJobFlags(c, &j)
 	return c
 }
 
 // tracer prints the events of one message.
 type tracer struct {
-	w     io.Writer
-	msg   string
-	found bool
+	w         io.Writer
+	messageID string
+	found     bool
 }
 
 func (t *tracer) Observe(e *model.Event) {
-	if e.Msg == t.msg || e.FirstID == t.msg && t.msg != "" {
+	if e.Msg == t.messageID || e.FirstID == t.messageID && t.messageID != "" {
 		t.found = true
 		fmt.Fprintln(t.w, judge.Describe(e))
 	}
@@ -158,9 +158,9 @@
 		Example: "  harrierlab trace split m812 --nodes 60 --seed 3",
 		RunE: func(c *cobra.Command, args []string) error {
 			j.Day = args[0]
-			t := &tracer{w: c.OutOrStdout(), msg: args[1]}
-			if line := (&experiment.Experiment{}).Play(c.Context(), j, t); line.Failed != "" {
-				return fmt.Errorf("%s", line.Failed)
+			t := &tracer{w: c.OutOrStdout(), messageID: args[1]}
+			if line := (&experiment.Experiment{}).RunJob(c.Context(), j, t); line.Error != "" {
+				return fmt.Errorf("%s", line.Error)
 			}
 			if !t.found {
 				return fmt.Errorf("no message %s on that day", args[1])
@@ -168,7 +168,7 @@
 			return nil
 		},
 	}
-	jobFlags(c, &j)
+	addJobFlags(c, &j)
 	return c
 }
 
@@ -177,15 +177,15 @@
 		Use: "compare BEFORE AFTER", Short: "Tell what moved between two files of results", Args: cobra.ExactArgs(2),
 		Example: "  harrierlab compare before.jsonl after.jsonl",
 		RunE: func(c *cobra.Command, args []string) error {
-			before, err := experiment.ReadLines(args[0])
+			before, err := experiment.ReadResults(args[0])
 			if err != nil {
 				return err
 			}
-			after, err := experiment.ReadLines(args[1])
+			after, err := experiment.ReadResults(args[1])
 			if err != nil {
 				return err
 			}
-			return experiment.Compare(c.OutOrStdout(), before, after)
+			return experiment.WriteComparison(c.OutOrStdout(), before, after)
 		},
 	}
 }
@@ -202,13 +202,13 @@
 				return err
 			}
 			l := losses.New(&day)
-			if line := (&experiment.Experiment{}).Play(c.Context(), j, l); line.Failed != "" {
-				return fmt.Errorf("%s", line.Failed)
+			if line := (&experiment.Experiment{}).RunJob(c.Context(), j, l); line.Error != "" {
+				return fmt.Errorf("%s", line.Error)
 			}
 			return l.Report().Print(c.OutOrStdout())
 		},
 	}
-	jobFlags(c, &j)
+	addJobFlags(c, &j)
 	return c
 }
 
--- a/internal/lab/cli/loopback.go
+++ b/internal/lab/cli/loopback.go
@@ -33,7 +33,7 @@
 			}
 			o := loopback.Options{Program: program}
 			if o.Program == "" {
-				o.Program = besides()
+				o.Program = findProgram()
 			}
 			if verbose {
 				o.Log = c.ErrOrStderr()
@@ -42,7 +42,7 @@
 			if err != nil {
 				return err
 			}
-			if err := experiment.Day(c.OutOrStdout(), experiment.Line{Job: j, Result: r}); err != nil {
+			if err := experiment.WriteRun(c.OutOrStdout(), experiment.RunResult{Job: j, Result: r}); err != nil {
 				return err
 			}
 			if r.ViolationCount > 0 {
@@ -60,9 +60,9 @@
 }
 
 // besides is the program that nodes run.
-func besides() string {
+func findProgram() string {
 	if self, err := os.Executable(); err == nil {
-		if at := filepath.Join(filepath.Dir(self), "harrierramp"); exists(at) {
+		if at := filepath.Join(filepath.Dir(self), "harrierramp"); fileExists(at) {
 			return at
 		}
 	}
@@ -72,7 +72,7 @@
 	return "harrierramp"
 }
 
-func exists(path string) bool {
+func fileExists(path string) bool {
 	_, err := os.Stat(path)
 	return err == nil
 }
--- a/internal/lab/cli/paper.go
+++ b/internal/lab/cli/paper.go
@@ -9,7 +9,7 @@
 )
 
 func newPaper() *cobra.Command {
-	s := paper.Default()
+	s := paper.DefaultStudy()
 	var html string
 	c := &cobra.Command{
 		Use: "paper", Short: "Play the study of the paper that the design comes from: its figures 3 to 15", Args: cobra.NoArgs,
@@ -25,18 +25,18 @@
 					return err
 				}
 				defer f.Close()
-				if err := paper.Report(f, all); err != nil {
+				if err := paper.WriteReport(f, all); err != nil {
 					return err
 				}
 			}
-			return paper.Table(c.OutOrStdout(), all)
+			return paper.WriteTable(c.OutOrStdout(), all)
 		},
 	}
 	f := c.Flags()
 	f.IntVar(&s.Sessions, "sessions", s.Sessions, "of each run")
-	f.IntVar(&s.Messages, "messages", s.Messages, "of a session")
-	f.IntVar(&s.Buffer, "buffer", s.Buffer, "messages that a proxy or server holds; 0 for no bound")
-	f.Float64Var(&s.Feedback, "feedback", s.Feedback, "service times between updates of the delays that proxies know")
+	f.IntVar(&s.MessagesPerSession, "messages", s.MessagesPerSession, "of a session")
+	f.IntVar(&s.QueueLimit, "buffer", s.QueueLimit, "messages that a proxy or server holds; 0 for no bound")
+	f.Float64Var(&s.FeedbackInterval, "feedback", s.FeedbackInterval, "service times between updates of the delays that proxies know")
 	f.Uint64Var(&s.Seed, "seed", s.Seed, "of all chance")
 	f.IntVar(&s.Threads, "threads", 0, "runs at once (default: as many as cores)")
 	f.StringVar(&html, "html", "", "write the figures as one page")
--- a/internal/lab/cli/partner.go
+++ b/internal/lab/cli/partner.go
@@ -16,7 +16,7 @@
 	"harrierramp/internal/partner"
 )
 
-const partnerBody = 64 << 10
+const maxReportBytes = 64 << 10
 
 func newPartner() *cobra.Command {
 	var listen string
@@ -73,7 +73,7 @@
 				}
 			})
 			mux.HandleFunc("POST /reports", func(w http.ResponseWriter, r *http.Request) {
-				for lines := bufio.NewScanner(http.MaxBytesReader(w, r.Body, partnerBody)); lines.Scan(); {
+				for lines := bufio.NewScanner(http.MaxBytesReader(w, r.Body, maxReportBytes)); lines.Scan(); {
 					var n struct{ State string }
 					if err := json.Unmarshal(lines.Bytes(), &n); err != nil {
 						http.Error(w, err.Error(), http.StatusBadRequest)
--- a/internal/lab/cli/stage.go
+++ b/internal/lab/cli/stage.go
@@ -36,7 +36,7 @@
 				s.Nodes = nodes
 			}
 			if o.Program == "" {
-				o.Program = besides()
+				o.Program = findProgram()
 			}
 			if !quiet {
 				o.Output = c.ErrOrStderr()
@@ -48,7 +48,7 @@
 			if err := r.Print(c.OutOrStdout()); err != nil {
 				return err
 			}
-			if err := errors.Join(save(html, r.HTML), save(raw, func(w io.Writer) error { return json.NewEncoder(w).Encode(r) })); err != nil {
+			if err := errors.Join(writeFile(html, r.HTML), writeFile(raw, func(w io.Writer) error { return json.NewEncoder(w).Encode(r) })); err != nil {
 				return err
 			}
 			if r.Failed() {
@@ -71,7 +71,7 @@
 }
 
 // save writes a file, if there is a name for it.
-func save(path string, write func(io.Writer) error) error {
+func writeFile(path string, write func(io.Writer) error) error {
 	if path == "" {
 		return nil
 	}
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -29,7 +29,7 @@
 	Nodes    []int    `toml:"nodes"`
 	Seeds    []uint64 `toml:"seeds"`
 	Length   string   `toml:"length"` // of arrivals, as "24s"; the kind's own if empty
-	Troubles []struct {
+	Faults   []struct {
 		Kind  string  `toml:"kind"`
 		At    float64 `toml:"at"`  // seconds
 		For   float64 `toml:"for"` // seconds
@@ -81,7 +81,7 @@
 	}
 	for _, d := range e.Days {
 		for _, n := range e.Nodes {
-			if _, err := e.day(Job{Day: d, Nodes: n, Seed: e.Seeds[0]}); err != nil {
+			if _, err := e.buildDay(Job{Day: d, Nodes: n, Seed: e.Seeds[0]}); err != nil {
 				return fmt.Errorf("experiment: %w", err)
 			}
 		}
@@ -98,10 +98,10 @@
 }
 
 // Line is a run and what came of it, a line of a file of results.
-type Line struct {
+type RunResult struct {
 	Job
 	Result *judge.Result `json:"result,omitempty"`
-	Failed string        `json:"failed,omitempty"` // the policy's failure, with what it takes to play it again
+	Error  string        `json:"failed,omitempty"` // the policy's failure, with what it takes to play it again
 }
 
 // Jobs are all runs, in their order.
@@ -118,7 +118,7 @@
 	return out
 }
 
-func (e *Experiment) day(j Job) (model.Day, error) {
+func (e *Experiment) buildDay(j Job) (model.Day, error) {
 	d, err := model.Draw(j.Day, j.Nodes, j.Seed)
 	if err != nil {
 		return d, err
@@ -128,7 +128,7 @@
 			return d, err
 		}
 	}
-	for _, t := range e.Troubles {
+	for _, t := range e.Faults {
 		for _, i := range t.Dests {
 			if i < 0 || i >= len(d.Dests) {
 				return d, fmt.Errorf("trouble %s: no destination %d on day %s with seed %d", t.Kind, i, j.Day, j.Seed)
@@ -149,16 +149,16 @@
 }
 
 // Play plays one run. watch, if it is not nil, hears of everything.
-func (e *Experiment) Play(ctx context.Context, j Job, watch model.Observer) Line {
-	line := Line{Job: j}
-	day, err := e.day(j)
+func (e *Experiment) RunJob(ctx context.Context, j Job, watch model.Observer) RunResult {
+	line := RunResult{Job: j}
+	day, err := e.buildDay(j)
 	if err != nil {
-		line.Failed = err.Error()
+		line.Error = err.Error()
 		return line
 	}
 	maker, err := policy.Named(j.Policy)
 	if err != nil {
-		line.Failed = err.Error()
+		line.Error = err.Error()
 		return line
 	}
 	ledger := judge.New(&day)
@@ -167,7 +167,7 @@
 		obs = model.Observers{ledger, watch}
 	}
 	if err := model.New(day, maker, obs).Run(ctx); err != nil {
-		line.Failed = err.Error()
+		line.Error = err.Error()
 		return line
 	}
 	line.Result = ledger.Result()
@@ -176,12 +176,12 @@
 
 // Run plays what the file of results at path lacks, on so many threads (0 for all cores), and returns all lines in the
 // order of Jobs. Lines are written as they come, so that a run that was cut off goes on where it was.
-func (e *Experiment) Run(ctx context.Context, path string, threads int, progress func(done, all int)) ([]Line, error) {
-	had, err := ReadLines(path)
+func (e *Experiment) Run(ctx context.Context, path string, threads int, progress func(done, all int)) ([]RunResult, error) {
+	had, err := ReadResults(path)
 	if err != nil {
 		return nil, err
 	}
-	done := map[Job]Line{}
+	done := map[Job]RunResult{}
 	for _, l := range had {
 		done[l.Job] = l
 	}
@@ -200,14 +200,14 @@
 	if threads <= 0 {
 		threads = runtime.NumCPU()
 	}
-	work, lines := make(chan Job), make(chan Line)
+	work, lines := make(chan Job), make(chan RunResult)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var players sync.WaitGroup
 	for range min(threads, max(len(todo), 1)) {
 		players.Go(func() {
 			for j := range work {
-				lines <- e.Play(ctx, j, nil)
+				lines <- e.RunJob(ctx, j, nil)
 			}
 		})
 	}
@@ -239,7 +239,7 @@
 	if err := errors.Join(fail, ctx.Err()); err != nil {
 		return nil, fmt.Errorf("results: %w", err)
 	}
-	all := make([]Line, 0, len(jobs))
+	all := make([]RunResult, 0, len(jobs))
 	for _, j := range jobs {
 		all = append(all, done[j])
 	}
@@ -247,7 +247,7 @@
 }
 
 // ReadLines reads a file of results; none is no lines. A last line that was cut off is left out.
-func ReadLines(path string) ([]Line, error) {
+func ReadResults(path string) ([]RunResult, error) {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
@@ -256,7 +256,7 @@
 		return nil, fmt.Errorf("results: %w", err)
 	}
 	defer f.Close()
-	var out []Line
+	var out []RunResult
 	r := bufio.NewReader(f)
 	for {
 		text, err := r.ReadBytes('\n')
@@ -266,7 +266,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("results: %w", err)
 		}
-		var l Line
+		var l RunResult
 		if err := json.Unmarshal(text, &l); err != nil {
 			return nil, fmt.Errorf("results %s: line %d: %w", path, len(out)+1, err)
 		}
@@ -275,12 +275,12 @@
 }
 
 // Problems are the runs that failed or broke a rule.
-func Problems(lines []Line) []string {
+func Problems(lines []RunResult) []string {
 	var out []string
 	for _, l := range lines {
 		switch {
-		case l.Failed != "":
-			out = append(out, fmt.Sprintf("%s on %s, %d nodes, seed %d: %s", l.Policy, l.Day, l.Nodes, l.Seed, l.Failed))
+		case l.Error != "":
+			out = append(out, fmt.Sprintf("%s on %s, %d nodes, seed %d: %s", l.Policy, l.Day, l.Nodes, l.Seed, l.Error))
 		case l.Result.ViolationCount > 0:
 			rules := map[string]int{}
 			for _, v := range l.Result.Violations {
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -18,8 +18,8 @@
 var record = flag.Bool("record", false, "write the baseline of the regression anew")
 
 const (
-	baseline = "../../../lab/ci-baseline.json"
-	band     = 0.015 // of worth served, by kind of day, median of three seeds
+	baselinePath = "../../../lab/ci-baseline.json"
+	tolerance    = 0.015 // of worth served, by kind of day, median of three seeds
 )
 
 // The project's own sender keeps every rule on every kind of day, and serves what it served when the baseline was
@@ -43,13 +43,13 @@
 	if *record {
 		raw, err := json.MarshalIndent(got, "", "  ")
 		if err == nil {
-			err = os.WriteFile(baseline, append(raw, '\n'), 0o644)
+			err = os.WriteFile(baselinePath, append(raw, '\n'), 0o644)
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	raw, err := os.ReadFile(baseline)
+	raw, err := os.ReadFile(baselinePath)
 	if err == nil {
 		err = json.Unmarshal(raw, &want)
 	}
@@ -57,14 +57,14 @@
 		t.Fatal(err)
 	}
 	for _, day := range e.Days {
-		if math.Abs(got[day]-want[day]) > band {
+		if math.Abs(got[day]-want[day]) > tolerance {
 			t.Errorf("%s: %.4f served, and the baseline is %.4f", day, got[day], want[day])
 		}
 	}
 }
 
 // Runs in another order, and runs that were cut off and gone on with, give the same file in the order of the jobs.
-func TestRunsGoOn(t *testing.T) {
+func TestInterruptedRunResumesWithTheSameResults(t *testing.T) {
 	e := Experiment{Policies: []string{"ours", "lrt"}, Days: []string{"split"}, Nodes: []int{5}, Seeds: []uint64{1, 2, 3}}
 	dir := t.TempDir()
 	whole, err := e.Run(t.Context(), filepath.Join(dir, "a"), 1, nil)
@@ -80,7 +80,7 @@
 	if err == nil {
 		t.Error("a run that was cut off ends well")
 	}
-	half, err := ReadLines(filepath.Join(dir, "b"))
+	half, err := ReadResults(filepath.Join(dir, "b"))
 	if err != nil || len(half) == 0 || len(half) == len(whole) {
 		t.Fatalf("%d lines, %v", len(half), err)
 	}
@@ -92,7 +92,7 @@
 		t.Fatal(err)
 	}
 	torn.Close()
-	if half, err = ReadLines(filepath.Join(dir, "b")); err != nil {
+	if half, err = ReadResults(filepath.Join(dir, "b")); err != nil {
 		t.Fatal(err)
 	}
 	played := 0
@@ -110,7 +110,7 @@
 }
 
 // Odd days end as they should: nobody comes, one destination, one node, a deadline that is met to the instant.
-func TestOddDays(t *testing.T) {
+func TestEdgeCaseDaysKeepTheRules(t *testing.T) {
 	e := Experiment{}
 	for name, spoil := range map[string]func(d *model.Day){
 		"nobody":          func(d *model.Day) { d.Length = 0 },
@@ -123,35 +123,35 @@
 			t.Fatal(err)
 		}
 		spoil(&d)
-		if r := played(t, d); r.ViolationCount > 0 {
+		if r := runDay(t, d); r.ViolationCount > 0 {
 			t.Errorf("%s: %+v", name, r.Violations[0])
 		}
 	}
-	if l := e.Play(t.Context(), Job{"ours", "nosuch", 3, 1}, nil); l.Failed == "" {
+	if l := e.RunJob(t.Context(), Job{"ours", "nosuch", 3, 1}, nil); l.Error == "" {
 		t.Error("a day of no kind is played")
 	}
-	if l := e.Play(t.Context(), Job{"nobody", "calm", 3, 1}, nil); !strings.Contains(l.Failed, "no policy") {
-		t.Error(l.Failed)
+	if l := e.RunJob(t.Context(), Job{"nobody", "calm", 3, 1}, nil); !strings.Contains(l.Error, "no policy") {
+		t.Error(l.Error)
 	}
 }
 
 // A policy that panics ends its run with what it takes to play it again.
-func TestAPanicIsTold(t *testing.T) {
+func TestPolicyPanicReportsSeedAndEvent(t *testing.T) {
 	d, err := model.Draw("calm", 3, 9)
 	if err != nil {
 		t.Fatal(err)
 	}
-	err = model.New(d, panics, model.Observers{}).Run(t.Context())
+	err = model.New(d, newPanickingPolicy, model.Observers{}).Run(t.Context())
 	if err == nil || !strings.Contains(err.Error(), "seed 9, event") || !strings.Contains(err.Error(), "on purpose") {
 		t.Error(err)
 	}
 }
 
-func TestStatistics(t *testing.T) {
-	lines := []Line{}
+func TestSummariesComparisonAndReport(t *testing.T) {
+	lines := []RunResult{}
 	for seed := range uint64(9) {
 		for _, p := range []string{"a", "b"} {
-			l := Line{Job: Job{p, "calm", 3, seed}, Result: played(t, model.Day{Settings: settingsOfNothing})}
+			l := RunResult{Job: Job{p, "calm", 3, seed}, Result: runDay(t, model.Day{Settings: minimalSettings})}
 			l.Result.Served = 0.5 + float64(seed)/100
 			if p == "b" {
 				l.Result.Served += 0.1
@@ -160,17 +160,17 @@
 		}
 	}
 	all := Summarize(lines)
-	if len(all) != 2 || math.Abs(all[1].Difference-0.1) > 1e-9 || math.Abs(all[0].Median-0.54) > 0.011 || all[1].From > 0.1+1e-9 || all[1].To < 0.1-1e-9 {
+	if len(all) != 2 || math.Abs(all[1].Difference-0.1) > 1e-9 || math.Abs(all[0].Median-0.54) > 0.011 || all[1].IntervalLow > 0.1+1e-9 || all[1].IntervalHigh < 0.1-1e-9 {
 		t.Errorf("%+v", all)
 	}
 	slices.Reverse(lines)
 	var b strings.Builder
-	if err := Compare(&b, lines, lines); err != nil || !strings.Contains(b.String(), "+0.0000") {
+	if err := WriteComparison(&b, lines, lines); err != nil || !strings.Contains(b.String(), "+0.0000") {
 		t.Error(err, b.String())
 	}
 	b.Reset()
 	e := Experiment{Name: "x", Policies: []string{"a", "b"}, Days: []string{"calm"}, Nodes: []int{3}}
-	if err := Report(&b, e, lines, all); err != nil || strings.Count(b.String(), "<svg") != 3 || strings.Contains(b.String(), "http://127") {
+	if err := WriteReport(&b, e, lines, all); err != nil || strings.Count(b.String(), "<svg") != 3 || strings.Contains(b.String(), "http://127") {
 		t.Error(err)
 	}
 }
--- a/internal/lab/experiment/kit_test.go
+++ b/internal/lab/experiment/helpers_test.go
@@ -9,9 +9,9 @@
 	"harrierramp/internal/lab/model"
 )
 
-var settingsOfNothing = choice.Settings{Classes: []choice.Class{{}}}
+var minimalSettings = choice.Settings{Classes: []choice.Class{{}}}
 
-func played(t *testing.T, d model.Day) *judge.Result {
+func runDay(t *testing.T, d model.Day) *judge.Result {
 	t.Helper()
 	j := judge.New(&d)
 	maker := func(_ *model.World, s choice.Settings, seed uint64) model.Policy { return choice.New(s, seed) }
@@ -21,8 +21,8 @@
 	return j.Result()
 }
 
-type panicker struct{}
+type panickingPolicy struct{}
 
-func (panicker) Step(time.Duration, []choice.Event) []choice.Action { panic("on purpose") }
+func (panickingPolicy) Step(time.Duration, []choice.Event) []choice.Action { panic("on purpose") }
 
-func panics(*model.World, choice.Settings, uint64) model.Policy { return panicker{} }
+func newPanickingPolicy(*model.World, choice.Settings, uint64) model.Policy { return panickingPolicy{} }
--- a/internal/lab/experiment/report.go
+++ b/internal/lab/experiment/report.go
@@ -26,7 +26,7 @@
 	SVG   template.HTML
 }
 
-var page = template.Must(template.New("report").Parse(`<!doctype html>
+var reportTemplate = template.Must(template.New("report").Parse(`<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Name}}</title><style>
 body{font:15px/1.45 system-ui,sans-serif;margin:2em auto;max-width:1100px;padding:0 1em;color:#222}
 table{border-collapse:collapse;margin:1em 0}td,th{padding:.25em .6em;text-align:right;border-bottom:1px solid #ddd}
@@ -34,7 +34,7 @@
 .bad{color:#b00}</style></head><body><h1>{{.Name}}</h1>
 <p>{{.Runs}} runs. Differences are in worth served, paired by seed with {{.Base}}, with bootstrap intervals of 95%.</p>
 <table><tr><th>day</th><th>nodes</th><th>policy</th><th>runs</th><th>served</th><th>quartiles</th><th>difference</th><th>interval</th><th>score</th><th>in time</th><th>refused</th><th>over limit</th><th>broken</th></tr>
-{{range .Rows}}<tr><td>{{.Day}}</td><td>{{.Nodes}}</td><td>{{.Policy}}</td><td>{{.Runs}}</td><td>{{printf "%.3f" .Median}}</td><td>{{printf "%.3f to %.3f" .Lo .Hi}}</td><td>{{printf "%+.3f" .Difference}}</td><td>{{printf "%+.3f to %+.3f" .From .To}}</td><td>{{printf "%.3f" .Score}}</td><td>{{printf "%.2f" .InTime}}</td><td>{{printf "%.2f" .Refused}}</td><td>{{printf "%.3f" .OverLimit}}</td><td{{if .Broken}} class="bad"{{end}}>{{.Broken}}</td></tr>
+{{range .Rows}}<tr><td>{{.Day}}</td><td>{{.Nodes}}</td><td>{{.Policy}}</td><td>{{.Runs}}</td><td>{{printf "%.3f" .Median}}</td><td>{{printf "%.3f to %.3f" .LowerQuartile .UpperQuartile}}</td><td>{{printf "%+.3f" .Difference}}</td><td>{{printf "%+.3f to %+.3f" .IntervalLow .IntervalHigh}}</td><td>{{printf "%.3f" .Score}}</td><td>{{printf "%.2f" .InTime}}</td><td>{{printf "%.2f" .Refused}}</td><td>{{printf "%.3f" .OverLimit}}</td><td{{if .Broken}} class="bad"{{end}}>{{.Broken}}</td></tr>
 {{end}}</table>
 {{range .Figures}}<figure><figcaption>{{.Title}}</figcaption>{{.SVG}}</figure>
 {{end}}{{if .Problems}}<h2>Rules broken and runs that failed</h2><ul>{{range .Problems}}<li>{{.}}</li>{{end}}</ul>{{end}}
@@ -42,7 +42,7 @@
 `))
 
 // Report writes one self-contained page: the table, and plots over time of each day and size.
-func Report(w io.Writer, e Experiment, lines []Line, all []Summary) error {
+func WriteReport(w io.Writer, e Experiment, lines []RunResult, all []Summary) error {
 	data := struct {
 		Name, Base string
 		Runs       int
@@ -66,7 +66,7 @@
 				{"share refused", func(w judge.Window) float64 { return ratio(float64(w.Refused), float64(w.Offered)) }},
 				{"calls refused over a limit, by call", func(w judge.Window) float64 { return ratio(float64(w.OverLimit), float64(w.Calls)) }},
 			} {
-				f, err := overTime(fmt.Sprintf("%s, %d nodes: %s", d, n, kind.title), lines, d, n, e.Policies, kind.of)
+				f, err := plotOverTime(fmt.Sprintf("%s, %d nodes: %s", d, n, kind.title), lines, d, n, e.Policies, kind.of)
 				if err != nil {
 					return fmt.Errorf("report: %w", err)
 				}
@@ -74,7 +74,7 @@
 			}
 		}
 	}
-	return page.Execute(w, data)
+	return reportTemplate.Execute(w, data)
 }
 
 func ratio(a, b float64) float64 {
@@ -85,7 +85,7 @@
 }
 
 // overTime plots the median over seeds of a value of each window, a line a policy.
-func overTime(title string, lines []Line, day string, nodes int, policies []string, of func(judge.Window) float64) (figure, error) {
+func plotOverTime(title string, lines []RunResult, day string, nodes int, policies []string, of func(judge.Window) float64) (figure, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Min, p.Y.Max = "seconds", 0, 1
 	p.Legend.Top = true
@@ -114,12 +114,12 @@
 		p.Add(line)
 		p.Legend.Add(name, line)
 	}
-	svg, err := SVG(p, 12*vg.Centimeter, 8*vg.Centimeter)
+	svg, err := RenderSVG(p, 12*vg.Centimeter, 8*vg.Centimeter)
 	return figure{title, svg}, err
 }
 
 // SVG draws a plot as markup for a page.
-func SVG(p *plot.Plot, width, height vg.Length) (template.HTML, error) {
+func RenderSVG(p *plot.Plot, width, height vg.Length) (template.HTML, error) {
 	p.BackgroundColor = color.White
 	c := vgsvg.New(width, height)
 	p.Draw(draw.New(c))
@@ -135,7 +135,7 @@
 }
 
 // Day writes one run for people.
-func Day(w io.Writer, l Line) error {
+func WriteRun(w io.Writer, l RunResult) error {
 	r := l.Result
 	fmt.Fprintf(w, "%s on %s, %d nodes, seed %d\n", l.Policy, l.Day, l.Nodes, l.Seed)
 	fmt.Fprintf(w, "served %.3f, worst 10 s %.3f, worst class %.3f, prices %.4f, score %.3f\n", r.Served, r.WorstWindow, r.WorstClass, r.Costs, r.Score)
@@ -161,8 +161,8 @@
 }
 
 // Compare tells what moved between two files of results: what both have, by policy, day and size.
-func Compare(w io.Writer, before, after []Line) error {
-	had := map[Job]Line{}
+func WriteComparison(w io.Writer, before, after []RunResult) error {
+	had := map[Job]RunResult{}
 	for _, l := range before {
 		had[l.Job] = l
 	}
@@ -189,7 +189,7 @@
 	fmt.Fprintln(t, "day\tnodes\tpolicy\tpairs\tserved\t95%\tleast\tmost\t")
 	for _, g := range order {
 		x := by[g]
-		from, to := interval(x)
+		from, to := bootstrapInterval(x)
 		fmt.Fprintf(t, "%s\t%d\t%s\t%d\t%+.4f\t%+.4f..%+.4f\t%+.4f\t%+.4f\t\n", g.day, g.nodes, g.policy, len(x), quantile(x, 0.5), from, to, slices.Min(x), slices.Max(x))
 	}
 	fmt.Fprintf(t, "rules broken: %+d\t\n", rules)
--- a/internal/lab/experiment/stats.go
+++ b/internal/lab/experiment/stats.go
@@ -12,36 +12,36 @@
 )
 
 const (
-	resamples = 2000
-	level     = 0.95
+	bootstrapResamples = 2000
+	confidenceLevel    = 0.95
 )
 
 // Summary is what a policy reached on a day and number of nodes, over its seeds.
 type Summary struct {
-	Policy, Day     string
-	Nodes, Runs     int
-	Broken          int
-	Median, Lo, Hi  float64 // of the worth served; the quartiles
-	Score           float64 // median
-	Difference      float64 // median of the paired differences in worth served from the first policy,
-	From, To        float64 // and its interval
-	InTime, Refused float64 // medians of shares of first tries
-	OverLimit       float64 // median of calls refused over a limit, by first try
-	PeerPrice       float64 // median of what datagrams cost
+	Policy, Day                          string
+	Nodes, Runs                          int
+	Broken                               int
+	Median, LowerQuartile, UpperQuartile float64 // of the worth served; the quartiles
+	Score                                float64 // median
+	Difference                           float64 // median of the paired differences in worth served from the first policy,
+	IntervalLow, IntervalHigh            float64 // and its interval
+	InTime, Refused                      float64 // medians of shares of first tries
+	OverLimit                            float64 // median of calls refused over a limit, by first try
+	PeerCost                             float64 // median of what datagrams cost
 }
 
 // Summarize makes a summary for each policy, day and size, in the order of the lines.
-func Summarize(lines []Line) []Summary {
+func Summarize(lines []RunResult) []Summary {
 	type group struct {
 		policy, day string
 		nodes       int
 	}
 	var order []group
-	by := map[group]map[uint64]Line{}
+	by := map[group]map[uint64]RunResult{}
 	for _, l := range lines {
 		g := group{l.Policy, l.Day, l.Nodes}
 		if by[g] == nil {
-			by[g] = map[uint64]Line{}
+			by[g] = map[uint64]RunResult{}
 			order = append(order, g)
 		}
 		by[g][l.Seed] = l
@@ -76,10 +76,10 @@
 				diff = append(diff, r.Served-b.Result.Served)
 			}
 		}
-		s.Median, s.Lo, s.Hi = quantile(served, 0.5), quantile(served, 0.25), quantile(served, 0.75)
-		s.Score, s.InTime, s.Refused, s.OverLimit, s.PeerPrice = quantile(score, 0.5), quantile(inTime, 0.5), quantile(refused, 0.5), quantile(over, 0.5), quantile(peer, 0.5)
+		s.Median, s.LowerQuartile, s.UpperQuartile = quantile(served, 0.5), quantile(served, 0.25), quantile(served, 0.75)
+		s.Score, s.InTime, s.Refused, s.OverLimit, s.PeerCost = quantile(score, 0.5), quantile(inTime, 0.5), quantile(refused, 0.5), quantile(over, 0.5), quantile(peer, 0.5)
 		s.Difference = quantile(diff, 0.5)
-		s.From, s.To = interval(diff)
+		s.IntervalLow, s.IntervalHigh = bootstrapInterval(diff)
 		out = append(out, s)
 	}
 	return out
@@ -94,29 +94,29 @@
 }
 
 // interval is a bootstrap interval of the median, the same each time for the same values.
-func interval(x []float64) (from, to float64) {
+func bootstrapInterval(x []float64) (from, to float64) {
 	if len(x) == 0 {
 		return 0, 0
 	}
 	x = slices.Sorted(slices.Values(x)) // whatever order the runs came in
 	r := rand.New(rand.NewPCG(1, uint64(len(x))))
-	medians, again := make([]float64, resamples), make([]float64, len(x))
+	medians, again := make([]float64, bootstrapResamples), make([]float64, len(x))
 	for i := range medians {
 		for k := range again {
 			again[k] = x[r.IntN(len(x))]
 		}
 		medians[i] = quantile(again, 0.5)
 	}
-	return quantile(medians, (1-level)/2), quantile(medians, (1+level)/2)
+	return quantile(medians, (1-confidenceLevel)/2), quantile(medians, (1+confidenceLevel)/2)
 }
 
 // Table writes summaries for people.
-func Table(w io.Writer, all []Summary) error {
+func WriteTable(w io.Writer, all []Summary) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "day\tnodes\tpolicy\truns\tserved\tquartiles\tdifference\t95%\tscore\tin time\trefused\tover limit\tnotes\tbroken\t")
 	for _, s := range all {
 		fmt.Fprintf(t, "%s\t%d\t%s\t%d\t%.3f\t%.3f-%.3f\t%+.3f\t%+.3f..%+.3f\t%.3f\t%.2f\t%.2f\t%.3f\t%.4f\t%d\t\n",
-			s.Day, s.Nodes, s.Policy, s.Runs, s.Median, s.Lo, s.Hi, s.Difference, s.From, s.To, s.Score, s.InTime, s.Refused, s.OverLimit, s.PeerPrice, s.Broken)
+			s.Day, s.Nodes, s.Policy, s.Runs, s.Median, s.LowerQuartile, s.UpperQuartile, s.Difference, s.IntervalLow, s.IntervalHigh, s.Score, s.InTime, s.Refused, s.OverLimit, s.PeerCost, s.Broken)
 	}
 	return t.Flush()
 }
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -22,34 +22,34 @@
 
 // Bounds of a run.
 const (
-	MaxRate  = 100_000
-	MaxCount = 10_000_000
-	MaxTime  = time.Hour
-	maxConns = 4096
-	longest  = time.Minute // of what a histogram tells apart
+	MaxRate     = 100_000
+	MaxCount    = 10_000_000
+	MaxDuration = time.Hour
+	maxConns    = 4096
+	maxLatency  = time.Minute // of what a histogram tells apart
 )
 
 // Class is a class of messages to hand in.
 type Class struct {
 	Name  string
 	Share float64
-	Life  time.Duration
+	TTL   time.Duration
 }
 
 // Config is a run.
 type Config struct {
-	Nodes   []string // addresses, of loopback
-	Rate    float64  // messages a second, of all nodes together
-	RampTo  float64  // the rate grows or falls to this over the run; 0 for no ramp
-	Steps   int      // the ramp goes in so many steps; 0 for a straight one
-	Pattern string   // poisson, even, or clumps of ten
-	Count   int      // messages at most
-	For     time.Duration
-	Conns   int // to each node
-	Dests   int // destinations 0 to Dests-1, the first ones more often (Zipf with exponent 1)
-	Classes []Class
-	Body    int // bytes
-	Seed    uint64
+	Nodes        []string // addresses, of loopback
+	Rate         float64  // messages a second, of all nodes together
+	RampTo       float64  // the rate grows or falls to this over the run; 0 for no ramp
+	RampSteps    int      // the ramp goes in so many steps; 0 for a straight one
+	Pattern      string   // poisson, even, or clumps of ten
+	Count        int      // messages at most
+	Duration     time.Duration
+	ConnsPerNode int // to each node
+	Dests        int // destinations 0 to Dests-1, the first ones more often (Zipf with exponent 1)
+	Classes      []Class
+	BodyBytes    int // bytes
+	Seed         uint64
 }
 
 // Check tells what is wrong with a run.
@@ -65,10 +65,10 @@
 		return fmt.Errorf("load: no nodes")
 	case !(c.Rate > 0 && c.Rate <= MaxRate && c.RampTo >= 0 && c.RampTo <= MaxRate):
 		return fmt.Errorf("load: rates are from 0 to %d", MaxRate)
-	case c.Count < 0 || c.Count > MaxCount || c.For < 0 || c.For > MaxTime || c.Count == 0 && c.For == 0:
-		return fmt.Errorf("load: a run ends by count (%d at most) or by time (%v at most)", MaxCount, MaxTime)
-	case c.Conns < 1 || c.Conns*len(c.Nodes) > maxConns:
-		return fmt.Errorf("load: %d connections to each node: from 1, and %d altogether", c.Conns, maxConns)
+	case c.Count < 0 || c.Count > MaxCount || c.Duration < 0 || c.Duration > MaxDuration || c.Count == 0 && c.Duration == 0:
+		return fmt.Errorf("load: a run ends by count (%d at most) or by time (%v at most)", MaxCount, MaxDuration)
+	case c.ConnsPerNode < 1 || c.ConnsPerNode*len(c.Nodes) > maxConns:
+		return fmt.Errorf("load: %d connections to each node: from 1, and %d altogether", c.ConnsPerNode, maxConns)
 	case c.Dests < 1 || len(c.Classes) == 0:
 		return fmt.Errorf("load: destinations and classes are needed")
 	case !slices.Contains([]string{"poisson", "even", "clumps"}, c.Pattern):
@@ -82,30 +82,30 @@
 	if c.RampTo <= 0 {
 		return c.Rate
 	}
-	if c.Steps > 0 {
-		part = float64(min(int(part*float64(c.Steps)), c.Steps-1)) / float64(max(c.Steps-1, 1))
+	if c.RampSteps > 0 {
+		part = float64(min(int(part*float64(c.RampSteps)), c.RampSteps-1)) / float64(max(c.RampSteps-1, 1))
 	}
 	return c.Rate + (c.RampTo-c.Rate)*min(max(part, 0), 1)
 }
 
 // Result is what nodes said, by class. Latency is in microseconds, from when a message was due to its answer.
 type Result struct {
-	Took    time.Duration
-	Classes map[string]*ClassResult
-	Taken   []string // ids that nodes owe an end, in the order of their answers
+	Elapsed     time.Duration
+	Classes     map[string]*ClassResult
+	AcceptedIDs []string // ids that nodes owe an end, in the order of their answers
 }
 
 // ClassResult is what came of a class.
 type ClassResult struct {
-	Sent, Taken, Busy, Failed, Unheard int
-	Latency                            *hdrhistogram.Histogram
-	Told                               *hdrhistogram.Histogram // waits told with a refusal, in milliseconds
+	Sent, Accepted, Busy, Failed, Unanswered int
+	Latency                                  *hdrhistogram.Histogram
+	RetryAfter                               *hdrhistogram.Histogram // waits told with a refusal, in milliseconds
 }
 
-type due struct {
-	at    time.Time
-	m     client.Message
-	class string
+type submission struct {
+	dueAt   time.Time
+	message client.Message
+	class   string
 }
 
 // Run hands messages in and returns when the last has its answer, or ctx ends. progress may be nil.
@@ -119,16 +119,16 @@
 	res := &Result{Classes: map[string]*ClassResult{}}
 	for _, k := range c.Classes {
 		total += k.Share
-		res.Classes[k.Name] = &ClassResult{Latency: hdrhistogram.New(1, longest.Microseconds(), 3), Told: hdrhistogram.New(1, longest.Milliseconds(), 3)}
+		res.Classes[k.Name] = &ClassResult{Latency: hdrhistogram.New(1, maxLatency.Microseconds(), 3), RetryAfter: hdrhistogram.New(1, maxLatency.Milliseconds(), 3)}
 	}
-	body := []byte(strings.Repeat("x", c.Body))
+	body := []byte(strings.Repeat("x", c.BodyBytes))
 	// A place for every message that may be on its way: one that finds none would slow the loop down.
-	queues := make([]chan due, len(c.Nodes))
+	queues := make([]chan submission, len(c.Nodes))
 	var mu sync.Mutex
 	var workers sync.WaitGroup
 	for i, addr := range c.Nodes {
-		queues[i] = make(chan due, MaxRate)
-		for range c.Conns {
+		queues[i] = make(chan submission, MaxRate)
+		for range c.ConnsPerNode {
 			workers.Go(func() {
 				conn := client.New(addr, client.AnswerTimeout)
 				defer conn.Close()
@@ -136,12 +136,12 @@
 					if ctx.Err() != nil {
 						continue
 					}
-					a, wait, _ := conn.Enqueue(d.m)
-					took := time.Since(d.at)
+					a, wait, _ := conn.Enqueue(d.message)
+					took := time.Since(d.dueAt)
 					mu.Lock()
-					res.Classes[d.class].note(a, wait, took)
+					res.Classes[d.class].record(a, wait, took)
 					if a == client.Accepted {
-						res.Taken = append(res.Taken, d.m.ID)
+						res.AcceptedIDs = append(res.AcceptedIDs, d.message.ID)
 					}
 					mu.Unlock()
 				}
@@ -150,10 +150,10 @@
 	}
 	began := time.Now()
 	at, sent, last := began, 0, began
-	for ctx.Err() == nil && (c.Count == 0 || sent < c.Count) && (c.For == 0 || at.Sub(began) < c.For) {
+	for ctx.Err() == nil && (c.Count == 0 || sent < c.Count) && (c.Duration == 0 || at.Sub(began) < c.Duration) {
 		part := 0.0
-		if c.For > 0 {
-			part = at.Sub(began).Seconds() / c.For.Seconds()
+		if c.Duration > 0 {
+			part = at.Sub(began).Seconds() / c.Duration.Seconds()
 		} else {
 			part = float64(sent) / float64(c.Count)
 		}
@@ -179,12 +179,12 @@
 				}
 			}
 			id := fmt.Sprintf("load-%x-%08x", c.Seed, sent)
-			d := due{at, client.Message{ID: id, Key: id, Class: class.Name, Dest: dest, TTL: class.Life, Body: body}, class.Name}
+			d := submission{at, client.Message{ID: id, Key: id, Class: class.Name, Dest: dest, TTL: class.TTL, Body: body}, class.Name}
 			select {
 			case queues[r.IntN(len(queues))] <- d:
 			default: // a hundred thousand wait: the nodes are gone
 				mu.Lock()
-				res.Classes[class.Name].note(client.NoAnswer, 0, longest)
+				res.Classes[class.Name].record(client.NoAnswer, 0, maxLatency)
 				mu.Unlock()
 			}
 			sent++
@@ -198,29 +198,29 @@
 		close(q)
 	}
 	workers.Wait()
-	res.Took = time.Since(began)
+	res.Elapsed = time.Since(began)
 	return res, ctx.Err()
 }
 
-func (r *ClassResult) note(a client.Answer, wait, took time.Duration) {
+func (r *ClassResult) record(a client.Answer, wait, took time.Duration) {
 	r.Sent++
 	switch a {
 	case client.Accepted:
-		r.Taken++
+		r.Accepted++
 	case client.Busy:
 		r.Busy++
-		r.Told.RecordValue(min(max(wait.Milliseconds(), 1), longest.Milliseconds())) // within bounds, so no error
+		r.RetryAfter.RecordValue(min(max(wait.Milliseconds(), 1), maxLatency.Milliseconds())) // within bounds, so no error
 	case client.Failed:
 		r.Failed++
 	default:
-		r.Unheard++
+		r.Unanswered++
 		return
 	}
-	r.Latency.RecordValue(min(max(took.Microseconds(), 1), longest.Microseconds()))
+	r.Latency.RecordValue(min(max(took.Microseconds(), 1), maxLatency.Microseconds()))
 }
 
 // Table writes the result for people.
-func (r *Result) Table(w io.Writer) error {
+func (r *Result) WriteTable(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "class\tsent\ttaken\tbusy\tfailed\tunheard\tp50 ms\tp99 ms\tp99.9 ms\tmost ms\twait told, median ms\t")
 	names := make([]string, 0, len(r.Classes))
@@ -232,7 +232,7 @@
 		c := r.Classes[n]
 		q := func(p float64) float64 { return float64(c.Latency.ValueAtQuantile(p)) / 1000 }
 		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%.2f\t%.2f\t%.2f\t%.2f\t%d\t\n",
-			n, c.Sent, c.Taken, c.Busy, c.Failed, c.Unheard, q(50), q(99), q(99.9), float64(c.Latency.Max())/1000, c.Told.ValueAtQuantile(50))
+			n, c.Sent, c.Accepted, c.Busy, c.Failed, c.Unanswered, q(50), q(99), q(99.9), float64(c.Latency.Max())/1000, c.RetryAfter.ValueAtQuantile(50))
 	}
 	return t.Flush()
 }
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -44,17 +44,17 @@
 }
 
 // A node that takes longer than messages come makes the time of each grow, and the loop goes on all the same.
-func TestTimesCountFromWhenAMessageWasDue(t *testing.T) {
+func TestLatencyIsMeasuredFromTheDueTime(t *testing.T) {
 	c := Config{
-		Nodes: []string{slowNode(t, 10*time.Millisecond)}, Rate: 200, Pattern: "even", Count: 60, Conns: 1, Dests: 3,
-		Classes: []Class{{"notice", 1, time.Second}}, Body: 10,
+		Nodes: []string{slowNode(t, 10*time.Millisecond)}, Rate: 200, Pattern: "even", Count: 60, ConnsPerNode: 1, Dests: 3,
+		Classes: []Class{{"notice", 1, time.Second}}, BodyBytes: 10,
 	}
 	r, err := Run(t.Context(), c, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	k := r.Classes["notice"]
-	if k.Sent != 60 || k.Taken+k.Unheard != 60 || len(r.Taken) != k.Taken {
+	if k.Sent != 60 || k.Accepted+k.Unanswered != 60 || len(r.AcceptedIDs) != k.Accepted {
 		t.Fatalf("%+v", k)
 	}
 	// The last was due after 300 ms and answered after 600 ms at the earliest.
@@ -62,13 +62,13 @@
 		t.Errorf("the longest took %v", most)
 	}
 	var b strings.Builder
-	if err := r.Table(&b); err != nil || !strings.Contains(b.String(), "notice") {
+	if err := r.WriteTable(&b); err != nil || !strings.Contains(b.String(), "notice") {
 		t.Errorf("%v: %s", err, b.String())
 	}
 }
 
-func TestBoundsAndRamps(t *testing.T) {
-	good := Config{Nodes: []string{"127.0.0.1:1"}, Rate: 100, RampTo: 300, Steps: 3, Pattern: "even", Count: 1, Conns: 1, Dests: 1, Classes: []Class{{"a", 1, time.Second}}}
+func TestConfigLimitsAndRamps(t *testing.T) {
+	good := Config{Nodes: []string{"127.0.0.1:1"}, Rate: 100, RampTo: 300, RampSteps: 3, Pattern: "even", Count: 1, ConnsPerNode: 1, Dests: 1, Classes: []Class{{"a", 1, time.Second}}}
 	if err := good.Check(); err != nil {
 		t.Fatal(err)
 	}
@@ -82,7 +82,7 @@
 		"a name":          func(c *Config) { c.Nodes = []string{"example.org:1"} },
 		"no end":          func(c *Config) { c.Count = 0 },
 		"too fast":        func(c *Config) { c.Rate = 1e9 },
-		"no connection":   func(c *Config) { c.Conns = 0 },
+		"no connection":   func(c *Config) { c.ConnsPerNode = 0 },
 		"a pattern":       func(c *Config) { c.Pattern = "often" },
 	} {
 		c := good
--- a/internal/lab/loopback/socket.go
+++ b/internal/lab/loopback/endpoint.go
@@ -16,43 +16,43 @@
 )
 
 const (
-	maxBody   = 64 << 10
-	callPause = 60 * time.Second // the longest that anything stands on a socket
+	maxBodyBytes = 64 << 10
+	connTimeout  = 60 * time.Second // the longest that anything stands on a socket
 )
 
 // socket is an endpoint, behind its face.
-type socket struct {
-	r        *run
+type endpointServer struct {
+	run      *run
 	party    relay.Party
 	endpoint string
 	addr     string
-	face     string // where nodes reach it
+	faceAddr string // where nodes reach it
 
-	mu    sync.Mutex
-	ln    net.Listener
-	conns map[net.Conn]bool
-	shut  bool
-	wg    sync.WaitGroup
+	mu       sync.Mutex
+	listener net.Listener
+	conns    map[net.Conn]bool
+	closed   bool
+	wg       sync.WaitGroup
 }
 
-func newSocket(r *run, party relay.Party, endpoint, addr string) (*socket, error) {
+func newEndpointServer(r *run, party relay.Party, endpoint, addr string) (*endpointServer, error) {
 	ln, err := net.Listen("tcp4", addr)
 	if err != nil {
 		return nil, err
 	}
-	s := &socket{r: r, party: party, endpoint: endpoint, addr: addr, ln: ln, conns: map[net.Conn]bool{}}
+	s := &endpointServer{run: r, party: party, endpoint: endpoint, addr: addr, listener: ln, conns: map[net.Conn]bool{}}
 	s.wg.Go(func() { s.accept(ln) })
 	return s, nil
 }
 
-func (s *socket) accept(ln net.Listener) {
+func (s *endpointServer) accept(ln net.Listener) {
 	for {
 		nc, err := ln.Accept()
 		if err != nil {
 			return // closed
 		}
 		s.mu.Lock()
-		if s.shut {
+		if s.closed {
 			s.mu.Unlock()
 			nc.Close()
 			continue
@@ -60,7 +60,7 @@
 		s.conns[nc] = true
 		s.mu.Unlock()
 		s.wg.Go(func() {
-			s.converse(nc)
+			s.serveConn(nc)
 			s.mu.Lock()
 			delete(s.conns, nc)
 			s.mu.Unlock()
@@ -70,32 +70,32 @@
 }
 
 // refuse closes the socket and all connections on it, as a process does that dies, or opens it again.
-func (s *socket) refuse(down bool) {
+func (s *endpointServer) setDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if down {
-		s.ln.Close()
+		s.listener.Close()
 		for nc := range s.conns {
 			nc.Close()
 		}
 		return
 	}
-	if s.shut {
+	if s.closed {
 		return
 	}
 	ln, err := net.Listen("tcp4", s.addr)
 	if err != nil {
-		fmt.Fprintf(s.r.Log, "loopback: endpoint %s: %v\n", s.endpoint, err)
+		fmt.Fprintf(s.run.Log, "loopback: endpoint %s: %v\n", s.endpoint, err)
 		return
 	}
-	s.ln = ln
+	s.listener = ln
 	s.wg.Go(func() { s.accept(ln) })
 }
 
-func (s *socket) close() {
+func (s *endpointServer) close() {
 	s.mu.Lock()
-	s.shut = true
-	s.ln.Close()
+	s.closed = true
+	s.listener.Close()
 	for nc := range s.conns {
 		nc.Close()
 	}
@@ -103,70 +103,70 @@
 	s.wg.Wait()
 }
 
-type outcome struct {
-	o    choice.Outcome
-	wait time.Duration
+type callResult struct {
+	outcome    choice.Outcome
+	retryAfter time.Duration
 }
 
 // converse answers calls on one connection, as the model's endpoint says.
-func (s *socket) converse(nc net.Conn) {
+func (s *endpointServer) serveConn(nc net.Conn) {
 	br := bufio.NewReader(nc)
-	from, ok := s.r.block.PartyAt(nc.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap())
+	from, ok := s.run.block.PartyAt(nc.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap())
 	if !ok || from.Kind != relay.Node {
 		return
 	}
 	for {
-		if nc.SetDeadline(time.Now().Add(callPause)) != nil {
+		if nc.SetDeadline(time.Now().Add(connTimeout)) != nil {
 			return
 		}
 		req, err := http.ReadRequest(br)
 		if err != nil {
 			return
 		}
-		if _, err := io.Copy(io.Discard, io.LimitReader(req.Body, maxBody)); err != nil {
+		if _, err := io.Copy(io.Discard, io.LimitReader(req.Body, maxBodyBytes)); err != nil {
 			return
 		}
 		id := req.Header.Get("X-Trace-Id")
-		answers := make(chan outcome, 1)
-		s.r.world.Do(s.r.ctx, func() {
-			s.r.world.HandleCall(from.Index, s.endpoint, id, func(o choice.Outcome, wait time.Duration) { answers <- outcome{o, wait} })
+		answers := make(chan callResult, 1)
+		s.run.world.Do(s.run.ctx, func() {
+			s.run.world.HandleCall(from.Index, s.endpoint, id, func(o choice.Outcome, wait time.Duration) { answers <- callResult{o, wait} })
 		})
 		// The node gives a call up by closing its connection.
 		gone := make(chan struct{})
 		go func() { // ends with the connection, or with the read being called back
 			defer close(gone)
-			if _, err := br.Peek(1); err != nil && s.r.ctx.Err() == nil {
+			if _, err := br.Peek(1); err != nil && s.run.ctx.Err() == nil {
 				return
 			}
 		}()
-		var a outcome
+		var a callResult
 		select {
 		case a = <-answers:
 			nc.SetReadDeadline(time.Unix(1, 0))
 			<-gone
 		case <-gone:
-			s.r.world.Do(s.r.ctx, func() { s.r.world.CallAbandoned(from.Index, id) })
+			s.run.world.Do(s.run.ctx, func() { s.run.world.CallAbandoned(from.Index, id) })
 			return
-		case <-s.r.ctx.Done():
+		case <-s.run.ctx.Done():
 			return
 		}
-		if !answer(nc, a) {
+		if !writeResponse(nc, a) {
 			return
 		}
 	}
 }
 
 // answer writes the protocol's answer and tells whether the connection goes on.
-func answer(nc net.Conn, a outcome) bool {
+func writeResponse(nc net.Conn, a callResult) bool {
 	text := ""
-	switch a.o {
+	switch a.outcome {
 	case choice.Success:
 		text = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	case choice.ServerError:
 		text = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
 	case choice.Rejected:
-		if text = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"; a.wait > 0 {
-			text = "HTTP/1.1 429 Too Many Requests\r\nRetry-After: " + strconv.FormatFloat(a.wait.Seconds(), 'f', 3, 64) + "\r\nContent-Length: 0\r\n\r\n"
+		if text = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"; a.retryAfter > 0 {
+			text = "HTTP/1.1 429 Too Many Requests\r\nRetry-After: " + strconv.FormatFloat(a.retryAfter.Seconds(), 'f', 3, 64) + "\r\nContent-Length: 0\r\n\r\n"
 		}
 	default:
 		if t, ok := nc.(*net.TCPConn); ok {
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -28,8 +28,8 @@
 	// MaxNodes bounds a run: each node is a process, and each of its connections takes three descriptors here.
 	MaxNodes = 100
 	// MaxLength bounds a run's arrivals.
-	MaxLength = 10 * time.Minute
-	readyWait = 15 * time.Second
+	MaxLength    = 10 * time.Minute
+	readyTimeout = 15 * time.Second
 )
 
 // Options are what a run needs beside its day.
@@ -41,22 +41,22 @@
 // run is a day under way.
 type run struct {
 	Options
-	ctx   context.Context
-	world *model.World
-	day   *model.Day
-	nodes []*node
-	hands sync.WaitGroup
+	ctx         context.Context
+	world       *model.World
+	day         *model.Day
+	nodes       []*node
+	submissions sync.WaitGroup
 
-	block  *process.AddrBlock
-	starts *process.Starter
-	net    *relay.Network
-	zones  map[relay.Party]int
-	parts  sync.WaitGroup
+	block      *process.AddrBlock
+	starter    *process.Starter
+	network    *relay.Network
+	zones      map[relay.Party]int
+	faultTasks sync.WaitGroup
 
-	mu      sync.Mutex
-	sockets map[string]*socket // by endpoint
-	order   []relay.Party      // of the endpoints
-	wait    map[string]*relay.FaultRule
+	mu                sync.Mutex
+	servers           map[string]*endpointServer // by endpoint
+	parties           []relay.Party              // of the endpoints
+	unresponsiveRules map[string]*relay.FaultRule
 }
 
 // Play plays a day and returns what the ledger says of it.
@@ -80,10 +80,10 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	r := &run{
-		Options: o, ctx: ctx, day: &day, block: block, starts: process.NewStarter(), zones: map[relay.Party]int{},
-		sockets: map[string]*socket{}, wait: map[string]*relay.FaultRule{},
+		Options: o, ctx: ctx, day: &day, block: block, starter: process.NewStarter(), zones: map[relay.Party]int{},
+		servers: map[string]*endpointServer{}, unresponsiveRules: map[string]*relay.FaultRule{},
 	}
-	r.net = relay.New(day.Seed, block.PartyAt, func(relay.Event) {})
+	r.network = relay.New(day.Seed, block.PartyAt, func(relay.Event) {})
 	ledger := judge.New(&day)
 	var remotes []model.Remote
 	for i := range day.Nodes {
@@ -96,16 +96,16 @@
 		remotes = append(remotes, n)
 	}
 	r.world = model.NewRemote(day, remotes, r, ledger)
-	err = r.ready()
+	err = r.start()
 	if err == nil {
 		for _, t := range day.Faults {
-			r.parts.Go(func() { r.impair(t) })
+			r.faultTasks.Go(func() { r.injectNetworkFault(t) })
 		}
 		err = r.world.RunRealTime(ctx)
 	}
 	cancel()
-	r.parts.Wait()
-	r.hands.Wait()
+	r.faultTasks.Wait()
+	r.submissions.Wait()
 	err = errors.Join(err, r.close(), os.RemoveAll(dir))
 	if err != nil {
 		return nil, fmt.Errorf("loopback: %w", err)
@@ -115,33 +115,33 @@
 
 // ready opens the ways and the sockets of the partners, writes the configurations, starts the nodes and waits until they
 // serve: only then the day begins.
-func (r *run) ready() error {
+func (r *run) start() error {
 	var parties []relay.Party
 	var faces, owns []string
 	for _, n := range r.nodes {
-		parties = append(parties, n.self)
-		r.zones[n.self] = r.day.Nodes[n.n].Zone
-		faces = append(faces, process.HostPort(r.block.FaceAddr(n.self), process.PeerPort))
-		owns = append(owns, process.HostPort(r.block.OwnAddr(n.self), process.PeerPort))
+		parties = append(parties, n.party)
+		r.zones[n.party] = r.day.Nodes[n.index].Zone
+		faces = append(faces, process.HostPort(r.block.FaceAddr(n.party), process.PeerPort))
+		owns = append(owns, process.HostPort(r.block.OwnAddr(n.party), process.PeerPort))
 	}
-	if err := r.net.ListenUDP(parties, faces, owns); err != nil {
+	if err := r.network.ListenUDP(parties, faces, owns); err != nil {
 		return err
 	}
 	for _, e := range r.world.List() {
-		if err := r.open(e); err != nil {
+		if err := r.addEndpoint(e); err != nil {
 			return err
 		}
 	}
 	for _, n := range r.nodes {
-		if err := n.configure(faces); err != nil {
+		if err := n.writeConfig(faces); err != nil {
 			return err
 		}
 		n.Start()
 	}
 	for _, n := range r.nodes {
-		for end := time.Now().Add(readyWait); !n.serves(); time.Sleep(10 * time.Millisecond) {
+		for end := time.Now().Add(readyTimeout); !n.isServing(); time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) || r.ctx.Err() != nil {
-				return fmt.Errorf("node %d does not serve", n.n)
+				return fmt.Errorf("node %d does not serve", n.index)
 			}
 		}
 	}
@@ -149,34 +149,34 @@
 }
 
 // open opens the socket of an endpoint and its face, and tells all nodes of it.
-func (r *run) open(e model.ListEntry) error {
+func (r *run) addEndpoint(e model.ListEntry) error {
 	r.mu.Lock()
-	p := relay.Party{Kind: relay.Partner, Index: len(r.order)}
-	r.order = append(r.order, p)
+	p := relay.Party{Kind: relay.Partner, Index: len(r.parties)}
+	r.parties = append(r.parties, p)
 	r.zones[p] = e.Zone
 	r.mu.Unlock()
 	own, face := process.HostPort(r.block.OwnAddr(p), process.PartnerPort), process.HostPort(r.block.FaceAddr(p), process.PartnerPort)
-	s, err := newSocket(r, p, e.Endpoint, own)
+	s, err := newEndpointServer(r, p, e.Endpoint, own)
 	if err != nil {
 		return err
 	}
-	s.face = face
+	s.faceAddr = face
 	r.mu.Lock()
-	r.sockets[e.Endpoint] = s
+	r.servers[e.Endpoint] = s
 	r.mu.Unlock()
-	if err := r.net.ListenTCP(face, p, own); err != nil {
+	if err := r.network.ListenTCP(face, p, own); err != nil {
 		return err
 	}
 	for _, n := range r.nodes {
-		n.set(e)
+		n.updateMember(e)
 	}
 	return nil
 }
 
-func (r *run) socket(endpoint string) *socket {
+func (r *run) server(endpoint string) *endpointServer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.sockets[endpoint]
+	return r.servers[endpoint]
 }
 
 func (r *run) close() error {
@@ -184,16 +184,16 @@
 	for _, n := range r.nodes {
 		errs = append(errs, n.close())
 	}
-	r.net.Close()
-	for _, s := range r.sockets {
+	r.network.Close()
+	for _, s := range r.servers {
 		s.close()
 	}
-	r.starts.Close()
+	r.starter.Close()
 	return errors.Join(append(errs, r.block.Release())...)
 }
 
 // impair plays the troubles of the network that the model leaves to the ways.
-func (r *run) impair(t model.Fault) {
+func (r *run) injectNetworkFault(t model.Fault) {
 	if t.Kind != model.ZonePartition && t.Kind != model.DatagramsBlocked || !backoff.Sleep(r.ctx, t.At) {
 		return
 	}
@@ -211,41 +211,41 @@
 		}
 	}
 	r.mu.Unlock()
-	rules = append(rules, r.net.AddFault(from, to, relay.Fault{ResetOnHeal: true}))
+	rules = append(rules, r.network.AddFault(from, to, relay.Fault{ResetOnHeal: true}))
 	if t.Kind == model.ZonePartition {
-		rules = append(rules, r.net.AddFault(to, from, relay.Fault{ResetOnHeal: true}))
+		rules = append(rules, r.network.AddFault(to, from, relay.Fault{ResetOnHeal: true}))
 	}
 	backoff.Sleep(r.ctx, t.Duration)
 	for _, rule := range rules {
-		r.net.RemoveFault(rule)
+		r.network.RemoveFault(rule)
 	}
 }
 
 // Struck takes an endpoint's machine away or its process down, and back. (model.Sockets)
 func (r *run) OutageChanged(endpoint, kind string, down bool) {
-	s := r.socket(endpoint)
+	s := r.server(endpoint)
 	if s == nil {
 		return
 	}
 	switch kind {
 	case model.Crash:
-		s.refuse(down)
-		if err := r.net.SetDown(s.party, down); err != nil {
+		s.setDown(down)
+		if err := r.network.SetDown(s.party, down); err != nil {
 			fmt.Fprintf(r.Log, "loopback: endpoint %s: %v\n", endpoint, err)
 		}
 	case model.Unresponsive:
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		if rule := r.wait[endpoint]; rule != nil {
-			r.net.RemoveFault(rule)
-			delete(r.wait, endpoint)
+		if rule := r.unresponsiveRules[endpoint]; rule != nil {
+			r.network.RemoveFault(rule)
+			delete(r.unresponsiveRules, endpoint)
 		}
 		if down {
 			from := relay.PartySet{}
 			for _, n := range r.nodes {
-				from[n.self] = true
+				from[n.party] = true
 			}
-			r.wait[endpoint] = r.net.AddFault(from, relay.PartySet{s.party: true}, relay.Fault{ResetOnHeal: true})
+			r.unresponsiveRules[endpoint] = r.network.AddFault(from, relay.PartySet{s.party: true}, relay.Fault{ResetOnHeal: true})
 		}
 	}
 }
@@ -253,12 +253,12 @@
 // Opened opens the socket of a new endpoint. (model.Sockets)
 func (r *run) EndpointAdded(endpoint string) {
 	for _, e := range r.world.List() {
-		if e.Endpoint == endpoint && r.socket(endpoint) == nil {
-			if err := r.open(e); err != nil {
+		if e.Endpoint == endpoint && r.server(endpoint) == nil {
+			if err := r.addEndpoint(e); err != nil {
 				fmt.Fprintf(r.Log, "loopback: %v\n", err)
 			}
 		}
 	}
 }
 
-var phases = map[choice.Phase]string{choice.Ready: "SERVING", choice.Draining: "DRAINING", choice.Removed: "DELETED"}
+var memberPhases = map[choice.Phase]string{choice.Ready: "SERVING", choice.Draining: "DRAINING", choice.Removed: "DELETED"}
--- a/internal/lab/loopback/loopback_test.go
+++ b/internal/lab/loopback/loopback_test.go
@@ -21,7 +21,7 @@
 
 // Real nodes are killed and restarted under load while partners crash: the ledger of clients and endpoints finds every
 // rule kept and nothing lost.
-func TestRealNodesKeepTheRules(t *testing.T) {
+func TestNodesLoseNoMessageWhenKilledAndRestarted(t *testing.T) {
 	t.Setenv(childEnv, "1")
 	day, err := model.Draw("quiet", 3, 4)
 	if err != nil {
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestBoundsAreHeld(t *testing.T) {
+func TestTooManyNodesOrTooLongDayIsRejected(t *testing.T) {
 	day, err := model.Draw("quiet", MaxNodes+1, 1)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/loopback/node.go
+++ b/internal/lab/loopback/node.go
@@ -22,20 +22,20 @@
 	"harrierramp/internal/listwatch"
 )
 
-const maxClients = 32 // connections to one node
+const maxClientConns = 32 // connections to one node
 
 // node is one real node: its process, the platform as it sees it, and its clients.
 type node struct {
-	r        *run
-	n        int
-	self     relay.Party
-	dir      string
-	addr     string
-	platform http.Server
-	front    net.Listener
-	process  process.Process
-	clients  chan *client.Client
-	log      sync.WaitGroup
+	run              *run
+	index            int
+	party            relay.Party
+	dir              string
+	addr             string
+	platform         http.Server
+	platformListener net.Listener
+	process          process.Process
+	clients          chan *client.Client
+	platformServing  sync.WaitGroup
 
 	mu       sync.Mutex
 	revision int64
@@ -54,35 +54,35 @@
 		return nil, err
 	}
 	x := &node{
-		r: r, n: n, self: self, dir: dir, addr: process.HostPort(r.block.OwnAddr(self), process.ClientPort), front: front,
-		clients: make(chan *client.Client, maxClients), revision: 1, members: map[string]listwatch.Member{}, watchers: map[chan []byte]bool{},
+		run: r, index: n, party: self, dir: dir, addr: process.HostPort(r.block.OwnAddr(self), process.ClientPort), platformListener: front,
+		clients: make(chan *client.Client, maxClientConns), revision: 1, members: map[string]listwatch.Member{}, watchers: map[chan []byte]bool{},
 		process: process.Process{
-			Name: self.String(), Starter: r.starts, Program: r.Program, StateDir: state, LogPath: filepath.Join(dir, "log"),
+			Name: self.String(), Starter: r.starter, Program: r.Program, StateDir: state, LogPath: filepath.Join(dir, "log"),
 			Env: []string{"ROUTER_CONFIG=" + filepath.Join(dir, "config.json"), "ROUTER_STATE=" + state},
 		},
 	}
-	for range maxClients {
+	for range maxClientConns {
 		x.clients <- client.New(x.addr, client.AnswerTimeout)
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /registry/instances", x.instances)
-	mux.HandleFunc("POST /reports", x.reports)
+	mux.HandleFunc("GET /registry/instances", x.serveInstances)
+	mux.HandleFunc("POST /reports", x.serveReports)
 	x.platform = http.Server{Handler: mux}
-	x.log.Go(func() { x.platform.Serve(front) }) // its error says that it was closed
+	x.platformServing.Go(func() { x.platform.Serve(front) }) // its error says that it was closed
 	return x, nil
 }
 
 // set changes the list as this node sees it, and tells its watchers.
-func (x *node) set(e model.ListEntry) {
-	socket := x.r.socket(e.Endpoint)
+func (x *node) updateMember(e model.ListEntry) {
+	socket := x.run.server(e.Endpoint)
 	if socket == nil {
 		return // it could not be opened, which has been told
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	m := listwatch.Member{
-		ID: e.Endpoint, Addr: socket.face, Locality: fmt.Sprint("z", e.Zone), Flavor: fmt.Sprint("k", e.Kind), Cell: e.Dest,
-		Phase: phases[e.Phase], Size: e.Weight,
+		ID: e.Endpoint, Addr: socket.faceAddr, Locality: fmt.Sprint("z", e.Zone), Flavor: fmt.Sprint("k", e.Kind), Cell: e.Dest,
+		Phase: memberPhases[e.Phase], Size: e.Weight,
 	}
 	x.revision++
 	if x.members[m.ID] = m; e.Phase == choice.Removed {
@@ -90,7 +90,7 @@
 	}
 	line, err := json.Marshal(listwatch.List{Revision: x.revision, Members: []listwatch.Member{m}})
 	if err != nil {
-		fmt.Fprintf(x.r.Log, "loopback: %v\n", err)
+		fmt.Fprintf(x.run.Log, "loopback: %v\n", err)
 		return
 	}
 	for w := range x.watchers {
@@ -101,7 +101,7 @@
 	}
 }
 
-func (x *node) whole() listwatch.List {
+func (x *node) completeList() listwatch.List {
 	l := listwatch.List{Revision: x.revision, Complete: true, Members: []listwatch.Member{}}
 	for _, m := range x.members {
 		l.Members = append(l.Members, m)
@@ -109,10 +109,10 @@
 	return l
 }
 
-func (x *node) instances(w http.ResponseWriter, r *http.Request) {
+func (x *node) serveInstances(w http.ResponseWriter, r *http.Request) {
 	lines := make(chan []byte, 64)
 	x.mu.Lock()
-	first, err := json.Marshal(x.whole())
+	first, err := json.Marshal(x.completeList())
 	x.watchers[lines] = true
 	x.mu.Unlock()
 	defer func() {
@@ -135,14 +135,14 @@
 			line = nil
 		case <-r.Context().Done():
 			return
-		case <-x.r.ctx.Done():
+		case <-x.run.ctx.Done():
 			return
 		}
 	}
 }
 
-func (x *node) reports(w http.ResponseWriter, r *http.Request) {
-	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+func (x *node) serveReports(w http.ResponseWriter, r *http.Request) {
+	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -162,20 +162,20 @@
 		if n.State == "failed" {
 			told = model.SubmitFailed
 		}
-		x.r.world.Do(x.r.ctx, func() { x.r.world.Notice(x.n, n.ID, told, time.Duration(n.AfterMS)*time.Millisecond) })
+		x.run.world.Do(x.run.ctx, func() { x.run.world.Notice(x.index, n.ID, told, time.Duration(n.AfterMS)*time.Millisecond) })
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
 // configure writes the node's configuration in the platform's form.
-func (x *node) configure(peers []string) error {
+func (x *node) writeConfig(peers []string) error {
 	x.mu.Lock()
-	known := x.whole()
+	known := x.completeList()
 	x.mu.Unlock()
 	raw, err := json.Marshal(map[string]any{
-		"name": fmt.Sprint("n", x.n), "listen": x.addr, "discovery": x.front.Addr().String(), "source": x.r.block.OwnAddr(x.self).String(), "seed": fmt.Sprintf("%x", x.r.day.Seed+uint64(x.n)),
+		"name": fmt.Sprint("n", x.index), "listen": x.addr, "discovery": x.platformListener.Addr().String(), "source": x.run.block.OwnAddr(x.party).String(), "seed": fmt.Sprintf("%x", x.run.day.Seed+uint64(x.index)),
 		"limits":      map[string]any{"cores": 1, "memory_mb": 128, "sockets": 1024, "disk_mb": 3},
-		"peer_listen": process.HostPort(x.r.block.OwnAddr(x.self), process.PeerPort), "peers": peers, "known": known, "settings": settings(x.r.day, x.n),
+		"peer_listen": process.HostPort(x.run.block.OwnAddr(x.party), process.PeerPort), "peers": peers, "known": known, "settings": platformSettings(x.run.day, x.index),
 	})
 	if err != nil {
 		return err
@@ -184,7 +184,7 @@
 }
 
 // settings are the day's, in the platform's words.
-func settings(d *model.Day, number int) map[string]any {
+func platformSettings(d *model.Day, number int) map[string]any {
 	ms := func(t time.Duration) float64 { return float64(t) / float64(time.Millisecond) }
 	s := d.Settings
 	var classes, tenants []any
@@ -229,26 +229,26 @@
 func tenantName(i int) string { return fmt.Sprint("t", i) }
 
 // Begin starts the process, if it does not run. (model.Remote)
-func (x *node) Start() { x.failed(x.process.Start()) }
+func (x *node) Start() { x.logError(x.process.Start()) }
 
 // Die kills the process. (model.Remote)
-func (x *node) Kill() { x.failed(x.process.Kill()) }
+func (x *node) Kill() { x.logError(x.process.Kill()) }
 
 // Leave tells it to end. (model.Remote)
-func (x *node) Terminate() { x.failed(x.process.Terminate()) }
+func (x *node) Terminate() { x.logError(x.process.Terminate()) }
 
-func (x *node) failed(err error) {
+func (x *node) logError(err error) {
 	if err != nil {
-		fmt.Fprintf(x.r.Log, "loopback: %v\n", err)
+		fmt.Fprintf(x.run.Log, "loopback: %v\n", err)
 	}
 }
 
 // Listed tells it of a change of the list. (model.Remote)
-func (x *node) UpdateList(e model.ListEntry) { x.set(e) }
+func (x *node) UpdateList(e model.ListEntry) { x.updateMember(e) }
 
 // Hand hands a message in. (model.Remote)
 func (x *node) Submit(m model.Submission) {
-	x.r.hands.Go(func() {
+	x.run.submissions.Go(func() {
 		told, wait := model.SubmitUnanswered, time.Duration(0)
 		select {
 		case c := <-x.clients:
@@ -265,15 +265,15 @@
 			case client.Failed:
 				told = model.SubmitFailed
 			}
-		case <-x.r.ctx.Done():
+		case <-x.run.ctx.Done():
 			return
 		}
-		x.r.world.Do(x.r.ctx, func() { x.r.world.HandleSubmitResult(x.n, m.ID, told, wait) })
+		x.run.world.Do(x.run.ctx, func() { x.run.world.HandleSubmitResult(x.index, m.ID, told, wait) })
 	})
 }
 
 // serves tells that the process takes clients.
-func (x *node) serves() bool {
+func (x *node) isServing() bool {
 	c := client.New(x.addr, time.Second)
 	defer c.Close()
 	return c.Ping()
@@ -282,9 +282,9 @@
 func (x *node) close() error {
 	x.Kill()
 	if raw, err := os.ReadFile(x.process.LogPath); err == nil { // one that never ran has none
-		x.r.Log.Write(raw)
+		x.run.Log.Write(raw)
 	}
-	for range maxClients {
+	for range maxClientConns {
 		(<-x.clients).Close()
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -293,6 +293,6 @@
 	if err != nil {
 		err = x.platform.Close()
 	}
-	x.log.Wait()
+	x.platformServing.Wait()
 	return err
 }
--- a/internal/lab/paper/control.go
+++ b/internal/lab/paper/control.go
@@ -7,28 +7,28 @@
 
 // control is one proxy's admission, on the ratio of its present response time to that of the empty system.
 type control struct {
-	average float64 // smoothed response time
-	decide  func(now, ratio float64) bool
+	smoothedResponseTime float64 // smoothed response time
+	decide               func(now, ratio float64) bool
 }
 
-type state struct {
-	shut bool
-	next float64
+type controlState struct {
+	closed      bool
+	nextAllowed float64
 }
 
 // spacing is T of call spacing, in service times: one session in each.
-const spacing = 5
+const callSpacing = 5
 
 func newControl(name string, r *rand.Rand) control {
-	st := &state{}
+	st := &controlState{}
 	bbc := func(low, high float64) func(now, x float64) bool {
 		return func(_, x float64) bool {
 			if x > high {
-				st.shut = true
+				st.closed = true
 			} else if x < low {
-				st.shut = false
+				st.closed = false
 			}
-			return !st.shut
+			return !st.closed
 		}
 	}
 	occ := func(at float64) func(now, x float64) bool {
@@ -54,10 +54,10 @@
 			if x <= at {
 				return true
 			}
-			if now < st.next {
+			if now < st.nextAllowed {
 				return false
 			}
-			st.next = now + spacing
+			st.nextAllowed = now + callSpacing
 			return true
 		}
 	case "lc30":
@@ -70,18 +70,20 @@
 	return c
 }
 
-func (c *control) ratio(empty float64) float64 { return c.average / empty }
+func (c *control) ratio(empty float64) float64 { return c.smoothedResponseTime / empty }
 
 func (c *control) admit(now, ratio float64) bool {
 	if c.decide(now, ratio) {
 		return true
 	}
 	// Nothing more comes through a shut gate, and so nothing that could open it: what was heard last fades.
-	c.average *= fade
+	c.smoothedResponseTime *= rejectionDecay
 	return false
 }
 
 // fade is how the response time of a proxy that takes nothing on comes down, by turned away session.
-const fade = 0.98
+const rejectionDecay = 0.98
 
-func (c *control) heard(took float64) { c.average += smooth * (took - c.average) }
+func (c *control) observe(took float64) {
+	c.smoothedResponseTime += measuredDelayWeight * (took - c.smoothedResponseTime)
+}
--- a/internal/lab/paper/study.go
+++ b/internal/lab/paper/study.go
@@ -19,18 +19,18 @@
 
 // Study is the paper's figures 3 to 15.
 type Study struct {
-	Sessions int // of each run; the paper has a million
-	Messages int
-	Buffer   int
-	Feedback float64
-	Seed     uint64
-	Threads  int
+	Sessions           int // of each run; the paper has a million
+	MessagesPerSession int
+	QueueLimit         int
+	FeedbackInterval   float64
+	Seed               uint64
+	Threads            int
 }
 
 // Default is what the paper leaves open, as we took it: sessions of three messages, queues of 400 messages, delays that
 // servers tell twice in a service time.
-func Default() Study {
-	return Study{Sessions: 100_000, Messages: 3, Buffer: 400, Feedback: 0.5, Seed: 1}
+func DefaultStudy() Study {
+	return Study{Sessions: 100_000, MessagesPerSession: 3, QueueLimit: 400, FeedbackInterval: 0.5, Seed: 1}
 }
 
 // Series is one curve.
@@ -87,7 +87,7 @@
 			for t := range work {
 				results[t.c][t.at] = Run(Config{
 					Proxies: t.c.size, Servers: t.c.size, Load: loads[t.at], Selection: t.c.selection, Control: t.c.control,
-					Sessions: s.Sessions, Messages: s.Messages, Buffer: s.Buffer, Feedback: s.Feedback, Seed: s.Seed,
+					Sessions: s.Sessions, MessagesPerSession: s.MessagesPerSession, QueueLimit: s.QueueLimit, FeedbackInterval: s.FeedbackInterval, Seed: s.Seed,
 				})
 			}
 		})
@@ -136,7 +136,7 @@
 		return f
 	}
 	return []Figure{
-		s.temporal(),
+		s.responseRatioOverTime(),
 		figure(4, "delay ratio gain of selections", 4, false, gain), figure(5, "rejection probability of selections", 4, false, rejected),
 		figure(6, "delay ratio gain of controls", 4, true, gain), figure(7, "rejection probability of controls", 4, true, rejected),
 		figure(8, "M(0.5) of controls", 4, true, metric(0.5)), figure(9, "M(2) of controls", 4, true, metric(2)),
@@ -147,7 +147,7 @@
 }
 
 // temporal is figure 3: the response ratio at one proxy over time, overloaded.
-func (s Study) temporal() Figure {
+func (s Study) responseRatioOverTime() Figure {
 	f := Figure{Name: "Fig. 3", Title: "response ratio over time, load 1.25 (4×4)"}
 	const steps, until = 60, 600.0
 	for i := range steps {
@@ -156,8 +156,8 @@
 	for _, c := range []string{"cs30", "lc30", "occ30", "bbc20-40"} {
 		y := make([]float64, steps)
 		Run(Config{
-			Proxies: 4, Servers: 4, Load: 1.25, Selection: "lrt", Control: c, Sessions: 3000, Messages: s.Messages, Buffer: s.Buffer,
-			Feedback: s.Feedback, Seed: s.Seed, Trace: func(at, ratio float64) {
+			Proxies: 4, Servers: 4, Load: 1.25, Selection: "lrt", Control: c, Sessions: 3000, MessagesPerSession: s.MessagesPerSession, QueueLimit: s.QueueLimit,
+			FeedbackInterval: s.FeedbackInterval, Seed: s.Seed, Trace: func(at, ratio float64) {
 				if i := int(at / until * steps); i < steps {
 					y[i] = ratio
 				}
@@ -169,7 +169,7 @@
 }
 
 // Table writes figures for people.
-func Table(w io.Writer, all []Figure) error {
+func WriteTable(w io.Writer, all []Figure) error {
 	for _, f := range all {
 		fmt.Fprintf(w, "\n%s: %s\n", f.Name, f.Title)
 		t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -195,13 +195,13 @@
 	return nil
 }
 
-var page = template.Must(template.New("paper").Parse(`<!doctype html><html lang="en"><head><meta charset="utf-8"><title>The paper's study</title>
+var reportTemplate = template.Must(template.New("paper").Parse(`<!doctype html><html lang="en"><head><meta charset="utf-8"><title>The paper's study</title>
 <style>body{font:15px/1.45 system-ui,sans-serif;margin:2em auto;max-width:1100px}figure{display:inline-block;margin:.5em}</style></head>
 <body><h1>The paper's study</h1>{{range .}}<figure><figcaption>{{.Title}}</figcaption>{{.SVG}}</figure>{{end}}</body></html>
 `))
 
 // Report writes the figures as one page.
-func Report(w io.Writer, all []Figure) error {
+func WriteReport(w io.Writer, all []Figure) error {
 	type drawn struct {
 		Title string
 		SVG   template.HTML
@@ -227,11 +227,11 @@
 			p.Add(line)
 			p.Legend.Add(s.Name, line)
 		}
-		svg, err := experiment.SVG(p, 13*vg.Centimeter, 9*vg.Centimeter)
+		svg, err := experiment.RenderSVG(p, 13*vg.Centimeter, 9*vg.Centimeter)
 		if err != nil {
 			return fmt.Errorf("%s: %w", f.Name, err)
 		}
 		out = append(out, drawn{f.Name + ": " + f.Title, svg})
 	}
-	return page.Execute(w, out)
+	return reportTemplate.Execute(w, out)
 }
--- a/internal/lab/stage/report.go
+++ b/internal/lab/stage/report.go
@@ -334,5 +334,5 @@
 		line.Dashes, line.Width, line.Color = plotutil.Dashes(2), vg.Points(0.6), plotutil.Color(6)
 		p.Add(line)
 	}
-	return experiment.SVG(p, 26*vg.Centimeter, 8*vg.Centimeter)
+	return experiment.RenderSVG(p, 26*vg.Centimeter, 8*vg.Centimeter)
 }
--- a/internal/lab/watchers/watchers.go
+++ b/internal/lab/watchers/watchers.go
@@ -22,38 +22,38 @@
 )
 
 // Most is how many watchers there may be.
-const Most = 10_000
+const MaxWatchers = 10_000
 
 // Options say what is played.
 type Options struct {
-	Servers []string      // on loopback
-	Count   int           // of watchers
-	For     time.Duration // at most; it ends half a second after the last has its list
-	Beat    time.Duration // that is asked for; 0 for none
-	Turned  bool          // each keeps its turn; else all ask at once and then do as they are told
+	Servers           []string      // on loopback
+	Count             int           // of watchers
+	Timeout           time.Duration // at most; it ends half a second after the last has its list
+	HeartbeatInterval time.Duration // that is asked for; 0 for none
+	PaceStart         bool          // each keeps its turn; else all ask at once and then do as they are told
 }
 
 // Result is what came of it.
 type Result struct {
-	Listed, Asks, Told     int
-	Busiest                int           // asks in one second
-	Median, P99, Last      time.Duration // until a watcher had its list
-	ListBytes              int64
-	RevisionsSeen, Waiting int
+	Listed, Requests, RetryLaters int
+	PeakPerSecond                 int           // asks in one second
+	Median, P99, Slowest          time.Duration // until a watcher had its list
+	ListBytes                     int64
+	RevisionsSeen, WithoutList    int
 }
 
 // Run plays it.
 func Run(ctx context.Context, o Options) (Result, error) {
 	var r Result
-	if o.Count < 1 || o.Count > Most || o.For <= 0 || o.For > 10*time.Minute || len(o.Servers) == 0 {
-		return r, fmt.Errorf("watchers: %d at %d servers for %v: up to %d, one server at least, up to 10 min", o.Count, len(o.Servers), o.For, Most)
+	if o.Count < 1 || o.Count > MaxWatchers || o.Timeout <= 0 || o.Timeout > 10*time.Minute || len(o.Servers) == 0 {
+		return r, fmt.Errorf("watchers: %d at %d servers for %v: up to %d, one server at least, up to 10 min", o.Count, len(o.Servers), o.Timeout, MaxWatchers)
 	}
 	for _, addr := range o.Servers {
 		if err := relay.CheckLoopback(addr); err != nil {
 			return r, fmt.Errorf("watchers: %w", err)
 		}
 	}
-	ctx, cancel := context.WithTimeout(ctx, o.For)
+	ctx, cancel := context.WithTimeout(ctx, o.Timeout)
 	defer cancel()
 	var bytes atomic.Int64
 	client := &http.Client{Transport: &http.Transport{
@@ -63,7 +63,7 @@
 			if err != nil {
 				return nil, err
 			}
-			return counted{nc, &bytes}, nil
+			return countingConn{nc, &bytes}, nil
 		},
 	}}
 	defer client.CloseIdleConnections()
@@ -75,7 +75,7 @@
 	listed := make(chan struct{}, o.Count)
 	for i := range o.Count {
 		w := listwatch.Watcher{
-			Log: slog.New(slog.DiscardHandler), Client: client, Servers: listwatch.NewAddresses(o.Servers), PaceStart: o.Turned, HeartbeatInterval: o.Beat,
+			Log: slog.New(slog.DiscardHandler), Client: client, Servers: listwatch.NewAddresses(o.Servers), PaceStart: o.PaceStart, HeartbeatInterval: o.HeartbeatInterval,
 			Pacer: admission.NewPacer(o.Count, i, rand.New(rand.NewPCG(uint64(i), 1))), OnActivity: func() {}, OnServerChange: func() {},
 			OnRequest: func() {
 				mu.Lock()
@@ -85,7 +85,7 @@
 			OnRetryLater: func() {
 				mu.Lock()
 				defer mu.Unlock()
-				r.Told++
+				r.RetryLaters++
 			},
 		}
 		first := true
@@ -96,7 +96,7 @@
 			if first {
 				first = false
 				took := time.Since(began)
-				r.Last = max(r.Last, took)
+				r.Slowest = max(r.Slowest, took)
 				times.RecordValue(max(took.Microseconds(), 1)) // bounded by For
 				listed <- struct{}{}
 			}
@@ -104,14 +104,14 @@
 		all.Go(func() { w.Run(ctx, 0) })
 	}
 wait:
-	for r.Waiting = o.Count; r.Waiting > 0; r.Waiting-- {
+	for r.WithoutList = o.Count; r.WithoutList > 0; r.WithoutList-- {
 		select {
 		case <-listed:
 		case <-ctx.Done():
 			break wait
 		}
 	}
-	if r.Waiting == 0 {
+	if r.WithoutList == 0 {
 		select {
 		case <-time.After(500 * time.Millisecond):
 		case <-ctx.Done():
@@ -119,29 +119,29 @@
 	}
 	cancel()
 	all.Wait()
-	r.Listed, r.Asks, r.ListBytes = o.Count-r.Waiting, len(asks), bytes.Load()
+	r.Listed, r.Requests, r.ListBytes = o.Count-r.WithoutList, len(asks), bytes.Load()
 	r.Median = time.Duration(times.ValueAtQuantile(50)) * time.Microsecond
 	r.P99 = time.Duration(times.ValueAtQuantile(99)) * time.Microsecond
 	for from, i := 0, 0; i < len(asks); i++ {
 		for asks[i]-asks[from] >= time.Second {
 			from++
 		}
-		r.Busiest = max(r.Busiest, i-from+1)
+		r.PeakPerSecond = max(r.PeakPerSecond, i-from+1)
 	}
-	if r.Waiting > 0 {
+	if r.WithoutList > 0 {
 		return r, errors.New("watchers: some never had a list")
 	}
 	return r, nil
 }
 
 // counted counts what is read.
-type counted struct {
+type countingConn struct {
 	net.Conn
-	n *atomic.Int64
+	bytesRead *atomic.Int64
 }
 
-func (c counted) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.n.Add(int64(n))
+	c.bytesRead.Add(int64(n))
 	return n, err
 }
--- a/internal/lab/watchers/watchers_test.go
+++ b/internal/lab/watchers/watchers_test.go
@@ -13,7 +13,7 @@
 
 // A real list server that takes few a second serves all who begin at once, turned or not; who keeps a turn is hardly ever
 // told to come later.
-func TestAServerServesAllWhoBegin(t *testing.T) {
+func TestServerServesAllStartingWatchers(t *testing.T) {
 	for name, turned := range map[string]bool{"turned": true, "all at once": false} {
 		t.Run(name, func(t *testing.T) {
 			log := slog.New(slog.DiscardHandler)
@@ -42,20 +42,20 @@
 				}
 			}()
 			const count = 200
-			r, err := Run(t.Context(), Options{Servers: []string{ln.Addr().String()}, Count: count, For: 20 * time.Second, Turned: turned})
+			r, err := Run(t.Context(), Options{Servers: []string{ln.Addr().String()}, Count: count, Timeout: 20 * time.Second, PaceStart: turned})
 			if err != nil || r.Listed != count {
 				t.Fatalf("%+v, %v", r, err)
 			}
-			if t.Logf("%+v", r); turned && r.Told > count/10 || !turned && r.Told < count/4 || r.Asks < count+r.Told {
-				t.Errorf("%d asks, %d told to come later", r.Asks, r.Told)
+			if t.Logf("%+v", r); turned && r.RetryLaters > count/10 || !turned && r.RetryLaters < count/4 || r.Requests < count+r.RetryLaters {
+				t.Errorf("%d asks, %d told to come later", r.Requests, r.RetryLaters)
 			}
 		})
 	}
 }
 
-func TestOnlyLoopbackIsWatched(t *testing.T) {
+func TestNonLoopbackServerIsRejected(t *testing.T) {
 	for _, addr := range []string{"10.0.0.1:80", "example:80"} {
-		if _, err := Run(t.Context(), Options{Servers: []string{addr}, Count: 1, For: time.Second}); err == nil {
+		if _, err := Run(t.Context(), Options{Servers: []string{addr}, Count: 1, Timeout: time.Second}); err == nil {
 			t.Errorf("%s is watched", addr)
 		}
 	}
