--- a/internal/registry/admission.go
+++ b/internal/registry/admission.go
@@ -11,8 +11,8 @@
 	"harrierramp/internal/admission"
 )
 
-// gate admits the work of a start at the server's own pace: renewals first, then watchers that lack some changes, then
-// those that need the whole list.
+// admissionControl limits the rate at which requests are served while many clients start. Renewals come first, then
+// watchers that lack some changes, then clients that need the complete list.
 type admissionControl struct {
 	mu      sync.Mutex
 	limiter *admission.Limiter
@@ -22,7 +22,8 @@
 	return &admissionControl{limiter: admission.NewLimiter(rate, rand.Uint64N(1<<52)+1)}
 }
 
-// later refuses an ask that can't be served now.
+// deferredError refuses a request that can't be served now. A client that retries after retryAfter presents the turn,
+// a reserved place.
 type deferredError struct {
 	retryAfter time.Duration
 	turn       uint64
@@ -32,7 +33,7 @@
 	return fmt.Sprintf("not now: come again after %v", e.retryAfter)
 }
 
-// ask lets an ask through, or refuses it with a *later.
+// admit admits a request or refuses it with a *deferredError. heldTurn is the turn from an earlier refusal, 0 if none.
 func (a *admissionControl) admit(now time.Duration, priority admission.Priority, heldTurn uint64) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -43,21 +44,22 @@
 	return &deferredError{wait, turn}
 }
 
-// out is how many turns are given out and not yet taken.
+// outstanding returns the number of turns that were handed out and not used yet.
 func (a *admissionControl) outstanding() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.limiter.Outstanding()
 }
 
-// admit lets somebody through who wants the list. Other servers follow at any time.
+// admitList admits a request for the list, or refuses it. Following servers are always admitted.
 func (s *Server) admitList(r *http.Request, after Revision) error {
 	q := r.URL.Query()
 	if q.Get("replica") == "1" {
 		return nil
 	}
 	priority := admission.FullList
-	if s.feed.hasChangesSince(after) || after > 0 && q.Get("watch") != "1" { // the latter wants a second opinion on what it was told
+	// A client that has a revision and does not watch wants a second opinion on the list that another server gave it.
+	if s.feed.hasChangesSince(after) || after > 0 && q.Get("watch") != "1" {
 		priority = admission.PartialList
 	}
 	heldTurn, err := queryInt(r, "turn")
@@ -67,7 +69,8 @@
 	return s.admission.admit(s.now(), priority, uint64(heldTurn))
 }
 
-// renewals lets a call on an instance through, or answers it, and tells which.
+// rateLimited wraps a handler of calls on one instance or node. A call that admission control refuses is answered with
+// the time to retry.
 func (s *Server) rateLimited(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if err := s.admission.admit(s.now(), admission.Renewal, 0); err != nil {
@@ -78,5 +81,5 @@
 	}
 }
 
-// isLater tells whether a refusal says when to come.
+// asDeferred returns the *deferredError in err, if there is one.
 func asDeferred(err error) (*deferredError, bool) { return errors.AsType[*deferredError](err) }
--- a/internal/registry/catalog.go
+++ b/internal/registry/catalog.go
@@ -1,6 +1,6 @@
-// Package registry is the project's own list service: instances register under leases, and whoever wants to know
-// who is there reads the list or watches it. Catalog, History and the functions on lists are deterministic and know
-// no clock, file or socket; Store owns the file, and Server the sockets and the one goroutine that changes things.
+// Package registry implements the list service: instances register under leases, and clients read the list of
+// instances or watch it for changes. Catalog, History and the functions on lists are deterministic and use no clock,
+// file or socket. Store owns the log file; Server owns the sockets and the one goroutine that changes the state.
 package registry
 
 import (
@@ -13,36 +13,37 @@
 	"harrierramp/internal/listwatch"
 )
 
-// Why a claim is not granted. A Conflict is told by its own type.
+// Reasons for which a request is refused. A conflict has its own type, ConflictError.
 var (
 	ErrNotFound = errors.New("no such instance")
 	ErrFull     = errors.New("the list is full")
 	ErrInvalid  = errors.New("bad claim")
 )
 
-// Conflict is a claim on an id or an address that another has.
+// ConflictError reports that a requested id or address is held by another instance or owner.
 type ConflictError struct {
-	Resource  string        // what is taken
-	Holder    string        // the id that has it
-	ExpiresIn time.Duration // when it falls free, if its lease is not renewed
+	Resource  string        // the id or address in conflict
+	Holder    string        // id of the instance that holds it
+	ExpiresIn time.Duration // remaining time of the holder's lease
 }
 
 func (c *ConflictError) Error() string {
 	return fmt.Sprintf("%s is taken by %s for another %d ms", c.Resource, c.Holder, c.ExpiresIn.Milliseconds())
 }
 
-// Options are the rules of a catalog.
+// Options configures a catalog.
 type Options struct {
 	MaxInstances int
-	Grace        time.Duration // what every lease gets on top when a server starts or is promoted
-	// A server that loses sight of more than PreserveShare of its instances at once, and of at least PreserveLeast,
-	// is more likely cut off itself: it lets no lease lapse, for at most PreserveFor.
+	Grace        time.Duration // added to every lease when a server starts or is promoted
+	// A server that hears nothing from more than PreserveShare of its instances at once, and from at least
+	// PreserveMinCount, is more likely cut off itself. It then expires no lease for at most PreserveFor
+	// (self-preservation).
 	PreserveShare    float64
 	PreserveMinCount int
 	PreserveFor      time.Duration
 }
 
-// DefaultOptions are the rules unless a deployment says otherwise.
+// DefaultOptions returns the options that apply unless the configuration overrides them.
 func DefaultOptions() Options {
 	return Options{
 		MaxInstances: 10_000, Grace: 5 * time.Second,
@@ -50,10 +51,11 @@
 	}
 }
 
-// Catalog holds the instances and their leases. Whatever changes the list is a List that the catalog makes and then
-// applies: the caller writes it down in between, so that nothing holds that would not outlast the process.
+// Catalog holds the instances and their leases. A method that changes the list returns the change as a List and does
+// not apply it. The caller persists that List and then passes it to Apply, so that a change takes effect only once it
+// survives a restart of the process.
 //
-// Invariants: no two members have an id or an address in common; head only rises.
+// Invariants: no two members share an id or an address; head never decreases.
 type Catalog struct {
 	opts     Options
 	head     Revision
@@ -62,15 +64,15 @@
 	idByAddr map[string]string
 
 	floor           *listwatch.Floor
-	settling        bool // the list was begun anew, until Settled holds
+	settling        bool // the list was newly begun, and the change made by EndSettling is not applied yet
 	preserving      bool
-	preservingSince time.Duration // preserving, or the last time it was not
-	recentExpiries  []expiry      // of the last lease time, oldest first
-	ExpiredLeases   int64         // leases that lapsed
-	Preservations   int64         // times that lapses were held back
+	preservingSince time.Duration // start of the present or the latest self-preservation
+	recentExpiries  []expiry      // within the last lease duration, oldest first
+	ExpiredLeases   int64         // total number of expired leases
+	Preservations   int64         // how often self-preservation began
 }
 
-// held is a member whose lease ends at until.
+// leasedMember is a member with the time at which its lease ends.
 type leasedMember struct {
 	Member
 	expiresAt time.Duration
@@ -80,27 +82,27 @@
 	return time.Duration(h.LeaseMS) * time.Millisecond
 }
 
-// lapse is how many leases lapsed together.
+// expiry records how many leases expired at one time.
 type expiry struct {
 	at    time.Duration
 	count int
 }
 
-// NewCatalog is an empty list without a revision.
+// NewCatalog returns an empty catalog at revision 0.
 func NewCatalog(opt Options) *Catalog {
 	return &Catalog{opts: opt, members: map[string]*leasedMember{}, idByAddr: map[string]string{}}
 }
 
-// Head is the revision of the list.
+// Head returns the revision of the list.
 func (c *Catalog) Head() Revision { return c.head }
 
-// Len is how many instances are listed.
+// Len returns the number of listed instances.
 func (c *Catalog) Len() int { return len(c.members) }
 
-// Preserving tells whether lapses are held back now.
+// Preserving reports whether self-preservation holds back expired leases now.
 func (c *Catalog) Preserving() bool { return c.preserving }
 
-// Whole is the whole list, with leases and lineage.
+// Snapshot returns the complete list with leases and lineage.
 func (c *Catalog) Snapshot() List {
 	l := List{Revision: c.head, Complete: true, Members: make([]Member, 0, len(c.members)), Lineage: c.lineage, Settling: c.settling, Floor: c.floor}
 	for _, h := range c.members {
@@ -110,14 +112,15 @@
 	return l
 }
 
-// Apply takes over a list that was made here, read from the log or heard from the primary. Leases begin anew by it.
+// Apply applies a list that was made by this catalog, read from the log or received from the primary. The lease of
+// each member in it restarts at now.
 func (c *Catalog) Apply(now time.Duration, l List) {
 	if l.Complete {
 		clear(c.members)
 		clear(c.idByAddr)
 	}
 	for _, m := range l.Members {
-		// In a list of several changes the address may be another's by now.
+		// If the list holds several changes, an earlier one may have given the old address to another member.
 		if old := c.members[m.ID]; old != nil && c.idByAddr[old.Addr] == m.ID {
 			delete(c.idByAddr, old.Addr)
 		}
@@ -138,13 +141,14 @@
 	c.head, c.settling = max(c.head, l.Revision), l.Settling
 }
 
-// Restore goes back to a whole list: what was applied after it could not be written down.
+// Restore returns to a complete list, because the changes applied after it could not be persisted.
 func (c *Catalog) Restore(now time.Duration, l List) {
 	c.head = 0
 	c.Apply(now, l)
 }
 
-// Grace gives every lease its full time and the grace on top: those who hold them could not renew them of late.
+// ExtendLeases restarts every lease with its full duration plus the grace time. It is called after a start or a
+// promotion, before which the owners could not renew their leases.
 func (c *Catalog) ExtendLeases(now time.Duration) {
 	for _, h := range c.members {
 		h.expiresAt = now + h.leaseDuration() + c.opts.Grace
@@ -152,13 +156,13 @@
 	c.preserving, c.recentExpiries = false, nil
 }
 
-// changes is the next revision of this epoch.
+// delta returns a list with the given changes at the next revision of the present epoch.
 func (c *Catalog) delta(members ...Member) List {
 	return List{Revision: c.head + 1, Members: members, Settling: c.settling}
 }
 
-// Require sets what is asked of every node; an empty floor asks nothing any more. No revision can be asked for that is
-// not given yet.
+// SetFloor returns the change that sets the minimum build, configuration and revision required of every node; an empty floor removes the
+// requirement. A required revision must have been issued already.
 func (c *Catalog) SetFloor(f listwatch.Floor) (List, error) {
 	for name, value := range map[string]string{"build": f.Build, "config": f.Config} {
 		if value == "" {
@@ -179,23 +183,24 @@
 	return l, nil
 }
 
-// Settled ends the time in which the list that was begun anew may lack instances that are there.
+// EndSettling returns the change that ends the period in which a newly begun list may lack running instances.
 func (c *Catalog) EndSettling() List {
 	l := c.delta()
 	l.Members, l.Settling = []Member{}, false
 	return l
 }
 
-// Register grants a claim on an id and an address. Without a change to the list, the claim is only a renewal.
+// Register registers an instance under an id and an address. A registration that changes nothing in the list is a
+// renewal of the lease.
 //
-// An owner is a process. Another owner gets an id while its lease lives only if it has started later at the same
-// address, for then the one before is gone. An owner that tells no start is taken to have started by the wall clock.
+// An owner is a process. While the lease of an id is valid, another owner gets the id only if it started later at the
+// same address, because then the previous process has ended. If an owner states no start time, wallMS is taken.
 func (c *Catalog) Register(now time.Duration, wallMS int64, m Member) (List, error) {
 	old := c.members[m.ID]
 	sameOwner := old != nil && old.Owner == m.Owner
 	if m.Phase == "" {
 		if m.Phase = Serving; sameOwner {
-			m.Phase = old.Phase // as operators may have set it
+			m.Phase = old.Phase // an operator may have set it
 		}
 	}
 	if m.UpSince == 0 {
@@ -214,7 +219,7 @@
 		return List{}, &ConflictError{"id " + m.ID, m.ID, old.expiresAt - now}
 	}
 	if old != nil && !sameOwner {
-		m.UpSince = max(m.UpSince, old.UpSince+1) // a restart shows, whatever the clock did
+		m.UpSince = max(m.UpSince, old.UpSince+1) // a restart must be visible even if the clock was set back
 	}
 	var removed []Member
 	if id := c.idByAddr[m.Addr]; id != "" && id != m.ID {
@@ -234,7 +239,8 @@
 	return c.delta(append(removed, m)...), nil
 }
 
-// of finds a member for its owner. Operators come with no owner.
+// lookup returns the member with the given id if owner owns it. An empty owner stands for an operator, who may act on
+// every member.
 func (c *Catalog) lookup(now time.Duration, id, owner string) (*leasedMember, error) {
 	h := c.members[id]
 	switch {
@@ -246,7 +252,7 @@
 	return h, nil
 }
 
-// Renew keeps a lease for its full time from now.
+// Renew restarts a lease with its full duration and returns that duration.
 func (c *Catalog) Renew(now time.Duration, id, owner string) (time.Duration, error) {
 	h, err := c.lookup(now, id, owner)
 	if err != nil {
@@ -256,7 +262,7 @@
 	return h.leaseDuration(), nil
 }
 
-// Withdraw takes an instance from the list.
+// Withdraw returns the change that removes an instance from the list.
 func (c *Catalog) Withdraw(now time.Duration, id, owner string) (List, error) {
 	h, err := c.lookup(now, id, owner)
 	if err != nil {
@@ -265,7 +271,7 @@
 	return c.delta(asDeleted(h.Member)), nil
 }
 
-// SetPhase changes an instance's phase; an owner's word is a renewal as well.
+// SetPhase returns the change of an instance's phase. If the owner calls it, the lease is renewed as well.
 func (c *Catalog) SetPhase(now time.Duration, id, owner, phase string) (List, error) {
 	h, err := c.lookup(now, id, owner)
 	if err != nil {
@@ -290,14 +296,15 @@
 	return m
 }
 
-// Lapse takes those from the list whose leases have ended, unless too many ended at once.
+// Expire returns the change that removes the instances whose leases have ended. It removes none while
+// self-preservation is active, which begins if too many instances are silent at once and lasts at most PreserveFor.
 func (c *Catalog) Expire(now time.Duration) List {
 	var expired []string
 	silent, longestLease := 0, time.Duration(0)
 	for _, id := range slices.Sorted(maps.Keys(c.members)) {
 		h := c.members[id]
-		// Whoever renews in time does so twice in a lease, so half a lease without a word is a sign already. Counted
-		// only when over, the first leases to end would be taken for single losses.
+		// An owner renews at least twice per lease, so half a lease without a renewal already counts as silence. If
+		// only ended leases counted, the first ones of a mass loss would be taken for single losses and removed.
 		if h.expiresAt-now <= h.leaseDuration()/2 {
 			silent++
 			longestLease = max(longestLease, h.leaseDuration())
@@ -313,7 +320,7 @@
 	}
 	if massLoss := silent >= c.opts.PreserveMinCount && float64(silent) > c.opts.PreserveShare*float64(total); !massLoss {
 		if c.preserving {
-			// Contact is back, but not everybody has used it yet.
+			// Contact has returned, but some instances may not have renewed since: their leases restart.
 			for _, id := range expired {
 				c.members[id].expiresAt = now + c.members[id].leaseDuration()
 			}
@@ -338,13 +345,14 @@
 	return c.delta(removed...)
 }
 
-// Lapsed notes that a list made by Lapse holds.
+// RecordExpired counts the leases of a list that was made by Expire and has been applied.
 func (c *Catalog) RecordExpired(now time.Duration, l List) {
 	c.ExpiredLeases += int64(len(l.Members))
 	c.recentExpiries = append(c.recentExpiries, expiry{now, len(l.Members)})
 }
 
-// Promote begins an epoch of this server's after the given one, which no server may have passed.
+// Promote returns the list that begins an epoch owned by this server. The epoch follows both the catalog's own and
+// after, the latest epoch known of other servers.
 func (c *Catalog) Promote(server int, after Epoch) (List, error) {
 	e, err := max(after, c.head.Epoch()).nextOwnedBy(server)
 	if err != nil {
--- a/internal/registry/feed.go
+++ b/internal/registry/feed.go
@@ -7,19 +7,20 @@
 	"harrierramp/internal/auditlog"
 )
 
-// maxLines bounds the encoded lines that are kept for watchers at the same revision.
+// maxCachedLines bounds the number of encoded lines that are cached for watchers at the same revision.
 const maxCachedLines = 64
 
-// feed is where watchers get their lines. It holds nothing for any one of them: a watcher comes with the revision it
-// has, and gets one line that leads from there to the present. So one that is slow skips what is between, costs no
-// memory but the line it is being sent, and delays nobody; and a change costs one encoding for all who are up to date.
+// feed provides the lines that are sent to watchers. It keeps no state per watcher: a watcher states the revision that
+// it has and gets one line with all changes from there to the present. A slow watcher therefore skips intermediate
+// revisions, holds no memory but the line being sent, and delays no other watcher. A change is encoded once for all
+// watchers that are up to date.
 type feed struct {
-	coalesceInterval time.Duration // changes so close together wake watchers once
+	coalesceInterval time.Duration // changes within this interval notify watchers once
 
 	mu              sync.Mutex
 	history         *History
-	notifyScheduled bool          // a wake is on its way
-	changed         chan struct{} // closed by the next wake
+	notifyScheduled bool          // notify is due to run
+	changed         chan struct{} // closed by the next notify
 	lineCache       map[lineKey][]byte
 }
 
@@ -32,7 +33,7 @@
 	return &feed{coalesceInterval: coalesceInterval, history: NewHistory(), changed: make(chan struct{}), lineCache: map[lineKey][]byte{}}
 }
 
-// add tells of lists that hold.
+// publish adds lists that have been persisted and schedules a notification of the watchers.
 func (f *feed) publish(lists ...List) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -53,7 +54,8 @@
 	f.notifyScheduled, f.changed = false, make(chan struct{})
 }
 
-// next is what a watcher is to be sent; no line if it is up to date. News come when to ask again.
+// update is what to send to a watcher. line is nil if the watcher is up to date. changed is closed when the watcher
+// should ask again.
 type update struct {
 	line     []byte
 	head     Revision
@@ -61,7 +63,8 @@
 	changed  <-chan struct{}
 }
 
-// since leads on from a revision. Who has nothing to hear is only told so if it is the first time.
+// updateSince returns the update from a revision to the present. A watcher that is up to date gets a line only if
+// initial is set.
 func (f *feed) updateSince(after Revision, withLeases, initial bool) (update, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -70,7 +73,7 @@
 		return u, nil
 	}
 	if u.complete = !f.history.covers(after); u.complete {
-		after = 0 // the whole list is the same for all
+		after = 0 // all watchers share one encoding of the complete list
 	}
 	key := lineKey{after, withLeases}
 	line, cached := f.lineCache[key]
@@ -87,28 +90,28 @@
 	return u, nil
 }
 
-// whole is the list as it holds, with leases.
+// snapshot returns the persisted complete list with leases.
 func (f *feed) snapshot() List {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.history.Since(0)
 }
 
-// leadsFrom tells whether changes lead from a revision to the list of now.
+// hasChangesSince reports whether the changes from a revision to the present are known.
 func (f *feed) hasChangesSince(after Revision) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return after == f.history.head || f.history.covers(after)
 }
 
-// told is the changes that are remembered.
+// auditHistory returns the retained changes.
 func (f *feed) auditHistory() auditlog.History {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.history.AuditHistory()
 }
 
-// head is the revision that holds.
+// head returns the revision of the persisted list.
 func (f *feed) head() Revision {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/registry/history.go
+++ b/internal/registry/history.go
@@ -8,18 +8,18 @@
 	"harrierramp/internal/listwatch"
 )
 
-// maxHistory bounds how many changes are kept for watchers that come with an older revision.
+// maxHistory bounds how many changes are kept for watchers that resume from an older revision.
 const maxHistory = 4096
 
-// History is what watchers can be told: the list, and what changed on the way to it.
+// History holds what watchers can be sent: the list and the recent changes that led to it.
 //
-// Invariant: every change after floor is in ring, in order.
+// Invariant: changes holds every change after the revision compacted, in order.
 type History struct {
 	head      Revision
 	compacted Revision
 	lineage   lineage
 	settling  bool             // List.Settling of the head
-	required  *listwatch.Floor // of every node; an empty one where that was taken back
+	required  *listwatch.Floor // minimum versions required of every node; empty after the requirement was removed
 	atMS      int64            // List.AtMS of the head
 	members   map[string]Member
 	changes   []change
@@ -31,10 +31,11 @@
 	atMS     int64 // List.AtMS
 }
 
-// NewHistory knows nothing yet.
+// NewHistory returns an empty history at revision 0.
 func NewHistory() *History { return &History{members: map[string]Member{}} }
 
-// Add takes over what the catalog has applied. Nothing leads to a whole list but the list itself.
+// Add adds a list that the catalog has applied. A complete list discards the earlier changes, because they do not lead
+// to it.
 func (h *History) Add(l List) {
 	if l.Complete {
 		h.changes, h.compacted = nil, l.Revision
@@ -61,12 +62,12 @@
 	h.head, h.settling, h.atMS = l.Revision, l.Settling, l.AtMS
 }
 
-// tells whether what changed after a revision is known.
+// covers reports whether all changes after a revision are known.
 func (h *History) covers(after Revision) bool {
 	return after >= h.compacted && after > 0 && h.lineage.contains(after, h.head)
 }
 
-// Told is what an audit holds the acts of nodes against: the changes in the ring.
+// AuditHistory returns the retained changes, with which an audit compares the actions of nodes.
 func (h *History) AuditHistory() auditlog.History {
 	out := auditlog.History{Floor: int64(h.compacted), Head: int64(h.head), Changes: make([]auditlog.Change, 0, len(h.changes))}
 	for _, c := range h.changes {
@@ -75,8 +76,8 @@
 	return out
 }
 
-// Since is what leads from a revision to the list of now: the latest state of all that changed, or the whole list
-// when that can't be told.
+// Since returns what leads from a revision to the present list: the latest state of every member that changed, or the
+// complete list if the changes are not known.
 func (h *History) Since(after Revision) List {
 	if !h.covers(after) {
 		l := List{Revision: h.head, Complete: true, Members: slices.AppendSeq([]Member{}, maps.Values(h.members)), Lineage: h.lineage, Settling: h.settling, Floor: h.required}
--- a/internal/registry/http.go
+++ b/internal/registry/http.go
@@ -20,16 +20,16 @@
 const (
 	maxBodyBytes         = 4 << 10
 	maxReportsBodyBytes  = 64 << 10
-	readTimeout          = 2 * time.Second // for a whole request; who is slower has to be closed within 3 s
-	writeTimeout         = 3 * time.Second // for one line to a watcher, or a whole answer
+	readTimeout          = 2 * time.Second // for a whole request; a slower client must be disconnected within 3 s
+	writeTimeout         = 3 * time.Second // for one line to a watcher, or a whole response
 	commandTimeout       = 2 * time.Second
-	idleTimeout          = time.Minute // longer than the pauses between renewals
+	idleTimeout          = time.Minute // longer than the time between renewals of one instance
 	maxHeartbeatInterval = 2 * time.Second
-	minHeartbeatInterval = 100 * time.Millisecond // that a watcher may ask for
+	minHeartbeatInterval = 100 * time.Millisecond // shortest interval that a watcher may request
 	defaultLeaseMS       = 10_000
 )
 
-// claim is the body of a registration.
+// registration is the body of a request to register an instance.
 type registration struct {
 	Addr     string  `json:"host_port"`
 	Locality string  `json:"locality"`
@@ -42,7 +42,7 @@
 	LeaseMS  int64   `json:"lease_ms"`
 }
 
-// member is the claim of an id, with what it leaves open filled in.
+// member returns the member to register under id, with defaults for omitted fields.
 func (c registration) member(id string) (Member, error) {
 	if c.Cell == nil {
 		return Member{}, fmt.Errorf("%w: cell is missing", ErrInvalid)
@@ -63,13 +63,13 @@
 	return m, nil
 }
 
-// granted answers whoever holds a lease.
+// leaseGrant is the response to a registration or a renewal.
 type leaseGrant struct {
 	Revision Revision `json:"revision"`
 	LeaseMS  int64    `json:"lease_ms"`
 }
 
-// Handler answers nodes, instances and other servers.
+// Handler returns the handler for nodes, instances and other servers.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /registry/instances", s.getInstances)
@@ -87,7 +87,7 @@
 	return mux
 }
 
-// HTTPServer serves h to at most so many connections; who comes beyond them is closed at once.
+// HTTPServer returns a server that serves h on at most maxConns connections. Further connections are closed at once.
 func (s *Server) HTTPServer(h http.Handler, maxConns int64, log *slog.Logger) *http.Server {
 	var open atomic.Int64
 	return &http.Server{
@@ -109,7 +109,7 @@
 	}
 }
 
-// answer writes a value as JSON.
+// writeJSON writes a value as JSON.
 func (s *Server) writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(v); err != nil {
@@ -117,7 +117,8 @@
 	}
 }
 
-// refuse tells why not, and for some reasons when or where to come instead.
+// writeError writes the error as a response. Depending on the error, the response also says when to retry or which
+// server is the primary.
 func (s *Server) writeError(w http.ResponseWriter, err error) {
 	response := struct {
 		Error   string `json:"error"`
@@ -165,7 +166,7 @@
 	}
 }
 
-// body reads a bounded body whole.
+// readBody reads a whole request body of at most limit bytes.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	if err != nil {
@@ -174,7 +175,7 @@
 	return raw, nil
 }
 
-// read reads the body of a call: one JSON object with no fields but those that v names.
+// decodeBody decodes a request body into v. The body must be one JSON object without unknown fields.
 func decodeBody(w http.ResponseWriter, r *http.Request, v any) error {
 	raw, err := readBody(w, r, maxBodyBytes)
 	if err != nil {
@@ -191,7 +192,7 @@
 	return nil
 }
 
-// order carries out what a call asks for, and answers it.
+// runCommand executes a plan on the primary and writes its reply as the response.
 func (s *Server) runCommand(w http.ResponseWriter, r *http.Request, p planFunc) {
 	ctx, cancel := context.WithTimeout(r.Context(), commandTimeout)
 	defer cancel()
@@ -224,7 +225,7 @@
 	})
 }
 
-// owned is the body of a call on an instance that its owner makes.
+// ownerRequest is the body of an owner's request for its instance.
 type ownerRequest struct {
 	Owner string `json:"owner"`
 	Phase string `json:"phase"`
@@ -241,7 +242,7 @@
 	return o, nil
 }
 
-// byOwner answers a call on an instance that its owner makes.
+// handleOwnerRequest decodes an owner's request for its instance and executes plan for it.
 func (s *Server) handleOwnerRequest(w http.ResponseWriter, r *http.Request, plan func(now time.Duration, id string, o ownerRequest) (List, any, error)) {
 	o, err := readOwnerRequest(w, r)
 	if err != nil {
@@ -273,7 +274,7 @@
 	})
 }
 
-// require sets what is asked of every node.
+// setFloor sets the minimum build, configuration and revision required of every node.
 func (s *Server) setFloor(w http.ResponseWriter, r *http.Request) {
 	var f listwatch.Floor
 	if err := decodeBody(w, r, &f); err != nil {
@@ -286,7 +287,7 @@
 	})
 }
 
-// report takes notices. Any server takes them, also one that follows: a node must not wait for the primary.
+// addNotices stores notices. Followers accept them too, so that a node need not wait for the primary.
 func (s *Server) addNotices(w http.ResponseWriter, r *http.Request) {
 	raw, err := readBody(w, r, maxReportsBodyBytes)
 	if err != nil {
@@ -307,7 +308,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// number reads a number from the query; absent is 0.
+// queryInt returns a non-negative number from the query; 0 if it is absent.
 func queryInt(r *http.Request, name string) (int64, error) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
--- a/internal/registry/list.go
+++ b/internal/registry/list.go
@@ -14,7 +14,7 @@
 	"harrierramp/internal/listwatch"
 )
 
-// Phases of an instance. The last is used among changes only.
+// Phases of an instance. Deleted occurs only in changes, never in a complete list.
 const (
 	Serving  = "SERVING"
 	Draining = "DRAINING"
@@ -22,7 +22,7 @@
 )
 
 const (
-	maxNameLen = 64  // bytes of an id, an owner, a locality or a flavor
+	maxNameLen = 64  // bytes of an id, an owner, a locality, a flavor, a build or a config
 	maxAddrLen = 128 // bytes of a host_port
 	maxCell    = 1 << 20
 	maxSize    = 1e9
@@ -31,7 +31,7 @@
 	maxUpSince = int64(1) << 53
 )
 
-// Instance is an entry of the list as watchers are told of it.
+// Instance is an entry of the list as it is sent to watchers.
 type Instance struct {
 	ID       string  `json:"id"`
 	Addr     string  `json:"host_port"`
@@ -43,29 +43,31 @@
 	UpSince  int64   `json:"up_since_ms"`
 }
 
-// Member is an instance with the lease it is listed under. Only servers tell each other of leases.
+// Member is an instance with its lease. Leases are sent between servers only.
 type Member struct {
 	Instance
 	Owner   string `json:"owner,omitempty"`
 	LeaseMS int64  `json:"lease_ms,omitempty"`
 }
 
-// List is the list of one revision, or what changed up to it. It is also the form in which the log holds changes and
-// in which a follower hears of them, with Lineage then.
+// List is the complete list at a revision, or the changes that lead to that revision. It is also the form in which the
+// log stores changes and in which followers receive them, then with Lineage.
 type List struct {
 	Revision Revision `json:"revision"`
 	Complete bool     `json:"complete"`
 	Members  []Member `json:"members"`
 	Lineage  lineage  `json:"lineage,omitempty"`
-	// Settling says that the list was begun anew, and that instances which are there may not have registered yet.
+	// Settling reports that the list was newly begun and that running instances may not have registered yet.
 	Settling bool `json:"settling,omitempty"`
-	// AtMS is when the server that decided a change took it, by its clock. Only servers tell each other, and the audit.
+	// AtMS is the time of the change by the clock of the server that decided it. It is sent to other servers and to
+	// audits only.
 	AtMS int64 `json:"at_ms,omitempty"`
-	// Floor is what is asked of every node from this revision on. Among changes nil is no news; an empty one asks nothing.
+	// Floor is the minimum build, configuration and revision required of every node from this revision on. In changes,
+	// nil means unchanged, and an empty Floor removes the requirement.
 	Floor *listwatch.Floor `json:"floor,omitempty"`
 }
 
-// public is the list as anybody may see it.
+// public returns the list without leases and other data that is sent between servers only.
 func (l List) public() any {
 	public := struct {
 		Revision Revision   `json:"revision"`
@@ -81,7 +83,7 @@
 	return public
 }
 
-// line is the list in one line, with or without what only servers are told.
+// encodeLine encodes the list as one line, with or without leases and other data that is sent between servers only.
 func (l List) encodeLine(withLeases bool) ([]byte, error) {
 	var value any = l
 	if !withLeases {
@@ -91,7 +93,7 @@
 	return append(raw, '\n'), err
 }
 
-// readList reads a line of another server or a record of the log.
+// decodeList decodes a line from another server or a record of the log, and validates it.
 func decodeList(raw []byte) (List, error) {
 	var l List
 	if err := json.Unmarshal(raw, &l); err != nil {
@@ -111,10 +113,10 @@
 	return l, nil
 }
 
-// byID orders members, so that equal lists are equal to the byte.
+// compareByID orders members by id, so that equal lists have the same encoding.
 func compareByID(a, b Member) int { return cmp.Compare(a.ID, b.ID) }
 
-// check tells what is wrong with a member.
+// validate returns an error that says what is wrong with the member.
 func (m Member) validate() error {
 	if m.Phase != Serving && m.Phase != Draining && m.Phase != Deleted {
 		return fmt.Errorf("phase %q is not known: %s or %s", m.Phase, Serving, Draining)
--- a/internal/registry/ops.go
+++ b/internal/registry/ops.go
@@ -8,11 +8,12 @@
 
 const (
 	promoteTimeout = peerTimeout + commandTimeout
-	// A follower that has not heard from its primary for so long is no good copy to send new readers to.
+	// A follower that has heard nothing from its primary for this long reports that it is not ready, because its copy
+	// may be stale.
 	followerStaleAfter = 10 * time.Second
 )
 
-// Console answers operators.
+// OpsHandler returns the handler of the operator interface.
 func (s *Server) OpsHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /ops/readiness", func(w http.ResponseWriter, _ *http.Request) {
@@ -55,7 +56,7 @@
 	return mux
 }
 
-// notReady tells why no new reader should be sent here, if so.
+// notReadyReason returns why new readers should not be sent to this server; empty if it is ready.
 func (s *Server) notReadyReason() string {
 	switch {
 	case s.feed.head() == 0:
--- a/internal/registry/peers.go
+++ b/internal/registry/peers.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	peerPollInterval     = time.Second            // between asks of the other servers, with jitter
-	fastPeerPollInterval = 150 * time.Millisecond // while this server waits for one of them: to be confirmed, or to follow
+	peerPollInterval     = time.Second            // between status requests to the other servers, with jitter
+	fastPeerPollInterval = 150 * time.Millisecond // while this server waits for another: to be confirmed, or to follow
 	peerTimeout          = time.Second
-	peerStatusTTL        = 5 * time.Second // what a server said so long ago is no longer known
+	peerStatusTTL        = 5 * time.Second // an older status counts as unknown
 )
 
-// status is what servers tell each other, and whoever asks.
+// status is the state that a server reports to the other servers and to clients.
 type status struct {
 	Number    int      `json:"number"`
 	Role      role     `json:"role"`
 	Epoch     Epoch    `json:"epoch"`
 	Revision  Revision `json:"revision"`
 	Instances int64    `json:"instances"`
-	Primary   string   `json:"primary,omitempty"` // whom a follower follows
+	Primary   string   `json:"primary,omitempty"` // address of the server that a follower follows
 }
 
-// peers is what is known of the other servers.
+// peers holds the last known status of the other servers.
 type peers struct {
 	others []string // addresses
 
@@ -60,7 +60,7 @@
 	p.last[addr] = receivedStatus{st, time.Now()}
 }
 
-// known are the servers that have told their state of late.
+// recentStatuses returns the status by address of the servers that reported one within peerStatusTTL.
 func (p *peers) recentStatuses() map[string]status {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -73,7 +73,8 @@
 	return out
 }
 
-// primary is the address of the present one, empty if none is known: of several, that of the latest epoch.
+// primary returns the address of the primary, empty if none is known. If several servers claim to be the primary, the
+// one with the latest epoch is returned.
 func (p *peers) primary() string {
 	known := p.recentStatuses()
 	var best string
@@ -85,7 +86,7 @@
 	return best
 }
 
-// latest is the latest epoch that another server has.
+// latestEpoch returns the latest epoch among the given statuses.
 func latestEpoch(known map[string]status) Epoch {
 	var e Epoch
 	for _, st := range known {
@@ -94,7 +95,7 @@
 	return e
 }
 
-// status is what this server tells.
+// status returns the status of this server.
 func (s *Server) status() status {
 	head := s.feed.head()
 	st := status{
@@ -107,7 +108,7 @@
 	return st
 }
 
-// askPeers keeps asking the other servers, and lets the loop draw the conclusions.
+// pollPeers requests the status of the other servers repeatedly and has the loop update the role after each round.
 func (s *Server) pollPeers(ctx context.Context) {
 	if len(s.peers.others) == 0 {
 		return
@@ -125,7 +126,7 @@
 	}
 }
 
-// askAll asks all the other servers once, and returns the latest epoch among them.
+// pollAllPeers requests the status of all other servers once and returns the latest epoch known of them.
 func (s *Server) pollAllPeers(ctx context.Context) Epoch {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
@@ -167,7 +168,8 @@
 	return st, nil
 }
 
-// conclude settles the role by what is known of the others: a later epoch ends this server's.
+// updateRole sets the role by the statuses of the other servers. If another server has a later epoch, this server
+// becomes a follower.
 func (s *Server) updateRole(now time.Duration) (List, any, error) {
 	known := s.peers.recentStatuses()
 	switch superseded := latestEpoch(known) > s.catalog.Head().Epoch(); {
@@ -181,7 +183,7 @@
 	return List{}, nil, nil
 }
 
-// follow copies the primary's list while this server is a follower.
+// followPrimary replicates the primary's list while this server is a follower.
 func (s *Server) followPrimary(ctx context.Context) {
 	for ctx.Err() == nil {
 		addr := s.peers.primary()
@@ -211,8 +213,8 @@
 	}
 }
 
-// copied takes over a list of the primary's, unless it is older than what is known: then it comes from a server that
-// has been deposed, or has lost its folder.
+// planReplicated accepts a list from the primary. It refuses one that is older than the present list, because the
+// sender has then been deposed or has lost its state directory.
 func (s *Server) planReplicated(l List) (List, any, error) {
 	switch head := s.catalog.Head(); {
 	case !s.is(roleFollower):
@@ -225,7 +227,7 @@
 	return l, nil, nil
 }
 
-// pause waits, or until ctx ends.
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/registry/revision.go
+++ b/internal/registry/revision.go
@@ -5,13 +5,14 @@
 	"slices"
 )
 
-// Revision numbers a state of the list. Its upper part is the epoch in which it was made and its lower 32 bits count
-// the changes of that epoch, so that whatever a promoted server says comes after all that its predecessor has said,
-// also what it said that the promoted one never heard. JSON readers that hold numbers as doubles keep all of it.
+// Revision numbers a state of the list. The upper bits are the epoch in which it was made, the lower 32 bits count the
+// changes of that epoch. Every revision of a promoted server is therefore higher than all revisions of its predecessor,
+// including those that the promoted server never received. A revision fits in 53 bits, so that JSON readers that store
+// numbers as doubles keep its exact value.
 type Revision int64
 
-// Epoch is a term of one primary. The server that owns it is told by the number itself, so that two servers
-// promoted at the same moment never own the same one.
+// Epoch is the term of one primary. The number determines the server that owns it, so that two servers promoted at the
+// same time never own the same epoch.
 type Epoch int64
 
 const (
@@ -20,16 +21,16 @@
 	maxEpoch   = Epoch(1)<<(53-epochBits) - 1
 )
 
-// firstOf is the revision that an epoch begins with.
+// firstRevision returns the revision that an epoch begins with.
 func firstRevision(e Epoch) Revision { return Revision(e) << epochBits }
 
-// Epoch is the epoch of the revision.
+// Epoch returns the epoch of the revision.
 func (r Revision) Epoch() Epoch { return Epoch(r >> epochBits) }
 
-// Owner is the number of the server that owns the epoch.
+// Owner returns the number of the server that owns the epoch.
 func (e Epoch) Owner() int { return int(e % maxServers) }
 
-// next is the first epoch after e that a server owns.
+// nextOwnedBy returns an epoch after e that is owned by the given server.
 func (e Epoch) nextOwnedBy(server int) (Epoch, error) {
 	n := (e/maxServers+1)*maxServers + Epoch(server)
 	if n > maxEpoch {
@@ -38,20 +39,22 @@
 	return n, nil
 }
 
-// Boundary tells how far an epoch reaches in a server's past.
+// Boundary is the last revision of an epoch in a server's history.
 type Boundary struct {
 	Epoch Epoch    `json:"epoch"`
 	Last  Revision `json:"last"`
 }
 
-// maxLineage bounds how many epochs are remembered; who comes from an older one gets the whole list.
+// maxLineageEpochs bounds how many past epochs are kept. A watcher with a revision of an older epoch gets the complete
+// list.
 const maxLineageEpochs = 64
 
-// lineage is a server's past, oldest epoch first, without the present epoch.
+// lineage lists the past epochs of a server's list, oldest first, without the present one.
 type lineage []Boundary
 
-// holds tells whether a revision not after head lies in the past that leads to head. A revision that another server
-// made after the two parted does not: what changed after it can't be told, only the whole list can.
+// contains reports whether r is head or one of the revisions that led to head. A revision that another server made
+// after the histories diverged is not: the changes since such a revision are unknown, and its holder needs the
+// complete list.
 func (l lineage) contains(r, head Revision) bool {
 	if r > head {
 		return false
@@ -63,10 +66,10 @@
 	return i >= 0 && r <= l[i].Last
 }
 
-// after is the lineage of the epoch that begins when head is left behind.
+// extend returns the lineage of the epoch that follows the one of head.
 func (l lineage) extend(head Revision) lineage {
 	if head == 0 {
-		return nil // nothing was ever said before
+		return nil // there was no list before
 	}
 	l = append(slices.Clone(l), Boundary{head.Epoch(), head})
 	return l[max(0, len(l)-maxLineageEpochs):]
--- a/internal/registry/rollout.go
+++ b/internal/registry/rollout.go
@@ -13,7 +13,8 @@
 	"harrierramp/internal/rollout"
 )
 
-// desk is where nodes tell what they have applied. Each server keeps what it was told; who asks joins them.
+// rolloutTable holds the reports of nodes on the revision, build and configuration that they have applied. Each server
+// keeps only the reports that it received; a client that wants the whole fleet merges the tables of all servers.
 type rolloutTable struct {
 	mu    sync.Mutex
 	table *rollout.Table
@@ -21,7 +22,7 @@
 
 func newRolloutTable() *rolloutTable { return &rolloutTable{table: rollout.NewTable()} }
 
-// with runs something on the table, which holds every revision up to head.
+// update calls fn on the table, after the table has taken note of every revision up to head.
 func (d *rolloutTable) update(now time.Duration, head Revision, fn func(t *rollout.Table)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -29,7 +30,7 @@
 	fn(d.table)
 }
 
-// claimed takes what a node says of itself. Any server takes it, also one that follows.
+// reportNode stores a node's report about itself. Followers accept reports too.
 func (s *Server) reportNode(w http.ResponseWriter, r *http.Request) {
 	var c rollout.Report
 	err := decodeBody(w, r, &c)
@@ -45,12 +46,12 @@
 }
 
 const (
-	nodesPollInterval      = 250 * time.Millisecond // between looks for whoever watches the table
-	nodesHeartbeatInterval = 5 * time.Second        // after which it is told again all the same
+	nodesPollInterval      = 250 * time.Millisecond // between checks for changes on behalf of a watcher of the table
+	nodesHeartbeatInterval = 5 * time.Second        // after which an unchanged table is sent again
 )
 
-// nodes tells what is known of the fleet; with watch=1 a line each time that a claim or a revision has changed it, four a
-// second at most.
+// getNodes returns the table of nodes. With watch=1 it sends the table as a line each time that a report or a revision
+// has changed it, at most four times a second.
 func (s *Server) getNodes(w http.ResponseWriter, r *http.Request) {
 	snapshot := func() (v rollout.Snapshot) {
 		s.rollout.update(s.now(), s.feed.head(), func(t *rollout.Table) { v = t.Snapshot(s.now()) })
@@ -93,7 +94,7 @@
 	}
 }
 
-// forget takes a node out of the table that is gone for good, in the name of an operator.
+// forgetNode removes a node that will not return from the table, at an operator's request.
 func (s *Server) forgetNode(w http.ResponseWriter, r *http.Request) {
 	var found bool
 	name := r.URL.Query().Get("name")
@@ -105,7 +106,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// rosterCode is the status for a claim that is refused; 0 for another error.
+// rolloutStatusCode returns the HTTP status for a refused report; 0 for other errors.
 func rolloutStatusCode(err error) int {
 	switch {
 	case errors.Is(err, rollout.ErrInvalid):
--- a/internal/registry/stats.go
+++ b/internal/registry/stats.go
@@ -10,7 +10,7 @@
 	"harrierramp/internal/rollout"
 )
 
-// figures are what operators read, in the form of the nodes' figures: counters run from the start of the process.
+// stats holds the counters and gauges for operators. Counters start at 0 with the process, as those of nodes do.
 type stats struct {
 	instances, logBytes                 atomic.Int64
 	expiredLeases, preservations        atomic.Int64
@@ -20,12 +20,12 @@
 	connections, rejectedConnections    atomic.Int64
 	badRequests, refusedCalls, failures atomic.Int64
 	diskErrors, notices                 atomic.Int64
-	deferred                            atomic.Int64 // asks that were told when to come
-	primaryHeardAt                      atomic.Int64 // Unix time in nanoseconds; the primary's last line
+	deferred                            atomic.Int64 // requests that were told when to retry
+	primaryHeardAt                      atomic.Int64 // Unix time in nanoseconds of the primary's last line
 	followers                           followerSet
 }
 
-// followers are the watches that other servers follow this one by, with the revision that each has been sent.
+// followerSet holds, for each watch by a following server, the last revision that was sent on it.
 type followerSet struct {
 	mu            sync.Mutex
 	sentRevisions map[*atomic.Int64]struct{}
@@ -45,7 +45,7 @@
 	}
 }
 
-// behind tells how many there are, and how many revisions the last of them is behind.
+// lag returns the number of followers and the largest number of revisions that one of them lags behind head.
 func (f *followerSet) lag(head Revision) (count int, maxLag int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -55,7 +55,7 @@
 	return len(f.sentRevisions), maxLag
 }
 
-// text writes the figures as StatsD lines.
+// statsText returns the statistics as StatsD lines.
 func (s *Server) statsText() []byte {
 	var b bytes.Buffer
 	f, st := &s.stats, s.status()
@@ -104,7 +104,7 @@
 	return b.Bytes()
 }
 
-// silent is how long a follower has not heard of its primary; 0 for a primary.
+// primarySilence returns how long a follower has heard nothing from its primary; 0 unless this server is a follower.
 func (s *Server) primarySilence() time.Duration {
 	if !s.is(roleFollower) {
 		return 0
--- a/internal/registry/watch.go
+++ b/internal/registry/watch.go
@@ -12,7 +12,7 @@
 	"harrierramp/internal/listwatch"
 )
 
-// list answers with the list, or follows it for a watcher.
+// getInstances writes the list, or with watch=1 the list and its changes until the watcher disconnects.
 func (s *Server) getInstances(w http.ResponseWriter, r *http.Request) {
 	after, err := queryInt(r, "after")
 	if err != nil {
@@ -20,7 +20,7 @@
 		return
 	}
 	if s.feed.head() == 0 {
-		s.writeError(w, errNoList) // nobody is to take this for an empty list
+		s.writeError(w, errNoList) // a client must not take this for an empty list
 		return
 	}
 	if err := s.admitList(r, Revision(after)); err != nil {
@@ -56,8 +56,8 @@
 	s.streamList(w, r, Revision(after), r.URL.Query().Get("replica") == "1", heartbeat)
 }
 
-// watch sends a watcher what leads from the revision that it has to the present, for as long as it takes it, and an
-// empty line where nothing has changed for a pause.
+// streamList sends a watcher the changes from its revision to the present and then each later change. When nothing has
+// changed for about the heartbeat interval, it sends an empty line.
 func (s *Server) streamList(w http.ResponseWriter, r *http.Request, after Revision, replica bool, heartbeat time.Duration) {
 	rc := http.NewResponseController(w)
 	if err := rc.SetReadDeadline(time.Time{}); err != nil {
@@ -90,7 +90,7 @@
 			return
 		}
 		sentRevision.Store(int64(after))
-		// Watchers that heard of a change together must not have their empty lines together for ever.
+		// The jitter keeps watchers that were notified together from getting all later empty lines at the same time.
 		idle.Reset(heartbeat - rand.N(heartbeat/4))
 		select {
 		case <-n.changed:
@@ -103,7 +103,7 @@
 	}
 }
 
-// send writes one line to a watcher, who has so long to take it.
+// sendLine writes one line to a watcher, which must accept it within writeTimeout.
 func (s *Server) sendLine(w http.ResponseWriter, rc *http.ResponseController, line []byte) error {
 	if err := rc.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
