--- a/internal/registry/catalog.go
+++ b/internal/registry/catalog.go
@@ -161,8 +161,8 @@
 	return List{Revision: c.head + 1, Members: members, Settling: c.settling}
 }
 
-// SetFloor returns the change that sets the minimum build, configuration and revision required of every node; an empty floor removes the
-// requirement. A required revision must have been issued already.
+// SetFloor returns the change that sets the minimum build, configuration and revision required of every node; an empty
+// floor removes the requirement. A required revision must have been issued already.
 func (c *Catalog) SetFloor(f listwatch.Floor) (List, error) {
 	for name, value := range map[string]string{"build": f.Build, "config": f.Config} {
 		if value == "" {
--- a/internal/registry/noticelog.go
+++ b/internal/registry/noticelog.go
@@ -20,7 +20,7 @@
 	maxReportPageBytes    = 1 << 20
 )
 
-// notice is how a message ended that a node took on and did not deliver.
+// notice reports the final state of a message that a node accepted and did not deliver.
 type notice struct {
 	Seq     int64  `json:"seq,omitempty"`
 	AtMS    int64  `json:"at_ms,omitempty"`
@@ -29,7 +29,7 @@
 	AfterMS int64  `json:"after_ms,omitempty"`
 }
 
-// readNotices reads a post, one notice a line.
+// parseNotices parses and validates a request body with one notice per line.
 func parseNotices(body []byte) ([]notice, error) {
 	var out []notice
 	for line := range bytes.Lines(body) {
@@ -53,17 +53,18 @@
 	return out, nil
 }
 
-// reports keeps the notices for whoever tells the clients, in two files of which the older one is dropped when the
-// newer one is full. What was taken outlasts the process; nothing is synced, for the node keeps no more than that.
+// noticeLog stores notices until the platform fetches them to inform clients. It uses two files; when the newer one is
+// full, the older one is dropped. Stored notices survive the end of the process but are not synced, because nodes give
+// no stronger guarantee for them either.
 type noticeLog struct {
 	mu        sync.Mutex
 	path      string
 	maxBytes  int64
 	file      *os.File
 	size      int64
-	baseSeq   int64 // the number that the newer file begins after
+	baseSeq   int64 // last sequence number before the newer file
 	nextSeq   int64
-	dirtyTail bool // what a failed add has written may stand behind size
+	dirtyTail bool // a failed add may have left bytes beyond size
 }
 
 func openNoticeLog(dir string, maxBytes int64) (*noticeLog, error) {
@@ -80,13 +81,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("reports: %w", err)
 	}
-	if r.file = f; f.Truncate(r.size) != nil { // a line that a kill has torn
-		return nil, errors.Join(fmt.Errorf("reports: the torn end can't be cut"), f.Close())
+	if r.file = f; f.Truncate(r.size) != nil { // removes a line that an interrupted write left incomplete
+		return nil, errors.Join(fmt.Errorf("reports: can't truncate the incomplete last line"), f.Close())
 	}
 	return r, nil
 }
 
-// scan finds the last number in a file, and the end of its last whole line.
+// scan finds the last sequence number in a file and the end of its last complete line.
 func (r *noticeLog) scan(path string) error {
 	r.size, r.baseSeq = 0, r.nextSeq-1
 	f, err := os.Open(path)
@@ -112,7 +113,7 @@
 	}
 }
 
-// add keeps notices; after an error none of them.
+// add stores notices; after an error none of them is stored.
 func (r *noticeLog) add(at time.Time, notices []notice) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -141,8 +142,8 @@
 	return nil
 }
 
-// cut takes away what a failed add may have written. Shorter lines in its place would leave a part of it, which no start
-// could read.
+// truncateTail removes what a failed add may have written. If shorter lines were written over it, a remainder would be
+// left behind, and the file could not be read at the next start.
 func (r *noticeLog) truncateTail() error {
 	if !r.dirtyTail {
 		return nil
@@ -154,7 +155,7 @@
 	return nil
 }
 
-// turn begins a new file.
+// rotate begins a new file and keeps the previous one as the older file.
 func (r *noticeLog) rotate() error {
 	if err := os.Rename(r.path, r.path+".old"); err != nil {
 		return err
@@ -168,7 +169,7 @@
 	return old.Close()
 }
 
-// since is a page of the notices after a number.
+// pageAfter returns a page of the notices with sequence numbers after the given one, at most maxReportPageBytes long.
 func (r *noticeLog) pageAfter(after int64) ([]byte, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -17,41 +17,41 @@
 )
 
 const (
-	tickInterval    = 100 * time.Millisecond // between looks at the leases
-	maxCommandBatch = 256                    // that are written down together
-	// A primary that starts does not know whether another was promoted meanwhile. It takes writes once all the other
-	// servers have told their epochs, or once one has and the rest stayed silent for confirmAfter.
+	tickInterval    = 100 * time.Millisecond // between checks for expired leases
+	maxCommandBatch = 256                    // commands whose changes are persisted together
+	// A primary that starts does not know whether another server was promoted meanwhile. It accepts writes once all
+	// other servers have reported their epochs, or once one has and the rest have been silent for confirmTimeout.
 	confirmTimeout     = 3 * time.Second
-	storeRetryInterval = time.Second // between tries to write a log anew that can't be written
+	storeRetryInterval = time.Second // between attempts to compact the log
 )
 
-// Config is what a server is told at its start.
+// Config configures a server.
 type Config struct {
-	Number         int      // of this server among Peers; no two may have the same
-	Peers          []string // addresses of all servers by number, this one's too; empty for one that is alone
-	Bootstrap      bool     // with an empty folder, begin a list of one's own
-	AfterEpoch     Epoch    // with Bootstrap, the list's epoch is later than this one, for those who have heard of it
-	StateDir       string   // the folder that lasts
+	Number         int      // index of this server in Peers; unique among the servers
+	Peers          []string // addresses of all servers by number, including this one; empty for a single server
+	Bootstrap      bool     // begin a new list if the state directory is empty
+	AfterEpoch     Epoch    // with Bootstrap, the new list's epoch is later than this one, which nodes may have received
+	StateDir       string   // state directory
 	Options        Options
-	Coalesce       time.Duration // changes so close together are told at once
+	Coalesce       time.Duration // changes within this interval are sent together
 	MaxWatchers    int
-	MaxReportBytes int64         // bytes of notices that are kept
-	SettleTime     time.Duration // a list that is begun anew is told as not whole for so long; 0 for not at all
-	StartRate      float64       // whole lists a second that are told to those who begin; the others are told when to come. 0 for any number
-	SourceAddr     net.Addr      // where connections to other servers come from; nil for the system's choice
+	MaxReportBytes int64         // size limit of the stored notices in bytes; 0 for the default
+	SettleTime     time.Duration // how long a newly begun list is marked as settling; 0 to leave it unmarked
+	StartRate      float64       // complete lists per second for clients that start; further ones get a time to retry; 0: no limit
+	SourceAddr     net.Addr      // local address of connections to other servers; nil for the system's choice
 }
 
-// Errors of orders.
+// Errors of commands.
 var (
 	errStopped        = errors.New("the server is stopping")
 	errUnconfirmed    = errors.New("not confirmed yet: no other server has told that its epoch is not later")
 	errAlreadyPrimary = errors.New("this server is the primary already")
-	errStaleList      = errors.New("the list is older than what this server has")
+	errStaleList      = errors.New("received list is older than this server's list")
 	errNoList         = errors.New("no list yet")
 	errNeverHadList   = errors.New("this server has never had a list: every instance would be lost; say empty=1 if that is meant")
 )
 
-// notPrimary refuses a write.
+// notPrimaryError refuses a write on a follower; primary is the primary's address, empty if unknown.
 type notPrimaryError struct{ primary string }
 
 func (e *notPrimaryError) Error() string {
@@ -61,7 +61,8 @@
 	return "this server is a follower of " + e.primary
 }
 
-// role is what a server is. It is never configured: the epoch in its folder says who owns the list.
+// role is the role of a server. It is not configured but follows from the epoch in the state directory, which
+// determines the server that owns the list.
 type role string
 
 const (
@@ -70,11 +71,11 @@
 	roleFollower    role = "follower"
 )
 
-// plan makes the change that an order asks for, if any, and its answer.
+// planFunc computes the change that a command makes, if any, and the command's reply.
 type planFunc func(now time.Duration) (l List, reply any, err error)
 
-// order is something that may change the list, carried out by the loop. What its plan makes holds once it is written
-// down; held is called then.
+// command is a possible change of the list that the loop executes. The change made by plan takes effect once it is
+// persisted; then onCommit is called.
 type command struct {
 	plan     planFunc
 	onCommit func(now time.Duration, l List)
@@ -86,13 +87,13 @@
 	err   error
 }
 
-// Server is a list server. One goroutine, in Run, owns all that is not said to be shared.
+// Server is a list server. The fields not marked as shared belong to the one goroutine of the loop in Run.
 type Server struct {
 	cfg          Config
 	log          *slog.Logger
 	store        *Store
 	catalog      *Catalog
-	feed         *feed             // shared: what holds
+	feed         *feed             // shared: the persisted list and its changes
 	notices      *noticeLog        // shared
 	stats        stats             // shared
 	peers        *peers            // shared
@@ -101,16 +102,16 @@
 	client       *http.Client
 	startedAt    time.Time
 	commands     chan command
-	stopped      chan struct{} // closed when orders are no longer taken
+	stopped      chan struct{} // closed when commands are no longer executed
 	role         atomic.Value  // shared: role
-	storeRetryAt time.Duration // of the store
-	settleAt     time.Duration // when a list that was begun anew is taken for whole
+	storeRetryAt time.Duration // time of the next attempt to compact the log
+	settleAt     time.Duration // when a newly begun list counts as settled
 }
 
-// New opens the folder and reads the list in it.
+// New opens the state directory and reads the list in it.
 func New(cfg Config, log *slog.Logger) (*Server, error) {
 	if cfg.Number < 0 || cfg.Number >= maxServers || (len(cfg.Peers) > 0 && cfg.Number >= len(cfg.Peers)) {
-		return nil, fmt.Errorf("registry: no server has the number %d", cfg.Number)
+		return nil, fmt.Errorf("registry: invalid server number %d", cfg.Number)
 	}
 	store, lists, err := OpenStore(cfg.StateDir)
 	if err != nil {
@@ -136,7 +137,7 @@
 	return s, nil
 }
 
-// assume takes the role that the folder says.
+// initRole sets the role that follows from the state directory.
 func (s *Server) initRole() error {
 	head := s.catalog.Head()
 	switch {
@@ -155,9 +156,9 @@
 
 func (s *Server) now() time.Duration { return time.Since(s.startedAt) }
 
-// confirm makes a primary of a server that owns its epoch, since nobody has a later one.
+// confirmPrimary makes this server, which owns its epoch, the primary after no other server reported a later epoch.
 func (s *Server) confirmPrimary(now time.Duration) error {
-	// The end of the log may be lost, with revisions that others have heard: they must not be given out again.
+	// After a truncated log, lost revisions may have been received by others and must not be issued again.
 	if s.catalog.Head() == 0 || s.store.TruncatedBytes > 0 {
 		l, err := s.planPromotion(s.cfg.AfterEpoch)
 		if err == nil {
@@ -177,7 +178,7 @@
 	return nil
 }
 
-// promote is the list that begins this server's next epoch.
+// planPromotion returns the list that begins this server's next epoch.
 func (s *Server) planPromotion(after Epoch) (List, error) {
 	l, err := s.catalog.Promote(s.cfg.Number, after)
 	l.Settling = l.Settling && s.cfg.SettleTime > 0
@@ -186,7 +187,7 @@
 
 func (s *Server) close() error { return errors.Join(s.store.Close(), s.notices.close()) }
 
-// Run carries out orders until ctx ends.
+// Run executes commands until ctx ends, then closes the server's files.
 func (s *Server) Run(ctx context.Context) error {
 	var workers sync.WaitGroup
 	runCtx, cancel := context.WithCancel(ctx)
@@ -226,7 +227,8 @@
 	}
 }
 
-// carryOut plans the orders one after the other, writes their changes down together, and then tells everybody.
+// execute plans the commands one after the other, persists their changes together, and then publishes them and sends
+// the results.
 func (s *Server) execute(batch []command) {
 	now := s.now()
 	results := make([]result, len(batch))
@@ -235,7 +237,7 @@
 	for i, cmd := range batch {
 		l, reply, err := cmd.plan(now)
 		if results[i] = (result{reply, err}); err == nil && l.Revision != 0 {
-			if l.AtMS == 0 { // not copied from who decided it
+			if l.AtMS == 0 { // a replicated change already has the time of the server that decided it
 				l.AtMS = time.Now().UnixMilli()
 			}
 			s.catalog.Apply(now, l)
@@ -269,7 +271,8 @@
 	s.updateStats()
 }
 
-// write puts lists into the log, or a whole one in its place when it has grown large or can't be appended to.
+// persist appends lists to the log. If the log has grown large or can't be appended to, it is compacted into a complete
+// list instead.
 func (s *Server) persist(lists ...List) error {
 	due, down := s.now() >= s.storeRetryAt, s.store.Unwritable()
 	switch {
@@ -280,14 +283,14 @@
 	}
 	s.storeRetryAt = s.now() + storeRetryInterval
 	err := s.store.Compact(s.snapshotAfter(lists))
-	if err != nil && !down { // the old log may have room yet
+	if err != nil && !down { // appending to the old log may still succeed
 		s.log.Error("log_not_compacted", "err", err)
 		return s.store.Append(lists...)
 	}
 	return err
 }
 
-// after is the whole list once the lists hold.
+// snapshotAfter returns the complete list as it is after the given lists are applied.
 func (s *Server) snapshotAfter(lists []List) List {
 	c := NewCatalog(s.cfg.Options)
 	c.Apply(0, s.feed.snapshot())
@@ -297,7 +300,7 @@
 	return c.Snapshot()
 }
 
-// heal writes a log anew that can't be appended to, so that writes are taken again without being asked for.
+// repairLog compacts a log that can't be appended to, so that the server recovers without waiting for a write.
 func (s *Server) repairLog() {
 	if s.store.file == nil || !s.store.Unwritable() || s.now() < s.storeRetryAt {
 		return
@@ -308,7 +311,7 @@
 	}
 }
 
-// lapse is the order that time gives.
+// planExpiry is the plan of the periodic command that removes expired leases.
 func (s *Server) planExpiry(now time.Duration) (List, any, error) {
 	if !s.is(rolePrimary) || s.store.Unwritable() {
 		return List{}, nil, nil
@@ -321,7 +324,7 @@
 	return l, nil, nil
 }
 
-// settle is the order by which time ends the beginning of a list.
+// planSettled is the plan of the periodic command that ends the settling of a newly begun list.
 func (s *Server) planSettled(now time.Duration) (List, any, error) {
 	if !s.is(rolePrimary) || !s.catalog.settling || now < s.settleAt || s.store.Unwritable() {
 		return List{}, nil, nil
@@ -338,7 +341,7 @@
 	}
 }
 
-// publish brings the gauges up to date for readers that must not wait for the loop.
+// updateStats updates the gauges, so that readers of statistics need not wait for the loop.
 func (s *Server) updateStats() {
 	s.rollout.update(s.now(), s.feed.head(), func(*rollout.Table) {})
 	s.stats.instances.Store(int64(s.catalog.Len()))
@@ -348,7 +351,7 @@
 	s.stats.logBytes.Store(s.store.Size())
 }
 
-// do has the loop carry out an order and waits for its result.
+// submit has the loop execute a command and waits for its result.
 func (s *Server) submit(ctx context.Context, cmd command) (any, error) {
 	cmd.done = make(chan result, 1)
 	select {
@@ -368,7 +371,7 @@
 	}
 }
 
-// asPrimary lets a plan through only where the list is written.
+// primaryOnly wraps a plan so that it is refused unless this server is the primary.
 func (s *Server) primaryOnly(p planFunc) planFunc {
 	return func(now time.Duration) (List, any, error) {
 		switch {
@@ -381,8 +384,8 @@
 	}
 }
 
-// Promote makes this server the primary, by an epoch after all that it and the servers it reaches know of. One that
-// has never had a list begins an empty one only if that is asked for.
+// Promote makes this server the primary with an epoch later than those of this server and of all servers that it
+// reaches. A server that has never had a list begins an empty one only if empty is set.
 func (s *Server) Promote(ctx context.Context, empty bool) (Epoch, error) {
 	known := s.pollAllPeers(ctx)
 	reply, err := s.submit(ctx, command{
@@ -409,5 +412,5 @@
 	return reply.(Epoch), nil
 }
 
-// jittered is a pause of about d.
+// jitter returns a random duration from d/2 to 3d/2.
 func jitter(d time.Duration) time.Duration { return d/2 + rand.N(d) }
--- a/internal/registry/store.go
+++ b/internal/registry/store.go
@@ -11,25 +11,27 @@
 const (
 	logFile             = "list.log"
 	lockFile            = "lock"
-	minCompactBytes     = 256 << 10 // a smaller log is not worth writing anew
-	compactGrowthFactor = 4         // a log is written anew at so many times the size of its whole list
+	minCompactBytes     = 256 << 10 // a smaller log is not compacted
+	compactGrowthFactor = 4         // a log is compacted when it exceeds its complete list by this factor
 )
 
-// errStoreDown is told while the log needs to be written anew before it may grow again.
+// errStoreUnavailable is returned while the log can't be appended to until it has been compacted.
 var errStoreUnavailable = errors.New("the log can't be written")
 
-// Store is the folder that the list outlasts its process in. What Append or Compact has taken is on the disk.
+// Store is the state directory that holds the log of the list. When Append or Compact returns without an error, the
+// data is synced to disk.
 type Store struct {
 	path           string
 	lock           *os.File
 	file           *os.File
-	size           int64 // good bytes of the log
-	snapshotSize   int64 // of them, its first record
-	dirtyTail      bool  // bytes that do not hold may stand behind size
-	TruncatedBytes int64 // bytes of a torn tail that were cut when the log was opened
+	size           int64 // valid bytes of the log
+	snapshotSize   int64 // size of the magic and the first record, a complete list
+	dirtyTail      bool  // the file may hold invalid bytes beyond size
+	TruncatedBytes int64 // bytes of a torn tail that were removed when the log was opened
 }
 
-// OpenStore opens the folder for this process alone and returns the lists in its log; none if it is new.
+// OpenStore opens the state directory, locks it against other processes, and returns the lists in its log; none if the
+// log does not exist yet.
 func OpenStore(dir string) (*Store, []List, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, nil, fmt.Errorf("store: %w", err)
@@ -39,7 +41,7 @@
 		return nil, nil, fmt.Errorf("store: %w", err)
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		return nil, nil, errors.Join(fmt.Errorf("store: another process has %s: %w", dir, err), lock.Close())
+		return nil, nil, errors.Join(fmt.Errorf("store: directory %s is locked by another process: %w", dir, err), lock.Close())
 	}
 	s := &Store{path: filepath.Join(dir, logFile), lock: lock}
 	lists, err := s.open()
@@ -50,7 +52,7 @@
 }
 
 func (s *Store) open() ([]List, error) {
-	// A log that was being written anew when the process ended; the old one is whole.
+	// A leftover from a compaction that was interrupted; the old log is intact.
 	if err := os.Remove(s.path + ".new"); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, err
 	}
@@ -79,7 +81,7 @@
 	return lists, err
 }
 
-// Append writes changes down. After an error none of them holds.
+// Append appends changes to the log. After an error none of them is in effect.
 func (s *Store) Append(lists ...List) error {
 	if s.file == nil || s.dirtyTail {
 		return errStoreUnavailable
@@ -96,7 +98,7 @@
 		err = s.file.Sync()
 	}
 	if err != nil {
-		// A part may stand there, and after a failed sync nobody knows what does.
+		// Part of the data may have been written, and after a failed sync the file's content is unknown.
 		cut := errors.Join(s.file.Truncate(s.size), s.file.Sync())
 		s.dirtyTail = cut != nil
 		return fmt.Errorf("store: %w", errors.Join(err, cut))
@@ -105,18 +107,19 @@
 	return nil
 }
 
-// Large tells whether the log is worth writing anew.
+// ShouldCompact reports whether the log is large enough to be compacted.
 func (s *Store) ShouldCompact() bool {
 	return s.size > max(minCompactBytes, compactGrowthFactor*s.snapshotSize)
 }
 
-// Down tells whether only a log written anew can be appended to.
+// Unwritable reports whether the log must be compacted before it can be appended to.
 func (s *Store) Unwritable() bool { return s.file == nil || s.dirtyTail }
 
-// Size is how many bytes the log has.
+// Size returns the size of the log in bytes.
 func (s *Store) Size() int64 { return s.size }
 
-// Compact writes the log anew, with a whole list in place of all that led to it. After an error the old one holds.
+// Compact replaces the log with one that holds a complete list instead of the changes that led to it. After an error
+// before the rename, the old log remains in use.
 func (s *Store) Compact(snapshot List) error {
 	raw, err := appendRecord([]byte(logMagic), snapshot)
 	if err != nil {
@@ -145,7 +148,7 @@
 	return errors.Join(err, syncDir(filepath.Dir(s.path)))
 }
 
-// syncDir makes a rename outlast the machine's power.
+// syncDir syncs a directory, so that a rename in it survives a power failure.
 func syncDir(dir string) error {
 	d, err := os.Open(dir)
 	if err != nil {
@@ -154,7 +157,7 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-// Close gives the folder back.
+// Close closes the files and releases the lock of the state directory.
 func (s *Store) Close() error {
 	var err error
 	if s.file != nil {
