--- a/internal/registry/bench_test.go
+++ b/internal/registry/bench_test.go
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// BenchmarkChange tells what one change costs until the last of so many watchers has it. Heap is that of both ends,
-// which the benchmark holds; allocations and bytes a change are of both as well.
+// BenchmarkChange measures the cost of one change until the last of the watchers has received it. The heap size, the
+// allocations and the bytes per change include both ends, because the watchers run in this process too.
 func BenchmarkChange(b *testing.B) {
 	for _, count := range []int{1, 300, 3000} {
 		b.Run(fmt.Sprintf("watchers=%d", count), func(b *testing.B) {
@@ -105,7 +105,7 @@
 	return int64(m.HeapAlloc + m.StackInuse)
 }
 
-// BenchmarkRecovery tells what a start costs by the number of changes in the log.
+// BenchmarkRecovery measures the cost of a start depending on the number of changes in the log.
 func BenchmarkRecovery(b *testing.B) {
 	for _, count := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprintf("changes=%d", count), func(b *testing.B) {
--- a/internal/registry/catalog_test.go
+++ b/internal/registry/catalog_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// newList is a catalog in its first epoch with so many instances registered at time 0.
+// newTestCatalog returns a catalog in its first epoch with count instances registered at time 0.
 func newTestCatalog(t *testing.T, count int) *Catalog {
 	t.Helper()
 	c := NewCatalog(DefaultOptions())
@@ -46,7 +46,7 @@
 	return l
 }
 
-// apply is what a server does with a list that could be written down.
+// apply applies a list as a server does after it was persisted.
 func (c *Catalog) apply(now time.Duration, l List) {
 	if l.Revision != 0 {
 		c.Apply(now, l)
@@ -71,29 +71,29 @@
 		before := c.Head()
 		gone := expireLeases(c, at)
 		if want := at == leaseTTL; (gone == 1) != want || gone > 1 {
-			t.Fatalf("%d lapsed at %v", gone, at)
+			t.Fatalf("%d leases expired at %v", gone, at)
 		}
 		if (c.Head() > before) != (gone > 0) {
-			t.Fatalf("revision %d after %d with %d lapsed", c.Head(), before, gone)
+			t.Fatalf("revision %d after %d with %d leases expired", c.Head(), before, gone)
 		}
 	}
 	if _, err := c.Renew(3*leaseTTL, instance(0).ID, instance(0).Owner); !errors.Is(err, ErrNotFound) {
-		t.Errorf("a lapsed lease was renewed: %v", err)
+		t.Errorf("an expired lease was renewed: %v", err)
 	}
 }
 
 func TestRenewalAndRepeatedRegistrationAreNoChange(t *testing.T) {
 	c := newTestCatalog(t, 1)
 	if l := register(t, c, time.Second, instance(0)); l.Revision != 0 {
-		t.Errorf("a claim said again is revision %d", l.Revision)
+		t.Errorf("a repeated registration made revision %d", l.Revision)
 	}
 	if expireLeases(c, leaseTTL) != 0 {
-		t.Error("a claim said again does not renew")
+		t.Error("a repeated registration did not renew the lease")
 	}
 }
 
-// Two processes that claim an id: the second gets it only if it started later at the same address, or once the
-// lease of the first is over.
+// If two processes register the same id, the second gets it only if it started later at the same address, or after the
+// lease of the first has ended.
 func TestIDConflict(t *testing.T) {
 	other := instance(0)
 	other.Owner, other.Addr = "other", "10.9.9.9:80"
@@ -103,7 +103,7 @@
 		t.Fatalf("an id was taken from its owner: %v", err)
 	}
 	if conflict.ExpiresIn != leaseTTL-time.Second {
-		t.Errorf("it falls free after %v", conflict.ExpiresIn)
+		t.Errorf("conflict ends after %v", conflict.ExpiresIn)
 	}
 	if _, err := c.Renew(time.Second, other.ID, other.Owner); !errors.As(err, &conflict) {
 		t.Errorf("another's lease was renewed: %v", err)
@@ -112,7 +112,7 @@
 		t.Errorf("another's instance was withdrawn: %v", err)
 	}
 	if l := register(t, c, leaseTTL, other); len(l.Members) != 1 {
-		t.Errorf("after the lease: %v", l)
+		t.Errorf("registration after the lease ended: %v", l)
 	}
 }
 
@@ -121,7 +121,7 @@
 	again := instance(0)
 	again.Owner, again.UpSince = "restarted", 2000
 	if l := register(t, c, time.Second, again); len(l.Members) != 1 || l.Members[0].UpSince != 2000 {
-		t.Fatalf("a restart: %+v", l)
+		t.Fatalf("restart changed %+v", l)
 	}
 	late := instance(0)
 	late.Owner, late.UpSince = "late", 1500 // its clock has been set back
@@ -129,7 +129,7 @@
 		t.Error("a process that started before the present one took its id")
 	}
 	if l := register(t, c, time.Minute, late); l.Members[0].UpSince <= 2000 {
-		t.Errorf("a restart does not show: up since %d after 2000", l.Members[0].UpSince)
+		t.Errorf("restart is not visible: up since %d after 2000", l.Members[0].UpSince)
 	}
 }
 
@@ -139,15 +139,16 @@
 	twin.Addr = instance(0).Addr
 	var conflict *ConflictError
 	if _, err := c.Register(time.Second, 5000, twin); !errors.As(err, &conflict) || conflict.Holder != instance(0).ID {
-		t.Fatalf("an address was given twice: %v", err)
+		t.Fatalf("an address was registered twice: %v", err)
 	}
 	l := register(t, c, leaseTTL, twin)
 	if len(l.Members) != 2 || c.Len() != 1 {
-		t.Errorf("the address's old holder is not withdrawn: %+v", l)
+		t.Errorf("the previous holder of the address was not withdrawn: %+v", l)
 	}
 }
 
-// A list of several changes comes in the order of ids, in which an address may change hands both ways.
+// A list of several changes is ordered by id, so an address may appear at its new member before or after the change of
+// its old member. Both must leave the address with the new one.
 func TestAddressesSwappedInOneList(t *testing.T) {
 	c := newTestCatalog(t, 2)
 	a, b := instance(0), instance(1)
@@ -158,7 +159,7 @@
 		twin := instance(5)
 		twin.Addr = m.Addr
 		if _, err := c.Register(time.Second, 5000, twin); err == nil {
-			t.Errorf("the address of %s was given twice", m.ID)
+			t.Errorf("the address of %s was registered twice", m.ID)
 		}
 	}
 }
@@ -184,11 +185,11 @@
 		m := instance(7)
 		spoil(&m)
 		if l, err := c.Register(0, 5000, m); err == nil {
-			t.Errorf("%s: granted as %+v", name, l)
+			t.Errorf("%s: accepted as %+v", name, l)
 		}
 	}
 	if c.Head() != firstRevision(17)+1 || c.Len() != 1 {
-		t.Errorf("bad claims changed the list: revision %d, %d instances", c.Head(), c.Len())
+		t.Errorf("invalid registrations changed the list: revision %d, %d instances", c.Head(), c.Len())
 	}
 }
 
@@ -199,11 +200,11 @@
 	register(t, c, 0, instance(0))
 	register(t, c, 0, instance(1))
 	if _, err := c.Register(0, 0, instance(2)); !errors.Is(err, ErrFull) {
-		t.Errorf("a third of two: %v", err)
+		t.Errorf("third instance with a limit of 2: %v", err)
 	}
 }
 
-// An instance that registers again keeps the phase that operators gave it.
+// An instance that registers again keeps the phase that an operator set.
 func TestPhaseSurvivesReregistration(t *testing.T) {
 	c := newTestCatalog(t, 1)
 	l, err := c.SetPhase(0, instance(0).ID, "", Draining)
@@ -217,8 +218,8 @@
 	}
 }
 
-// When most go silent at once the server holds on to them; when they come back it does not drop the slower ones;
-// and those that stay away then lapse.
+// When most instances go silent at once, the server keeps them. When they return, it does not remove the slower ones.
+// The leases of those that stay silent then expire.
 func TestPreservationOnMassExpiry(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		rng := rand.New(rand.NewPCG(seed, 0))
@@ -229,7 +230,7 @@
 			next[n] = rand.N(leaseTTL / 3)
 		}
 		cut, back := 30*time.Second, 90*time.Second
-		stays := func(n int) bool { return n%4 == 0 } // away for good
+		stays := func(n int) bool { return n%4 == 0 } // never returns
 		for at := time.Duration(0); at < 3*time.Minute; at += 100 * time.Millisecond {
 			for n := range next {
 				silent := at >= cut && (at < back || stays(n))
@@ -246,7 +247,7 @@
 				t.Fatalf("seed %d: %d of %d left at %v", seed, c.Len(), count, at)
 			}
 			if at == back-time.Second && !c.Preserving() {
-				t.Fatalf("seed %d: nothing held back at %v", seed, at)
+				t.Fatalf("seed %d: not preserving at %v", seed, at)
 			}
 		}
 		if c.Len() != count*3/4 || c.Preserving() {
@@ -259,11 +260,11 @@
 	c := newTestCatalog(t, 10)
 	for at := time.Duration(0); at < c.opts.PreserveFor+leaseTTL; at += time.Second {
 		if expireLeases(c, at) != 0 {
-			t.Fatalf("lapsed at %v", at)
+			t.Fatalf("lease expired at %v", at)
 		}
 	}
 	if expireLeases(c, c.opts.PreserveFor+2*leaseTTL) != 10 {
-		t.Error("never let go")
+		t.Error("leases did not expire after PreserveFor")
 	}
 }
 
@@ -274,7 +275,7 @@
 	again.Apply(at, c.Snapshot())
 	again.ExtendLeases(at)
 	if again.Expire(at+leaseTTL+again.opts.Grace-1).Revision != 0 {
-		t.Error("lapsed before the grace was over")
+		t.Error("lease expired within the grace time")
 	}
 	if !reflect.DeepEqual(again.Snapshot(), c.Snapshot()) {
 		t.Errorf("got %+v, want %+v", again.Snapshot(), c.Snapshot())
--- a/internal/registry/failover_test.go
+++ b/internal/registry/failover_test.go
@@ -20,7 +20,7 @@
 	w := b.watch(0)
 	w.next(t)
 	if code, said := b.call("PUT", "/registry/instances/s9", registrationBody(9, 60_000)); code != 421 || !strings.Contains(said, a.addr) {
-		t.Errorf("a follower takes a write: %d %s", code, said)
+		t.Errorf("write to a follower: %d %s", code, said)
 	}
 	a.stop()
 	if got := b.list(); fmt.Sprint(got) != fmt.Sprint(want) {
@@ -30,11 +30,12 @@
 	eventually(t, "the primary is confirmed", func() bool { return a.s.is(rolePrimary) })
 	a.register(7, 60_000)
 	if l := w.next(t); len(l.Members) != 1 || l.Members[0].ID != "s7" {
-		t.Errorf("the follower's watcher is told %+v", l)
+		t.Errorf("the follower's watcher got %+v", l)
 	}
 }
 
-// A restart of both: a follower keeps its list, and a follower with an empty folder claims none.
+// A restarted follower serves the list in its state directory; with an empty state directory it answers that it has no
+// list, rather than with an empty one.
 func TestFollowerStartsFromStateDir(t *testing.T) {
 	a, b := startPair(t)
 	a.register(1, 60_000)
@@ -49,18 +50,18 @@
 	b.cfg.StateDir = t.TempDir()
 	b = b.restart()
 	if code, said := b.call("GET", "/registry/instances", ""); code != 503 {
-		t.Errorf("a follower that knows nothing tells %d %s", code, said)
+		t.Errorf("a follower without a list answers %d %s", code, said)
 	}
 }
 
-// A primary that comes back after a promotion is told so before it takes a write, loses what nobody else has heard,
-// and follows; watchers of either only see revisions rise.
+// A primary that restarts after another server was promoted learns of it before it accepts a write, drops the changes
+// that no other server has received, and follows. Watchers of either server only see rising revisions.
 func TestDeposedPrimaryFollowsAfterRestart(t *testing.T) {
 	a, b := startPair(t)
 	a.register(1, 60_000)
 	eventually(t, "the follower has it all", inSync(a, b))
 	b.stop()
-	a.register(2, 60_000) // that the follower never hears
+	a.register(2, 60_000) // the follower never receives this
 	w := a.watch(0)
 	w.next(t)
 	a.stop()
@@ -71,33 +72,34 @@
 	}
 	b.register(3, 60_000)
 	if code, _ := b.callOps("PUT", "/ops/promote"); code != 409 {
-		t.Errorf("promoted twice: %d", code)
+		t.Errorf("second promotion: %d", code)
 	}
 	if b.s.feed.head() <= w.revision {
 		t.Fatalf("revision %d after %d", b.s.feed.head(), w.revision)
 	}
-	moved := b.watch(w.revision) // as a node does that has lost the old primary
+	moved := b.watch(w.revision) // like a node that has lost the old primary
 	if l := moved.next(t); !l.Complete || len(l.Members) != 2 {
-		t.Errorf("a watcher of the old epoch is told %+v", l)
+		t.Errorf("a watcher of the old epoch got %+v", l)
 	}
 	a = a.restart()
 	for a.s.role.Load() == roleUnconfirmed {
 		if code, _ := a.call("PUT", "/registry/instances/s4", registrationBody(4, 60_000)); code < 400 {
-			t.Fatalf("the old primary takes a write: %d", code)
+			t.Fatalf("write to the unconfirmed old primary: %d", code)
 		}
 	}
 	eventually(t, "the old primary follows", inSync(a, b))
 	if code, said := a.call("PUT", "/registry/instances/s4", registrationBody(4, 60_000)); code != 421 || !strings.Contains(said, b.addr) {
-		t.Errorf("the old primary takes a write: %d %s", code, said)
+		t.Errorf("write to the old primary: %d %s", code, said)
 	}
 	if got, want := a.list(), b.list(); fmt.Sprint(got) != fmt.Sprint(want) {
-		t.Errorf("the old primary tells %+v, the present one %+v", got, want)
+		t.Errorf("the old primary lists %+v, the present one %+v", got, want)
 	}
 	a = a.restart()
 	eventually(t, "it follows after a restart as well", func() bool { return a.s.is(roleFollower) && inSync(a, b)() })
 }
 
-// While nobody can tell a primary that started whether it still is one, it takes no writes, and nothing lapses.
+// While no other server can confirm that a restarted primary still is the primary, it accepts no writes and expires no
+// leases.
 func TestUnconfirmedPrimaryTakesNoWrites(t *testing.T) {
 	a, b := startPair(t)
 	a.register(1, 60_000)
@@ -111,20 +113,20 @@
 		t.Errorf("ready: %d", code)
 	}
 	if l := a.list(); len(l.Members) != 1 {
-		t.Errorf("reads go on: %+v", l)
+		t.Errorf("list of the unconfirmed primary: %+v", l)
 	}
-	if code, said := a.callOps("PUT", "/ops/promote"); code != 200 { // the operator knows better
+	if code, said := a.callOps("PUT", "/ops/promote"); code != 200 { // an operator overrides the missing confirmation
 		t.Fatalf("promote: %d %s", code, said)
 	}
 	a.register(2, 60_000)
 	b = b.restart()
 	eventually(t, "the other follows", inSync(a, b))
 	if !b.s.is(roleFollower) {
-		t.Errorf("it is the %v", b.s.role.Load())
+		t.Errorf("the other server's role is %v", b.s.role.Load())
 	}
 }
 
-// To promote a server that has nothing would empty the list; an operator has to say that it is meant.
+// Promoting a server without a list would begin an empty one, so the operator must request that explicitly.
 func TestPromotionWithoutListNeedsEmptyFlag(t *testing.T) {
 	cfg := testConfig(t)
 	cfg.Bootstrap, cfg.Number, cfg.Peers = false, 1, []string{"127.0.0.1:1", "127.0.0.1:2"}
@@ -133,7 +135,7 @@
 		t.Errorf("promote: %d %s", code, said)
 	}
 	if b.s.feed.head() != 0 || !b.s.is(roleFollower) {
-		t.Error("it has a list now")
+		t.Error("the refused promotion gave it a list")
 	}
 	if code, said := b.callOps("PUT", "/ops/promote?empty=1"); code != 200 {
 		t.Errorf("promote: %d %s", code, said)
@@ -141,13 +143,13 @@
 	b.register(1, 60_000)
 }
 
-// A list that is begun anew after all folders were lost must come after what nodes know.
+// A list that is newly begun after the loss of all state directories needs a later epoch than the one that nodes know.
 func TestBootstrapAfterEpoch(t *testing.T) {
 	cfg := testConfig(t)
 	cfg.AfterEpoch = 50
 	a := startServer(t, cfg, listen(t, "127.0.0.1:0"))
 	if e := a.list().Revision.Epoch(); e <= 50 || e.Owner() != 0 {
-		t.Errorf("it begins with epoch %d", e)
+		t.Errorf("new list has epoch %d", e)
 	}
 }
 
--- a/internal/registry/history_test.go
+++ b/internal/registry/history_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// view is what a watcher makes of the lists that it is sent.
+// watcherView is the list that a watcher builds from the lines it receives.
 type watcherView struct {
 	revision Revision
 	members  map[string]Member
@@ -26,8 +26,8 @@
 	v.revision = l.Revision
 }
 
-// Whatever a watcher misses, and whichever of two servers it then comes to, it ends with the list of that server:
-// over changes, promotions, a primary that went on alone, and its return as a follower.
+// A watcher that misses any changes and reconnects to either of two servers ends up with that server's list. The
+// sequence includes changes, promotions, a primary that continues alone, and its return as a follower.
 func TestWatchersConvergeOnServerList(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -46,7 +46,7 @@
 			servers[i] = server{NewCatalog(DefaultOptions()), NewHistory()}
 		}
 		promote := func(i int) {
-			// One that is cut off from the other does not know its epoch, and may stay behind it.
+			// A server without contact to the other does not know its epoch and may choose an earlier one.
 			var known Epoch
 			if rng.IntN(2) == 0 {
 				known = servers[1-i].c.Head().Epoch()
@@ -75,7 +75,7 @@
 				}
 			case 5:
 				heard = rng.IntN(3) > 0
-			case 6: // the other is promoted; what it has not heard is lost
+			case 6: // the other is promoted; changes that it has not received are lost
 				if rng.IntN(6) == 0 {
 					promote(1 - primary)
 					if servers[1-primary].c.Head() > s.c.Head() {
@@ -91,7 +91,7 @@
 				}
 			}
 			w := &watchers[rng.IntN(len(watchers))]
-			if at := servers[rng.IntN(2)]; at.c.Head() >= w.revision && at.c.Head() > 0 { // else it goes to another
+			if at := servers[rng.IntN(2)]; at.c.Head() >= w.revision && at.c.Head() > 0 { // otherwise it would choose another server
 				w.apply(at.h.Since(w.revision))
 				want := watcherView{members: map[string]Member{}}
 				want.apply(at.c.Snapshot())
@@ -108,7 +108,7 @@
 	seen := c.Head()
 	behind := NewCatalog(DefaultOptions())
 	behind.Apply(0, c.Snapshot())
-	register(t, c, 0, instance(4)) // the other never hears of it
+	register(t, c, 0, instance(4)) // the other never receives it
 	for _, s := range []int{2, 3, 2} {
 		l, err := behind.Promote(s, 0)
 		if err != nil {
@@ -121,7 +121,7 @@
 		seen = behind.Head()
 	}
 	if other, err := c.Promote(1, 0); err != nil || other.Revision.Epoch() == behind.Head().Epoch() {
-		t.Errorf("an epoch of two owners: %d, %v", other.Revision.Epoch(), err)
+		t.Errorf("two servers own epoch %d, %v", other.Revision.Epoch(), err)
 	}
 }
 
@@ -160,7 +160,7 @@
 		}
 	}
 	if l := h.Since(h.compacted); len(l.Members) != 1 {
-		t.Errorf("%d changes of one instance are told as %d", maxHistory, len(l.Members))
+		t.Errorf("%d changes of one instance are sent as %d", maxHistory, len(l.Members))
 	}
 }
 
--- a/internal/registry/noticelog_test.go
+++ b/internal/registry/noticelog_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// After an add that failed half way, and whose part could not be cut off, the file is still one that a start can read.
+// If a write fails half way and the written part can't be truncated, later writes must not leave a file that the next
+// start can't read.
 func TestNoticeLogReadableAfterTornWrite(t *testing.T) {
 	dir, now := t.TempDir(), time.Now()
 	r, err := openNoticeLog(dir, 0)
@@ -19,21 +20,21 @@
 		t.Fatal(err)
 	}
 	good := r.file
-	full, err := os.OpenFile("/dev/full", os.O_RDWR, 0) // neither written nor cut
+	full, err := os.OpenFile("/dev/full", os.O_RDWR, 0) // fails both writes and truncation
 	if err != nil {
 		t.Skip("no /dev/full here")
 	}
 	r.file = full
 	if r.add(now, []notice{{ID: "given up", State: "failed"}}) == nil {
-		t.Fatal("the full disk took it")
+		t.Fatal("add to a full disk succeeded")
 	}
-	// What such a disk may have kept of it: more than the next line.
+	// Simulates the bytes that the failed write left: more than the next line has.
 	line := `{"seq":2,"id":"` + strings.Repeat("x", 300) + `"` + "}\n"
 	if _, err := good.WriteAt([]byte(line), r.size); err != nil {
 		t.Fatal(err)
 	}
 	if r.add(now, []notice{{ID: "too early", State: "failed"}}) == nil {
-		t.Error("taken although the end can't be cut")
+		t.Error("add succeeded although the tail can't be truncated")
 	}
 	r.file = good
 	if err := r.add(now, []notice{{ID: "second", State: "failed"}}); err != nil {
--- a/internal/registry/rollout_test.go
+++ b/internal/registry/rollout_test.go
@@ -12,7 +12,7 @@
 	"harrierramp/internal/rollout"
 )
 
-// Who watches the table of nodes hears of each claim, and of each revision.
+// A watcher of the table of nodes is sent each report and each new revision.
 func TestNodeTableWatch(t *testing.T) {
 	a := startServer(t, testConfig(t), listen(t, "127.0.0.1:0"))
 	resp, err := http.Get("http://" + a.addr + "/registry/nodes?watch=1")
@@ -47,8 +47,8 @@
 	until("a change", func(v rollout.Snapshot) bool { return len(v.Nodes) == 1 && v.Nodes[0].BehindMS > 0 })
 }
 
-// What a follower remembers of a withdrawal has the clock of the server that decided it, and a floor goes with the list: to
-// the follower, over a restart, and away again.
+// A follower's record of a withdrawal has the time of the server that decided it. A floor is replicated to the follower,
+// survives a restart, and can be removed again.
 func TestFloorAndChangeTimesAreReplicated(t *testing.T) {
 	a, b := startPair(t)
 	a.register(1, 10_000)
@@ -73,7 +73,7 @@
 		}
 	}
 	if code, _ := b.call("PUT", "/registry/floor", `{"build":"x"}`); code != http.StatusMisdirectedRequest {
-		t.Errorf("the follower says %d", code)
+		t.Errorf("the follower answers %d", code)
 	}
 	for _, floor := range []string{`{"build":"x"}`, `{}`} {
 		if code, said := a.call("PUT", "/registry/floor", floor); code != http.StatusOK {
@@ -81,7 +81,7 @@
 		}
 		want := a.list()
 		if want.Floor == nil || (want.Floor.Build == "x") != (floor != `{}`) {
-			t.Fatalf("the list says %+v", want.Floor)
+			t.Fatalf("the list's floor is %+v", want.Floor)
 		}
 		eventually(t, "the follower has it", func() bool {
 			code, text := b.call("GET", "/registry/instances", "")
@@ -97,7 +97,7 @@
 		return out
 	}
 	if mine, other := last(history(a)), last(history(b)); mine.AtMS == 0 || mine != other {
-		t.Errorf("decided %+v, copied %+v", mine, other)
+		t.Errorf("primary has %+v, follower %+v", mine, other)
 	}
 	again := a.restart()
 	if l := again.list(); l.Floor != nil && l.Floor.Build != "" {
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -30,15 +30,17 @@
 	Number         int      // index of this server in Peers; unique among the servers
 	Peers          []string // addresses of all servers by number, including this one; empty for a single server
 	Bootstrap      bool     // begin a new list if the state directory is empty
-	AfterEpoch     Epoch    // with Bootstrap, the new list's epoch is later than this one, which nodes may have received
+	AfterEpoch     Epoch    // with Bootstrap, the new list's epoch is later than this one, which nodes may know
 	StateDir       string   // state directory
 	Options        Options
 	Coalesce       time.Duration // changes within this interval are sent together
 	MaxWatchers    int
 	MaxReportBytes int64         // size limit of the stored notices in bytes; 0 for the default
 	SettleTime     time.Duration // how long a newly begun list is marked as settling; 0 to leave it unmarked
-	StartRate      float64       // complete lists per second for clients that start; further ones get a time to retry; 0: no limit
-	SourceAddr     net.Addr      // local address of connections to other servers; nil for the system's choice
+	// StartRate limits the complete lists per second that are sent to starting clients. Further clients get a time to
+	// retry. 0 means no limit.
+	StartRate  float64
+	SourceAddr net.Addr // local address of connections to other servers; nil for the system's choice
 }
 
 // Errors of commands.
--- a/internal/registry/server_test.go
+++ b/internal/registry/server_test.go
@@ -18,7 +18,7 @@
 
 const testTimeout = 30 * time.Second
 
-// site is a server of a test on loopback sockets.
+// testServer is a list server on loopback sockets.
 type testServer struct {
 	t       *testing.T
 	cfg     Config
@@ -43,7 +43,7 @@
 	return ln
 }
 
-// start runs a server until the test ends, or stop is called.
+// startServer runs a server until the test ends or stop is called.
 func startServer(t *testing.T, cfg Config, ln net.Listener) *testServer {
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(t.Output(), nil))
@@ -72,7 +72,7 @@
 		}
 		for range 3 {
 			if err := <-ended; err != nil && err != http.ErrServerClosed {
-				t.Errorf("a server ends with %v", err)
+				t.Errorf("a server ended with %v", err)
 			}
 		}
 	}
@@ -80,14 +80,14 @@
 	return ts
 }
 
-// again starts the server on the same folder and address.
+// restart restarts the server with the same state directory and address.
 func (a *testServer) restart() *testServer {
 	a.t.Helper()
 	a.stop()
 	return startServer(a.t, a.cfg, listen(a.t, a.addr))
 }
 
-// pair are two servers that know each other; the first has begun a list.
+// startPair starts two servers that know each other; the first has begun a list.
 func startPair(t *testing.T) (*testServer, *testServer) {
 	t.Helper()
 	lns := []net.Listener{listen(t, "127.0.0.1:0"), listen(t, "127.0.0.1:0")}
@@ -111,14 +111,14 @@
 	}
 }
 
-// call makes a call and returns status and body.
+// call makes an HTTP call and returns the status and body of the response.
 func call(t *testing.T, method, url, body string) (int, string) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
-	req.Close = true // a kept connection may be to a server that has ended
+	req.Close = true // a kept-alive connection may belong to a server that has ended
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		t.Fatal(err)
@@ -141,7 +141,7 @@
 	return call(a.t, method, "http://"+a.opsAddr+path, "")
 }
 
-// claimOf is a good registration.
+// registrationBody returns the body of a valid registration.
 func registrationBody(n int, leaseMS int) string {
 	return fmt.Sprintf(`{"host_port":"127.0.0.1:%d","locality":"a","flavor":"m","cell":3,"owner":"p%d","lease_ms":%d}`, 1000+n, n, leaseMS)
 }
@@ -171,7 +171,7 @@
 	return l
 }
 
-// watching follows a server's list.
+// testWatch is a watch of a server's list.
 type testWatch struct {
 	watcherView
 	lines *bufio.Scanner
@@ -190,7 +190,7 @@
 	return w
 }
 
-// next takes the next line that says something.
+// next reads and applies the next line that is not empty.
 func (w *testWatch) next(t *testing.T) List {
 	t.Helper()
 	for w.lines.Scan() {
@@ -200,7 +200,7 @@
 			return l
 		}
 	}
-	t.Fatalf("the watch has ended: %v", w.lines.Err())
+	t.Fatalf("the watch ended: %v", w.lines.Err())
 	return List{}
 }
 
@@ -224,7 +224,7 @@
 			t.Fatalf("%s %s: %+v after %d", method, path, l, before)
 		}
 		if m := l.Members[0]; m.Owner != "" || m.LeaseMS != 0 {
-			t.Errorf("a watcher is told of the lease: %+v", m)
+			t.Errorf("a watcher was sent the lease: %+v", m)
 		}
 	}
 	step("PUT", "/registry/instances/s1", registrationBody(1, 10_000), 200, Serving)
@@ -251,7 +251,7 @@
 		t.Errorf("got %+v", l)
 	}
 	if _, text := a.callOps("GET", "/ops/stats"); !strings.Contains(text, "registry.lapsed:1|c") {
-		t.Errorf("figures: %s", text)
+		t.Errorf("stats: %s", text)
 	}
 }
 
@@ -310,11 +310,11 @@
 		t.Errorf("the list was %+v, is %+v", before, after)
 	}
 	if _, page := a.call("GET", "/reports", ""); page != "" {
-		t.Errorf("of a bad post is kept: %s", page)
+		t.Errorf("notices of an invalid request were stored: %s", page)
 	}
 }
 
-// Clients that say nothing, or stop in the middle, are closed in time.
+// Connections of clients that send nothing, or only part of a request, are closed in time.
 func TestSilentClientsAreClosed(t *testing.T) {
 	t.Parallel()
 	a := startServer(t, testConfig(t), listen(t, "127.0.0.1:0"))
@@ -343,7 +343,7 @@
 	}
 }
 
-// narrow gives connections small buffers, so that a client that does not read stops the server soon.
+// smallBufferListener gives connections small write buffers, so that writes to a client that does not read block soon.
 type smallBufferListener struct{ net.Listener }
 
 func (l smallBufferListener) Accept() (net.Conn, error) {
@@ -354,7 +354,7 @@
 	return nc, err
 }
 
-// A watcher that reads nothing is closed, and nobody waits for it.
+// The connection of a watcher that reads nothing is closed, and it delays neither writes nor other watchers.
 func TestStuckWatcherDelaysNoOther(t *testing.T) {
 	t.Parallel()
 	a := startServer(t, testConfig(t), smallBufferListener{listen(t, "127.0.0.1:0")})
@@ -401,7 +401,7 @@
 		a.watch(0).next(t)
 	}
 	if code, said := a.call("GET", "/registry/instances?watch=1", ""); code != 503 || !strings.Contains(said, "watchers") {
-		t.Errorf("a third watcher of two: %d %s", code, said)
+		t.Errorf("third watcher with a limit of 2: %d %s", code, said)
 	}
 	var open []net.Conn
 	defer func() {
@@ -409,14 +409,14 @@
 			nc.Close()
 		}
 	}()
-	for range 250 { // of 200 places
+	for range 250 { // the limit is 200
 		nc, err := net.Dial("tcp", a.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		open = append(open, nc)
 	}
-	eventually(t, "somebody is turned away", func() bool { return a.s.stats.rejectedConnections.Load() > 0 })
+	eventually(t, "a connection is rejected", func() bool { return a.s.stats.rejectedConnections.Load() > 0 })
 }
 
 func TestLateWatcherGetsChangesInOneLine(t *testing.T) {
@@ -430,10 +430,10 @@
 		t.Errorf("got %+v", l)
 	}
 	if l := a.watch(a.list().Revision).next(t); l.Complete || len(l.Members) != 0 {
-		t.Errorf("a watcher that is up to date is told %+v", l)
+		t.Errorf("a watcher that is up to date got %+v", l)
 	}
 	if l := a.watch(a.list().Revision + 5).next(t); !l.Complete || len(l.Members) != 7 {
-		t.Errorf("a watcher that is ahead is told %+v", l)
+		t.Errorf("a watcher that is ahead got %+v", l)
 	}
 }
 
@@ -452,7 +452,7 @@
 		lines++
 	}
 	if lines > 3 {
-		t.Errorf("10 changes at once are told in %d lines", lines)
+		t.Errorf("10 changes at once were sent in %d lines", lines)
 	}
 }
 
@@ -471,11 +471,11 @@
 	}
 	a.register(9, 60_000)
 	if l := a.watch(before.Revision).next(t); l.Complete || l.Revision <= before.Revision || len(l.Members) != 1 {
-		t.Errorf("over the restart a watcher is told %+v", l)
+		t.Errorf("a watcher from before the restart got %+v", l)
 	}
 }
 
-// What a cut tail had said may have been heard: its revisions are not given out again.
+// Revisions in a truncated tail may have been sent to watchers, so they must not be issued again.
 func TestRevisionsRiseAfterTornTail(t *testing.T) {
 	a := startServer(t, testConfig(t), listen(t, "127.0.0.1:0"))
 	a.register(1, 60_000)
@@ -493,7 +493,7 @@
 	a = a.restart()
 	a.register(3, 60_000)
 	if l := a.watch(heard).next(t); !l.Complete || l.Revision <= heard || len(l.Members) != 2 {
-		t.Errorf("a watcher at %d is told %+v", heard, l)
+		t.Errorf("a watcher at %d got %+v", heard, l)
 	}
 }
 
@@ -516,17 +516,17 @@
 	inLoop(func() { file, a.s.store.file, a.s.store.path = a.s.store.file, full, "/nowhere/list.log" })
 	for range 3 {
 		if code, said := a.call("PUT", "/registry/instances/s2", registrationBody(2, 60_000)); code != 503 {
-			t.Fatalf("a write that can't be kept: %d %s", code, said)
+			t.Fatalf("write that can't be persisted: %d %s", code, said)
 		}
 	}
 	if code, _ := a.call("POST", "/registry/instances/s1/renew", `{"owner":"p1"}`); code != 200 {
-		t.Errorf("a renewal writes nothing, and is answered %d", code)
+		t.Errorf("renewal, which writes nothing to disk: %d", code)
 	}
 	if after := a.list(); fmt.Sprint(after) != fmt.Sprint(before) {
 		t.Errorf("was %+v, is %+v", before, after)
 	}
-	inLoop(func() { a.s.store.path = good }) // room again
-	eventually(t, "writes are taken again", func() bool {
+	inLoop(func() { a.s.store.path = good }) // the disk has space again
+	eventually(t, "writes are accepted again", func() bool {
 		code, _ := a.call("PUT", "/registry/instances/s2", registrationBody(2, 60_000))
 		return code == 200
 	})
@@ -563,7 +563,7 @@
 		ids = append(ids, n.ID)
 	}
 	if strings.Join(ids, "") != "bc" {
-		t.Errorf("after the first: %v", ids)
+		t.Errorf("notices after the first: %v", ids)
 	}
 }
 
@@ -591,7 +591,7 @@
 		sum += info.Size()
 	}
 	if sum > most || sum < most/2 {
-		t.Errorf("%d bytes are kept", sum)
+		t.Errorf("%d bytes are stored", sum)
 	}
 	if err := os.WriteFile(dir+"/"+reportsFile, append(must(os.ReadFile(dir+"/"+reportsFile)), `{"seq":`...), 0o600); err != nil {
 		t.Fatal(err)
@@ -625,8 +625,8 @@
 	})
 }
 
-// The log does not grow with the changes, and what it holds outlasts its being written anew. While that can't be done
-// it goes on growing, and changes are taken.
+// Compaction bounds the size of the log and keeps the list. While compaction fails, the log grows and changes are still
+// accepted.
 func TestLogIsBounded(t *testing.T) {
 	a := startServer(t, testConfig(t), listen(t, "127.0.0.1:0"))
 	change := func(n int) {
@@ -647,7 +647,7 @@
 		n++
 		change(n)
 	}
-	eventually(t, "the log is written anew", func() bool {
+	eventually(t, "the log is compacted", func() bool {
 		n++
 		change(n)
 		return size() < minCompactBytes/2
@@ -668,12 +668,12 @@
 		change(n)
 	}
 	if size() <= minCompactBytes {
-		t.Errorf("%d bytes: the log was not to be written anew", size())
+		t.Errorf("%d bytes: the log was compacted although that should fail", size())
 	}
 }
 
-// A list that is begun anew says that it may lack some, to whoever asks and also at a follower, until it has settled; then
-// everybody hears so, and a restart does not begin it again.
+// A newly begun list is marked as settling, because it may lack instances, until the settle time has passed. Watchers
+// are then sent the change, and a restart does not mark the list again.
 func TestNewListSettles(t *testing.T) {
 	cfg := testConfig(t)
 	cfg.SettleTime = 300 * time.Millisecond
@@ -683,7 +683,7 @@
 		return body
 	}
 	if got := list(); !strings.Contains(got, `"settling":true`) {
-		t.Errorf("at first: %s", got)
+		t.Errorf("list after the start: %s", got)
 	}
 	resp, err := http.Get("http://" + a.addr + "/registry/instances?watch=1")
 	if err != nil {
@@ -698,16 +698,16 @@
 		}
 	}
 	if len(told) < 2 || !strings.Contains(told[0], "settling") {
-		t.Errorf("a watcher is told %q", told)
+		t.Errorf("a watcher got %q", told)
 	}
 	a = a.restart()
 	if got := list(); strings.Contains(got, "settling") {
-		t.Errorf("after a restart: %s", got)
+		t.Errorf("list after a restart: %s", got)
 	}
 }
 
-// Whoever begins is served at the server's rate; the others are told when to come, to the millisecond and each at another
-// time. Renewals and other servers pass.
+// Starting clients are served at the server's configured rate. The others get a time to retry in milliseconds, each a
+// different one. Second opinions, registrations and other servers are not limited.
 func TestStartIsRateLimited(t *testing.T) {
 	cfg := testConfig(t)
 	cfg.StartRate = 10
@@ -728,25 +728,25 @@
 			waits[h.Get("Retry-After-Ms")] = true
 			turn = h.Get("Registry-Turn")
 			if h.Get("Retry-After") == "" || turn == "" {
-				t.Errorf("told %v", h)
+				t.Errorf("refused with headers %v", h)
 			}
 		}
 	}
 	if len(waits) < 5 {
-		t.Errorf("waits %v", waits)
+		t.Errorf("retry times %v", waits)
 	}
 	if code, _ := ask("?after=1"); code != http.StatusOK {
-		t.Errorf("who wants a second opinion is told %d", code)
+		t.Errorf("request for a second opinion: %d", code)
 	}
 	if code, _ := ask("?watch=1&replica=1"); code != http.StatusOK {
-		t.Errorf("another server is told %d", code)
+		t.Errorf("watch by another server: %d", code)
 	}
 	if code, body := call(t, "PUT", "http://"+a.addr+"/registry/instances/s-1",
 		`{"host_port":"127.0.0.1:6379","locality":"a","flavor":"m","cell":3,"owner":"s-1.1"}`); code != http.StatusOK {
-		t.Errorf("a registration is told %d %s", code, body)
+		t.Errorf("registration: %d %s", code, body)
 	}
 	if code, h := ask("?after=0&turn=" + turn); code != http.StatusServiceUnavailable || h.Get("Registry-Turn") != turn {
-		t.Errorf("a turn that comes too soon is told %d %v", code, h)
+		t.Errorf("turn used too early: %d %v", code, h)
 	}
 	if _, text := call(t, "GET", "http://"+a.opsAddr+"/ops/stats", ""); !strings.Contains(text, "registry.turns_out:") {
 		t.Errorf("no turns in %s", text)
--- a/internal/registry/store_test.go
+++ b/internal/registry/store_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// filled is a log of a whole list and some changes, and what its revisions are.
+// filledLog returns a log of a complete list and some changes, and the lists in it.
 func filledLog(t *testing.T, dir string, changes int) (raw []byte, lists []List) {
 	t.Helper()
 	s, none, err := OpenStore(dir)
@@ -48,7 +48,8 @@
 	return s, lists, err
 }
 
-// A kill can leave any part of a write behind. Whole records hold, the part is cut, and the log can be appended to.
+// A killed process can leave any part of a write behind. Complete records are kept, the partial one is truncated, and
+// the log can be appended to.
 func TestTornWriteIsTruncated(t *testing.T) {
 	raw, want := filledLog(t, t.TempDir(), 3)
 	first, err := appendRecord([]byte(logMagic), want[0])
@@ -72,10 +73,10 @@
 		}
 		s, lists, err := reopen(t, raw[:size])
 		if err != nil {
-			t.Fatalf("cut at %d: %v", size, err)
+			t.Fatalf("truncated at %d: %v", size, err)
 		}
 		if len(lists) != whole || s.TruncatedBytes != int64(size-ends[whole-1]) {
-			t.Fatalf("cut at %d: %d lists, want %d; %d bytes cut", size, len(lists), whole, s.TruncatedBytes)
+			t.Fatalf("truncated at %d: %d lists, want %d; %d bytes removed", size, len(lists), whole, s.TruncatedBytes)
 		}
 		next := List{Revision: lists[whole-1].Revision + 1}
 		if err := s.Append(next); err != nil {
@@ -86,12 +87,12 @@
 			t.Fatal(err)
 		}
 		if again, _, err := readLog("log", after); err != nil || len(again) != whole+1 {
-			t.Fatalf("cut at %d, then appended to: %d lists, %v", size, len(again), err)
+			t.Fatalf("truncated at %d, then appended to: %d lists, %v", size, len(again), err)
 		}
 	}
 }
 
-// A record that can't be read in front of others is no torn tail: to go on would lose what it says.
+// An invalid record in front of valid ones is not a torn tail. Opening the log without it would lose its changes.
 func TestCorruptMiddleRecordIsErrorWithOffset(t *testing.T) {
 	raw, want := filledLog(t, t.TempDir(), 3)
 	first, err := appendRecord([]byte(logMagic), want[0])
@@ -108,7 +109,7 @@
 		_, _, err := reopen(t, spoilt)
 		var corrupt *CorruptError
 		if !errors.As(err, &corrupt) || corrupt.Offset != int64(len(first)) {
-			t.Fatalf("byte %d spoilt: %v", at, err)
+			t.Fatalf("byte %d corrupted: %v", at, err)
 		}
 	}
 	for name, spoilt := range map[string][]byte{"empty": {}, "no list": []byte(logMagic), "half a first list": raw[:len(first)-1]} {
@@ -154,14 +155,14 @@
 		t.Fatal(err)
 	}
 	if _, _, err := OpenStore(dir); err == nil {
-		t.Error("a second process has the folder")
+		t.Error("the state directory was opened twice")
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
 	again, _, err := OpenStore(dir)
 	if err != nil {
-		t.Fatalf("after the first is gone: %v", err)
+		t.Fatalf("open after the first was closed: %v", err)
 	}
 	again.Close()
 }
@@ -184,7 +185,7 @@
 		}
 		again, all, err := readLog("log", raw[:good])
 		if err != nil || all != good || !reflect.DeepEqual(lists, again) {
-			t.Errorf("what is good reads as %v, %v; at first %v", again, err, lists)
+			t.Errorf("valid bytes read again as %v, %v; first as %v", again, err, lists)
 		}
 	})
 }
