--- a/internal/registry/failover_test.go
+++ b/internal/registry/failover_test.go
@@ -157,7 +157,7 @@
 	a, b := startPair(t)
 	a.register(1, 60_000)
 	eventually(t, "the follower has it all", inSync(a, b))
-	eventually(t, "the primary tells of it", func() bool {
+	eventually(t, "the primary reports the follower", func() bool {
 		_, text := a.callOps("GET", "/ops/stats")
 		return strings.Contains(text, "registry.followers:1|g") && strings.Contains(text, "registry.lag_revisions:0|g")
 	})
--- a/internal/registry/history_test.go
+++ b/internal/registry/history_test.go
@@ -91,7 +91,8 @@
 				}
 			}
 			w := &watchers[rng.IntN(len(watchers))]
-			if at := servers[rng.IntN(2)]; at.c.Head() >= w.revision && at.c.Head() > 0 { // otherwise it would choose another server
+			// A watcher chooses another server if this one's list is older than its own.
+			if at := servers[rng.IntN(2)]; at.c.Head() >= w.revision && at.c.Head() > 0 {
 				w.apply(at.h.Since(w.revision))
 				want := watcherView{members: map[string]Member{}}
 				want.apply(at.c.Snapshot())
--- a/internal/registry/list.go
+++ b/internal/registry/list.go
@@ -107,7 +107,7 @@
 			return l, fmt.Errorf("list: revision %d: %w", l.Revision, err)
 		}
 		if l.Complete && m.Phase == Deleted {
-			return l, fmt.Errorf("list: revision %d: %s is deleted in a whole list", l.Revision, m.ID)
+			return l, fmt.Errorf("list: revision %d: %s is deleted in a complete list", l.Revision, m.ID)
 		}
 	}
 	return l, nil
--- a/internal/registry/noticelog.go
+++ b/internal/registry/noticelog.go
@@ -113,7 +113,7 @@
 	}
 }
 
-// add stores notices; after an error none of them is stored.
+// add stores notices and numbers them; after an error none of them is stored.
 func (r *noticeLog) add(at time.Time, notices []notice) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/registry/rollout_test.go
+++ b/internal/registry/rollout_test.go
@@ -42,13 +42,13 @@
 	if code, said := a.call("POST", "/registry/nodes", fmt.Sprintf(`{"name":"n","incarnation":1,"seq":1,"revision":%d,"build":"b","config":"c"}`, head)); code != http.StatusNoContent {
 		t.Fatal(code, said)
 	}
-	until("the claim", func(v rollout.Snapshot) bool { return len(v.Nodes) == 1 && v.Nodes[0].BehindMS == 0 })
+	until("the report", func(v rollout.Snapshot) bool { return len(v.Nodes) == 1 && v.Nodes[0].BehindMS == 0 })
 	a.register(1, 10_000)
 	until("a change", func(v rollout.Snapshot) bool { return len(v.Nodes) == 1 && v.Nodes[0].BehindMS > 0 })
 }
 
-// A follower's record of a withdrawal has the time of the server that decided it. A floor is replicated to the follower,
-// survives a restart, and can be removed again.
+// A follower's record of a withdrawal has the time of the server that decided it. A floor is replicated to the
+// follower, survives a restart, and can be removed again.
 func TestFloorAndChangeTimesAreReplicated(t *testing.T) {
 	a, b := startPair(t)
 	a.register(1, 10_000)
