--- a/internal/registry/bench_test.go
+++ b/internal/registry/bench_test.go
@@ -31,12 +31,12 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			front := s.HTTPServer(s.Handler(), int64(count+10), log)
-			var parts sync.WaitGroup
-			parts.Go(func() { front.Serve(ln) })
+			httpServer := s.HTTPServer(s.Handler(), int64(count+10), log)
+			var workers sync.WaitGroup
+			workers.Go(func() { httpServer.Serve(ln) })
 			ctx, cancel := context.WithCancel(b.Context())
-			parts.Go(func() { s.Run(ctx) })
-			set := func(m Member) {
+			workers.Go(func() { s.Run(ctx) })
+			register := func(m Member) {
 				if _, err := s.submit(b.Context(), command{plan: s.primaryOnly(func(now time.Duration) (List, any, error) {
 					l, err := s.catalog.Register(now, 1, m)
 					return l, nil, err
@@ -45,12 +45,12 @@
 				}
 			}
 			for n := range 30 {
-				set(instance(n))
+				register(instance(n))
 			}
-			var got sync.WaitGroup
+			var received sync.WaitGroup
 			before := heapBytes()
 			var conns []net.Conn
-			got.Add(count)
+			received.Add(count)
 			for range count {
 				nc, err := net.Dial("tcp", ln.Addr().String())
 				if err != nil {
@@ -60,13 +60,13 @@
 				if _, err := io.WriteString(nc, "GET /registry/instances?watch=1 HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil {
 					b.Fatal(err)
 				}
-				parts.Go(func() {
+				workers.Go(func() {
 					r := bufio.NewReaderSize(nc, 4096)
 					for {
 						line, err := r.ReadSlice('\n')
 						if err == nil || err == bufio.ErrBufferFull {
 							if bytes.Contains(line, []byte(`"revision"`)) {
-								got.Done()
+								received.Done()
 							}
 							continue
 						}
@@ -74,16 +74,16 @@
 					}
 				})
 			}
-			got.Wait()
+			received.Wait()
 			perWatcher := float64(heapBytes()-before) / float64(count)
 			bytesBefore := s.stats.bytes.Load()
 			n := 0
 			for b.Loop() {
-				got.Add(count)
+				received.Add(count)
 				m := instance(n % 30)
 				m.Size = float64(2 + n)
-				set(m)
-				got.Wait()
+				register(m)
+				received.Wait()
 				n++
 			}
 			b.ReportMetric(perWatcher, "heap-B/watcher")
@@ -92,8 +92,8 @@
 				nc.Close()
 			}
 			cancel()
-			front.Close()
-			parts.Wait()
+			httpServer.Close()
+			workers.Wait()
 		})
 	}
 }
--- a/internal/registry/catalog_test.go
+++ b/internal/registry/catalog_test.go
@@ -69,12 +69,12 @@
 			}
 		}
 		before := c.Head()
-		gone := expireLeases(c, at)
-		if want := at == leaseTTL; (gone == 1) != want || gone > 1 {
-			t.Fatalf("%d leases expired at %v", gone, at)
+		expired := expireLeases(c, at)
+		if want := at == leaseTTL; (expired == 1) != want || expired > 1 {
+			t.Fatalf("%d leases expired at %v", expired, at)
 		}
-		if (c.Head() > before) != (gone > 0) {
-			t.Fatalf("revision %d after %d with %d leases expired", c.Head(), before, gone)
+		if (c.Head() > before) != (expired > 0) {
+			t.Fatalf("revision %d after %d with %d leases expired", c.Head(), before, expired)
 		}
 	}
 	if _, err := c.Renew(3*leaseTTL, instance(0).ID, instance(0).Owner); !errors.Is(err, ErrNotFound) {
@@ -166,7 +166,7 @@
 
 func TestInvalidRegistrations(t *testing.T) {
 	c := newTestCatalog(t, 1)
-	for name, spoil := range map[string]func(*Member){
+	for name, invalidate := range map[string]func(*Member){
 		"no id":         func(m *Member) { m.ID = "" },
 		"long id":       func(m *Member) { m.ID = string(make([]byte, 65)) },
 		"id with slash": func(m *Member) { m.ID = "a/b" },
@@ -183,7 +183,7 @@
 		"endless lease": func(m *Member) { m.LeaseMS = 1 << 62 },
 	} {
 		m := instance(7)
-		spoil(&m)
+		invalidate(&m)
 		if l, err := c.Register(0, 5000, m); err == nil {
 			t.Errorf("%s: accepted as %+v", name, l)
 		}
@@ -230,10 +230,10 @@
 			next[n] = rand.N(leaseTTL / 3)
 		}
 		cut, back := 30*time.Second, 90*time.Second
-		stays := func(n int) bool { return n%4 == 0 } // never returns
+		neverReturns := func(n int) bool { return n%4 == 0 } // never returns
 		for at := time.Duration(0); at < 3*time.Minute; at += 100 * time.Millisecond {
 			for n := range next {
-				silent := at >= cut && (at < back || stays(n))
+				silent := at >= cut && (at < back || neverReturns(n))
 				if at < next[n] || silent {
 					continue
 				}
--- a/internal/registry/history_test.go
+++ b/internal/registry/history_test.go
@@ -59,7 +59,7 @@
 		}
 		promote(0)
 		watchers := make([]watcherView, 12)
-		primary, heard := 0, true
+		primary, connected := 0, true
 		for range 400 {
 			s := servers[primary]
 			m := instance(rng.IntN(15))
@@ -74,7 +74,7 @@
 					add(s, l)
 				}
 			case 5:
-				heard = rng.IntN(3) > 0
+				connected = rng.IntN(3) > 0
 			case 6: // the other is promoted; changes that it has not received are lost
 				if rng.IntN(6) == 0 {
 					promote(1 - primary)
@@ -84,7 +84,7 @@
 				}
 			}
 			s = servers[primary]
-			if f := servers[1-primary]; heard && rng.IntN(2) == 0 && f.c.Head() != s.c.Head() {
+			if f := servers[1-primary]; connected && rng.IntN(2) == 0 && f.c.Head() != s.c.Head() {
 				add(f, s.h.Since(f.c.Head()))
 				if f.c.Head() != s.c.Head() || !reflect.DeepEqual(f.c.Snapshot(), s.c.Snapshot()) {
 					t.Fatalf("seed %d: the follower has %+v, the primary %+v", seed, f.c.Snapshot(), s.c.Snapshot())
@@ -135,7 +135,7 @@
 func TestCompactedOrUnknownRevisionGetsFullList(t *testing.T) {
 	c, h := newTestCatalog(t, 1), NewHistory()
 	h.Add(c.Snapshot())
-	start := c.Head()
+	first := c.Head()
 	for n := range maxHistory + 10 {
 		m := instance(0)
 		m.Size = float64(2 + n)
@@ -153,7 +153,7 @@
 		after Revision
 		whole bool
 	}{
-		"compacted": {start, true}, "ahead": {c.Head() + 1, true}, "at the floor": {h.compacted, false},
+		"compacted": {first, true}, "ahead": {c.Head() + 1, true}, "at the floor": {h.compacted, false},
 		"present": {c.Head(), false}, "of no epoch": {5, true}, "none": {0, true},
 	} {
 		if l := h.Since(c.after); l.Complete != c.whole || l.Revision != h.head {
--- a/internal/registry/http.go
+++ b/internal/registry/http.go
@@ -43,16 +43,16 @@
 }
 
 // member returns the member to register under id, with defaults for omitted fields.
-func (c registration) member(id string) (Member, error) {
-	if c.Cell == nil {
+func (r registration) member(id string) (Member, error) {
+	if r.Cell == nil {
 		return Member{}, fmt.Errorf("%w: cell is missing", ErrInvalid)
 	}
 	m := Member{
 		Instance: Instance{
-			ID: id, Addr: c.Addr, Locality: c.Locality, Flavor: c.Flavor, Cell: *c.Cell, Phase: c.Phase, Size: c.Size,
-			UpSince: c.UpSince,
+			ID: id, Addr: r.Addr, Locality: r.Locality, Flavor: r.Flavor, Cell: *r.Cell, Phase: r.Phase, Size: r.Size,
+			UpSince: r.UpSince,
 		},
-		Owner: c.Owner, LeaseMS: c.LeaseMS,
+		Owner: r.Owner, LeaseMS: r.LeaseMS,
 	}
 	if m.Size == 0 {
 		m.Size = 1
@@ -193,10 +193,10 @@
 }
 
 // runCommand executes a plan on the primary and writes its reply as the response.
-func (s *Server) runCommand(w http.ResponseWriter, r *http.Request, p planFunc) {
+func (s *Server) runCommand(w http.ResponseWriter, r *http.Request, plan planFunc) {
 	ctx, cancel := context.WithTimeout(r.Context(), commandTimeout)
 	defer cancel()
-	reply, err := s.submit(ctx, command{plan: s.primaryOnly(p)})
+	reply, err := s.submit(ctx, command{plan: s.primaryOnly(plan)})
 	if err != nil {
 		s.writeError(w, err)
 		return
@@ -209,12 +209,12 @@
 }
 
 func (s *Server) register(w http.ResponseWriter, r *http.Request) {
-	var c registration
-	if err := decodeBody(w, r, &c); err != nil {
+	var reg registration
+	if err := decodeBody(w, r, &reg); err != nil {
 		s.writeError(w, err)
 		return
 	}
-	m, err := c.member(r.PathValue("id"))
+	m, err := reg.member(r.PathValue("id"))
 	if err != nil {
 		s.writeError(w, err)
 		return
--- a/internal/registry/noticelog.go
+++ b/internal/registry/noticelog.go
@@ -71,25 +71,25 @@
 	if maxBytes <= 0 {
 		maxBytes = defaultMaxReportBytes
 	}
-	r := &noticeLog{path: filepath.Join(dir, reportsFile), maxBytes: maxBytes, nextSeq: 1}
-	for _, path := range []string{r.path + ".old", r.path} {
-		if err := r.scan(path); err != nil && !errors.Is(err, os.ErrNotExist) {
+	l := &noticeLog{path: filepath.Join(dir, reportsFile), maxBytes: maxBytes, nextSeq: 1}
+	for _, path := range []string{l.path + ".old", l.path} {
+		if err := l.scan(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 			return nil, fmt.Errorf("reports: %w", err)
 		}
 	}
-	f, err := os.OpenFile(r.path, os.O_RDWR|os.O_CREATE, 0o600)
+	f, err := os.OpenFile(l.path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("reports: %w", err)
 	}
-	if r.file = f; f.Truncate(r.size) != nil { // removes a line that an interrupted write left incomplete
+	if l.file = f; f.Truncate(l.size) != nil { // removes a line that an interrupted write left incomplete
 		return nil, errors.Join(fmt.Errorf("reports: can't truncate the incomplete last line"), f.Close())
 	}
-	return r, nil
+	return l, nil
 }
 
 // scan finds the last sequence number in a file and the end of its last complete line.
-func (r *noticeLog) scan(path string) error {
-	r.size, r.baseSeq = 0, r.nextSeq-1
+func (l *noticeLog) scan(path string) error {
+	l.size, l.baseSeq = 0, l.nextSeq-1
 	f, err := os.Open(path)
 	if err != nil {
 		return err
@@ -106,76 +106,76 @@
 		}
 		var n notice
 		if err := json.Unmarshal(line, &n); err != nil {
-			return fmt.Errorf("%s at byte %d: %w", path, r.size, err)
+			return fmt.Errorf("%s at byte %d: %w", path, l.size, err)
 		}
-		r.nextSeq = max(r.nextSeq, n.Seq+1)
-		r.size += int64(len(line))
+		l.nextSeq = max(l.nextSeq, n.Seq+1)
+		l.size += int64(len(line))
 	}
 }
 
 // add stores notices and numbers them; after an error none of them is stored.
-func (r *noticeLog) add(at time.Time, notices []notice) error {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (l *noticeLog) add(at time.Time, notices []notice) error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	var b bytes.Buffer
 	lines := json.NewEncoder(&b)
 	for i, n := range notices {
-		n.Seq, n.AtMS = r.nextSeq+int64(i), at.UnixMilli()
+		n.Seq, n.AtMS = l.nextSeq+int64(i), at.UnixMilli()
 		if err := lines.Encode(n); err != nil {
 			return fmt.Errorf("reports: %w", err)
 		}
 	}
-	if r.size > 0 && r.size+int64(b.Len()) > r.maxBytes/2 {
-		if err := r.rotate(); err != nil {
+	if l.size > 0 && l.size+int64(b.Len()) > l.maxBytes/2 {
+		if err := l.rotate(); err != nil {
 			return fmt.Errorf("reports: %w", err)
 		}
 	}
-	if err := r.truncateTail(); err != nil {
+	if err := l.truncateTail(); err != nil {
 		return err
 	}
-	if _, err := r.file.WriteAt(b.Bytes(), r.size); err != nil {
-		r.dirtyTail = true
-		return fmt.Errorf("reports: %w", errors.Join(err, r.truncateTail()))
+	if _, err := l.file.WriteAt(b.Bytes(), l.size); err != nil {
+		l.dirtyTail = true
+		return fmt.Errorf("reports: %w", errors.Join(err, l.truncateTail()))
 	}
-	r.size += int64(b.Len())
-	r.nextSeq += int64(len(notices))
+	l.size += int64(b.Len())
+	l.nextSeq += int64(len(notices))
 	return nil
 }
 
 // truncateTail removes what a failed add may have written. If shorter lines were written over it, a remainder would be
 // left behind, and the file could not be read at the next start.
-func (r *noticeLog) truncateTail() error {
-	if !r.dirtyTail {
+func (l *noticeLog) truncateTail() error {
+	if !l.dirtyTail {
 		return nil
 	}
-	if err := r.file.Truncate(r.size); err != nil {
+	if err := l.file.Truncate(l.size); err != nil {
 		return fmt.Errorf("reports: the torn end can't be cut: %w", err)
 	}
-	r.dirtyTail = false
+	l.dirtyTail = false
 	return nil
 }
 
 // rotate begins a new file and keeps the previous one as the older file.
-func (r *noticeLog) rotate() error {
-	if err := os.Rename(r.path, r.path+".old"); err != nil {
+func (l *noticeLog) rotate() error {
+	if err := os.Rename(l.path, l.path+".old"); err != nil {
 		return err
 	}
-	f, err := os.OpenFile(r.path, os.O_RDWR|os.O_CREATE, 0o600)
+	f, err := os.OpenFile(l.path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
-		return errors.Join(err, os.Rename(r.path+".old", r.path))
+		return errors.Join(err, os.Rename(l.path+".old", l.path))
 	}
-	old := r.file
-	r.file, r.size, r.baseSeq = f, 0, r.nextSeq-1
+	old := l.file
+	l.file, l.size, l.baseSeq = f, 0, l.nextSeq-1
 	return old.Close()
 }
 
 // pageAfter returns a page of the notices with sequence numbers after the given one, at most maxReportPageBytes long.
-func (r *noticeLog) pageAfter(after int64) ([]byte, error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (l *noticeLog) pageAfter(after int64) ([]byte, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	var page bytes.Buffer
-	for _, path := range []string{r.path + ".old", r.path} {
-		if path != r.path && after >= r.baseSeq {
+	for _, path := range []string{l.path + ".old", l.path} {
+		if path != l.path && after >= l.baseSeq {
 			continue
 		}
 		raw, err := os.ReadFile(path)
@@ -199,4 +199,4 @@
 	return page.Bytes(), nil
 }
 
-func (r *noticeLog) close() error { return r.file.Close() }
+func (l *noticeLog) close() error { return l.file.Close() }
--- a/internal/registry/rollout.go
+++ b/internal/registry/rollout.go
@@ -23,19 +23,19 @@
 func newRolloutTable() *rolloutTable { return &rolloutTable{table: rollout.NewTable()} }
 
 // update calls fn on the table, after the table has taken note of every revision up to head.
-func (d *rolloutTable) update(now time.Duration, head Revision, fn func(t *rollout.Table)) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.table.Advance(now, int64(head))
-	fn(d.table)
+func (rt *rolloutTable) update(now time.Duration, head Revision, fn func(t *rollout.Table)) {
+	rt.mu.Lock()
+	defer rt.mu.Unlock()
+	rt.table.Advance(now, int64(head))
+	fn(rt.table)
 }
 
 // reportNode stores a node's report about itself. Followers accept reports too.
 func (s *Server) reportNode(w http.ResponseWriter, r *http.Request) {
-	var c rollout.Report
-	err := decodeBody(w, r, &c)
+	var report rollout.Report
+	err := decodeBody(w, r, &report)
 	if err == nil {
-		s.rollout.update(s.now(), s.feed.head(), func(t *rollout.Table) { err = t.Apply(s.now(), c) })
+		s.rollout.update(s.now(), s.feed.head(), func(t *rollout.Table) { err = t.Apply(s.now(), report) })
 	}
 	if err != nil {
 		s.writeError(w, err)
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -374,7 +374,7 @@
 }
 
 // primaryOnly wraps a plan so that it is refused unless this server is the primary.
-func (s *Server) primaryOnly(p planFunc) planFunc {
+func (s *Server) primaryOnly(plan planFunc) planFunc {
 	return func(now time.Duration) (List, any, error) {
 		switch {
 		case s.is(roleFollower):
@@ -382,7 +382,7 @@
 		case s.is(roleUnconfirmed):
 			return List{}, nil, errUnconfirmed
 		}
-		return p(now)
+		return plan(now)
 	}
 }
 
--- a/internal/registry/server_test.go
+++ b/internal/registry/server_test.go
@@ -480,7 +480,7 @@
 	a := startServer(t, testConfig(t), listen(t, "127.0.0.1:0"))
 	a.register(1, 60_000)
 	a.register(2, 60_000)
-	heard := a.list().Revision
+	sentRevision := a.list().Revision
 	a.stop()
 	path := a.cfg.StateDir + "/" + logFile
 	raw, err := os.ReadFile(path)
@@ -492,8 +492,8 @@
 	}
 	a = a.restart()
 	a.register(3, 60_000)
-	if l := a.watch(heard).next(t); !l.Complete || l.Revision <= heard || len(l.Members) != 2 {
-		t.Errorf("a watcher at %d got %+v", heard, l)
+	if l := a.watch(sentRevision).next(t); !l.Complete || l.Revision <= sentRevision || len(l.Members) != 2 {
+		t.Errorf("a watcher at %d got %+v", sentRevision, l)
 	}
 }
 
@@ -505,7 +505,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	good := a.s.store.path
+	goodPath := a.s.store.path
 	inLoop := func(do func()) {
 		t.Helper()
 		if _, err := a.s.submit(t.Context(), command{plan: func(time.Duration) (List, any, error) { do(); return List{}, nil, nil }}); err != nil {
@@ -525,7 +525,7 @@
 	if after := a.list(); fmt.Sprint(after) != fmt.Sprint(before) {
 		t.Errorf("was %+v, is %+v", before, after)
 	}
-	inLoop(func() { a.s.store.path = good }) // the disk has space again
+	inLoop(func() { a.s.store.path = goodPath }) // the disk has space again
 	eventually(t, "writes are accepted again", func() bool {
 		code, _ := a.call("PUT", "/registry/instances/s2", registrationBody(2, 60_000))
 		return code == 200
@@ -569,8 +569,8 @@
 
 func TestNoticeLogIsBounded(t *testing.T) {
 	dir := t.TempDir()
-	const most = 16 << 10
-	r, err := openNoticeLog(dir, most)
+	const maxBytes = 16 << 10
+	r, err := openNoticeLog(dir, maxBytes)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -590,13 +590,13 @@
 		}
 		sum += info.Size()
 	}
-	if sum > most || sum < most/2 {
+	if sum > maxBytes || sum < maxBytes/2 {
 		t.Errorf("%d bytes are stored", sum)
 	}
 	if err := os.WriteFile(dir+"/"+reportsFile, append(must(os.ReadFile(dir+"/"+reportsFile)), `{"seq":`...), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if r, err = openNoticeLog(dir, most); err != nil {
+	if r, err = openNoticeLog(dir, maxBytes); err != nil {
 		t.Fatal(err)
 	}
 	defer r.close()
@@ -691,14 +691,14 @@
 	}
 	defer resp.Body.Close()
 	lines := bufio.NewScanner(resp.Body)
-	var told []string
+	var received []string
 	for lines.Scan() {
-		if told = append(told, lines.Text()); len(lines.Bytes()) > 1 && !strings.Contains(lines.Text(), "settling") {
+		if received = append(received, lines.Text()); len(lines.Bytes()) > 1 && !strings.Contains(lines.Text(), "settling") {
 			break
 		}
 	}
-	if len(told) < 2 || !strings.Contains(told[0], "settling") {
-		t.Errorf("a watcher got %q", told)
+	if len(received) < 2 || !strings.Contains(received[0], "settling") {
+		t.Errorf("a watcher got %q", received)
 	}
 	a = a.restart()
 	if got := list(); strings.Contains(got, "settling") {
@@ -712,7 +712,7 @@
 	cfg := testConfig(t)
 	cfg.StartRate = 10
 	a := startServer(t, cfg, listen(t, "127.0.0.1:0"))
-	ask := func(query string) (int, http.Header) {
+	get := func(query string) (int, http.Header) {
 		resp, err := http.Get("http://" + a.addr + "/registry/instances" + query)
 		if err != nil {
 			t.Fatal(err)
@@ -723,7 +723,7 @@
 	waits := map[string]bool{}
 	var turn string
 	for range 8 {
-		code, h := ask("?after=0")
+		code, h := get("?after=0")
 		if code == http.StatusServiceUnavailable {
 			waits[h.Get("Retry-After-Ms")] = true
 			turn = h.Get("Registry-Turn")
@@ -735,17 +735,17 @@
 	if len(waits) < 5 {
 		t.Errorf("retry times %v", waits)
 	}
-	if code, _ := ask("?after=1"); code != http.StatusOK {
+	if code, _ := get("?after=1"); code != http.StatusOK {
 		t.Errorf("request for a second opinion: %d", code)
 	}
-	if code, _ := ask("?watch=1&replica=1"); code != http.StatusOK {
+	if code, _ := get("?watch=1&replica=1"); code != http.StatusOK {
 		t.Errorf("watch by another server: %d", code)
 	}
 	if code, body := call(t, "PUT", "http://"+a.addr+"/registry/instances/s-1",
 		`{"host_port":"127.0.0.1:6379","locality":"a","flavor":"m","cell":3,"owner":"s-1.1"}`); code != http.StatusOK {
 		t.Errorf("registration: %d %s", code, body)
 	}
-	if code, h := ask("?after=0&turn=" + turn); code != http.StatusServiceUnavailable || h.Get("Registry-Turn") != turn {
+	if code, h := get("?after=0&turn=" + turn); code != http.StatusServiceUnavailable || h.Get("Registry-Turn") != turn {
 		t.Errorf("turn used too early: %d %v", code, h)
 	}
 	if _, text := call(t, "GET", "http://"+a.opsAddr+"/ops/stats", ""); !strings.Contains(text, "registry.turns_out:") {
--- a/internal/registry/store.go
+++ b/internal/registry/store.go
@@ -99,9 +99,9 @@
 	}
 	if err != nil {
 		// Part of the data may have been written, and after a failed sync the file's content is unknown.
-		cut := errors.Join(s.file.Truncate(s.size), s.file.Sync())
-		s.dirtyTail = cut != nil
-		return fmt.Errorf("store: %w", errors.Join(err, cut))
+		truncateErr := errors.Join(s.file.Truncate(s.size), s.file.Sync())
+		s.dirtyTail = truncateErr != nil
+		return fmt.Errorf("store: %w", errors.Join(err, truncateErr))
 	}
 	s.size += int64(len(raw))
 	return nil
--- a/internal/registry/store_test.go
+++ b/internal/registry/store_test.go
@@ -65,20 +65,20 @@
 		ends = append(ends, ends[len(ends)-1]+len(rec))
 	}
 	for size := len(first); size <= len(raw); size++ {
-		whole := 0
+		wantLists := 0
 		for _, end := range ends {
 			if size >= end {
-				whole++
+				wantLists++
 			}
 		}
 		s, lists, err := reopen(t, raw[:size])
 		if err != nil {
 			t.Fatalf("truncated at %d: %v", size, err)
 		}
-		if len(lists) != whole || s.TruncatedBytes != int64(size-ends[whole-1]) {
-			t.Fatalf("truncated at %d: %d lists, want %d; %d bytes removed", size, len(lists), whole, s.TruncatedBytes)
+		if len(lists) != wantLists || s.TruncatedBytes != int64(size-ends[wantLists-1]) {
+			t.Fatalf("truncated at %d: %d lists, want %d; %d bytes removed", size, len(lists), wantLists, s.TruncatedBytes)
 		}
-		next := List{Revision: lists[whole-1].Revision + 1}
+		next := List{Revision: lists[wantLists-1].Revision + 1}
 		if err := s.Append(next); err != nil {
 			t.Fatal(err)
 		}
@@ -86,7 +86,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if again, _, err := readLog("log", after); err != nil || len(again) != whole+1 {
+		if again, _, err := readLog("log", after); err != nil || len(again) != wantLists+1 {
 			t.Fatalf("truncated at %d, then appended to: %d lists, %v", size, len(again), err)
 		}
 	}
@@ -104,17 +104,17 @@
 		t.Fatal(err)
 	}
 	for at := len(first); at < len(second); at++ {
-		spoilt := append([]byte(nil), raw...)
-		spoilt[at] ^= 0x41
-		_, _, err := reopen(t, spoilt)
+		corrupted := append([]byte(nil), raw...)
+		corrupted[at] ^= 0x41
+		_, _, err := reopen(t, corrupted)
 		var corrupt *CorruptError
 		if !errors.As(err, &corrupt) || corrupt.Offset != int64(len(first)) {
 			t.Fatalf("byte %d corrupted: %v", at, err)
 		}
 	}
-	for name, spoilt := range map[string][]byte{"empty": {}, "no list": []byte(logMagic), "half a first list": raw[:len(first)-1]} {
+	for name, corrupted := range map[string][]byte{"empty": {}, "no list": []byte(logMagic), "half a first list": raw[:len(first)-1]} {
 		var corrupt *CorruptError
-		if _, _, err := reopen(t, spoilt); !errors.As(err, &corrupt) {
+		if _, _, err := reopen(t, corrupted); !errors.As(err, &corrupt) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
