--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -47,16 +47,16 @@
 	nodes []*node
 	hands sync.WaitGroup
 
-	block  *process.Block
+	block  *process.AddrBlock
 	starts *process.Starter
-	net    *relay.Net
+	net    *relay.Network
 	zones  map[relay.Party]int
 	parts  sync.WaitGroup
 
 	mu      sync.Mutex
 	sockets map[string]*socket // by endpoint
 	order   []relay.Party      // of the endpoints
-	wait    map[string]*relay.Rule
+	wait    map[string]*relay.FaultRule
 }
 
 // Play plays a day and returns what the ledger says of it.
@@ -74,16 +74,16 @@
 	if err != nil {
 		return nil, fmt.Errorf("loopback: %w", err)
 	}
-	block, err := process.HoldBlock()
+	block, err := process.ReserveBlock()
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("loopback: %w", err), os.RemoveAll(dir))
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	r := &run{
 		Options: o, ctx: ctx, day: &day, block: block, starts: process.NewStarter(), zones: map[relay.Party]int{},
-		sockets: map[string]*socket{}, wait: map[string]*relay.Rule{},
+		sockets: map[string]*socket{}, wait: map[string]*relay.FaultRule{},
 	}
-	r.net = relay.New(day.Seed, block.Who, func(relay.Event) {})
+	r.net = relay.New(day.Seed, block.PartyAt, func(relay.Event) {})
 	ledger := judge.New(&day)
 	var remotes []model.Remote
 	for i := range day.Nodes {
@@ -98,10 +98,10 @@
 	r.world = model.NewRemote(day, remotes, r, ledger)
 	err = r.ready()
 	if err == nil {
-		for _, t := range day.Troubles {
+		for _, t := range day.Faults {
 			r.parts.Go(func() { r.impair(t) })
 		}
-		err = r.world.RunReal(ctx)
+		err = r.world.RunRealTime(ctx)
 	}
 	cancel()
 	r.parts.Wait()
@@ -121,10 +121,10 @@
 	for _, n := range r.nodes {
 		parties = append(parties, n.self)
 		r.zones[n.self] = r.day.Nodes[n.n].Zone
-		faces = append(faces, process.At(r.block.Face(n.self), process.NotePort))
-		owns = append(owns, process.At(r.block.Own(n.self), process.NotePort))
+		faces = append(faces, process.HostPort(r.block.FaceAddr(n.self), process.PeerPort))
+		owns = append(owns, process.HostPort(r.block.OwnAddr(n.self), process.PeerPort))
 	}
-	if err := r.net.UDP(parties, faces, owns); err != nil {
+	if err := r.net.ListenUDP(parties, faces, owns); err != nil {
 		return err
 	}
 	for _, e := range r.world.List() {
@@ -136,7 +136,7 @@
 		if err := n.configure(faces); err != nil {
 			return err
 		}
-		n.Begin()
+		n.Start()
 	}
 	for _, n := range r.nodes {
 		for end := time.Now().Add(readyWait); !n.serves(); time.Sleep(10 * time.Millisecond) {
@@ -149,13 +149,13 @@
 }
 
 // open opens the socket of an endpoint and its face, and tells all nodes of it.
-func (r *run) open(e model.Listed) error {
+func (r *run) open(e model.ListEntry) error {
 	r.mu.Lock()
-	p := relay.Party{Kind: relay.Partner, N: len(r.order)}
+	p := relay.Party{Kind: relay.Partner, Index: len(r.order)}
 	r.order = append(r.order, p)
 	r.zones[p] = e.Zone
 	r.mu.Unlock()
-	own, face := process.At(r.block.Own(p), process.CallPort), process.At(r.block.Face(p), process.CallPort)
+	own, face := process.HostPort(r.block.OwnAddr(p), process.PartnerPort), process.HostPort(r.block.FaceAddr(p), process.PartnerPort)
 	s, err := newSocket(r, p, e.Endpoint, own)
 	if err != nil {
 		return err
@@ -164,7 +164,7 @@
 	r.mu.Lock()
 	r.sockets[e.Endpoint] = s
 	r.mu.Unlock()
-	if err := r.net.TCP(face, p, own); err != nil {
+	if err := r.net.ListenTCP(face, p, own); err != nil {
 		return err
 	}
 	for _, n := range r.nodes {
@@ -189,40 +189,40 @@
 		s.close()
 	}
 	r.starts.Close()
-	return errors.Join(append(errs, r.block.Free())...)
+	return errors.Join(append(errs, r.block.Release())...)
 }
 
 // impair plays the troubles of the network that the model leaves to the ways.
-func (r *run) impair(t model.Trouble) {
-	if t.Kind != model.CutZone && t.Kind != model.Deaf || !backoff.Sleep(r.ctx, t.At) {
+func (r *run) impair(t model.Fault) {
+	if t.Kind != model.ZonePartition && t.Kind != model.DatagramsBlocked || !backoff.Sleep(r.ctx, t.At) {
 		return
 	}
-	from, to := relay.Set{}, relay.Set{}
-	var rules []*relay.Rule
+	from, to := relay.PartySet{}, relay.PartySet{}
+	var rules []*relay.FaultRule
 	r.mu.Lock()
 	for p, zone := range r.zones {
-		if t.Kind == model.CutZone && zone == t.Zone {
+		if t.Kind == model.ZonePartition && zone == t.Zone {
 			from[p] = true
-		} else if t.Kind == model.CutZone {
+		} else if t.Kind == model.ZonePartition {
 			to[p] = true
 		} else if p.Kind == relay.Node {
 			from[p] = true
-			to[p] = len(t.Nodes) == 0 || slices.Contains(t.Nodes, p.N)
+			to[p] = len(t.Nodes) == 0 || slices.Contains(t.Nodes, p.Index)
 		}
 	}
 	r.mu.Unlock()
-	rules = append(rules, r.net.Impair(from, to, relay.Fault{Vanish: true}))
-	if t.Kind == model.CutZone {
-		rules = append(rules, r.net.Impair(to, from, relay.Fault{Vanish: true}))
+	rules = append(rules, r.net.AddFault(from, to, relay.Fault{ResetOnHeal: true}))
+	if t.Kind == model.ZonePartition {
+		rules = append(rules, r.net.AddFault(to, from, relay.Fault{ResetOnHeal: true}))
 	}
-	backoff.Sleep(r.ctx, t.Len)
+	backoff.Sleep(r.ctx, t.Duration)
 	for _, rule := range rules {
-		r.net.Lift(rule)
+		r.net.RemoveFault(rule)
 	}
 }
 
 // Struck takes an endpoint's machine away or its process down, and back. (model.Sockets)
-func (r *run) Struck(endpoint, kind string, down bool) {
+func (r *run) OutageChanged(endpoint, kind string, down bool) {
 	s := r.socket(endpoint)
 	if s == nil {
 		return
@@ -230,28 +230,28 @@
 	switch kind {
 	case model.Crash:
 		s.refuse(down)
-		if err := r.net.Down(s.party, down); err != nil {
+		if err := r.net.SetDown(s.party, down); err != nil {
 			fmt.Fprintf(r.Log, "loopback: endpoint %s: %v\n", endpoint, err)
 		}
-	case model.Vanish:
+	case model.Unresponsive:
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		if rule := r.wait[endpoint]; rule != nil {
-			r.net.Lift(rule)
+			r.net.RemoveFault(rule)
 			delete(r.wait, endpoint)
 		}
 		if down {
-			from := relay.Set{}
+			from := relay.PartySet{}
 			for _, n := range r.nodes {
 				from[n.self] = true
 			}
-			r.wait[endpoint] = r.net.Impair(from, relay.Set{s.party: true}, relay.Fault{Vanish: true})
+			r.wait[endpoint] = r.net.AddFault(from, relay.PartySet{s.party: true}, relay.Fault{ResetOnHeal: true})
 		}
 	}
 }
 
 // Opened opens the socket of a new endpoint. (model.Sockets)
-func (r *run) Opened(endpoint string) {
+func (r *run) EndpointAdded(endpoint string) {
 	for _, e := range r.world.List() {
 		if e.Endpoint == endpoint && r.socket(endpoint) == nil {
 			if err := r.open(e); err != nil {
