--- a/internal/lab/judge/judge.go
+++ b/internal/lab/judge/judge.go
@@ -234,7 +234,7 @@
 	}
 	m.answered = true
 	if late := e.At - m.deadline; m.accepted && late > j.day.Settings.AnswerGrace+maxNoticeDelay && e.At > j.nodes[e.Node].startedAt+restartGrace {
-		j.addViolation("answer", e, "final answer %v after the deadline", late)
+		j.addViolation("answer", e, "final answer is %v late", late)
 	}
 	// The client's last answer counts, but a delivery is not undone by a refusal of another submission.
 	r.answered = true
