--- a/internal/lab/process/process.go
+++ b/internal/lab/process/process.go
@@ -91,25 +91,25 @@
 	cmd.Env = append(os.Environ(), "ROUTER_CONFIG=", "ROUTER_STATE=", "ROUTER_CONSOLE=", "GOMAXPROCS=2") // what its limits give it is more than a stage of hundreds has
 	cmd.Env = append(cmd.Env, p.Env...)
 	// By a pipe: a bound on the process's files does not silence it.
-	said := struct{ io.Writer }{out}
-	cmd.Stdout, cmd.Stderr = said, said
+	output := struct{ io.Writer }{out}
+	cmd.Stdout, cmd.Stderr = output, output
 	if err := p.Starter.start(cmd); err != nil {
 		out.Close()
 		return fmt.Errorf("%s: %w", p.Name, err)
 	}
-	dead := make(chan struct{})
-	p.cmd, p.exited, p.paused, p.exitRequested = cmd, dead, false, false
+	exited := make(chan struct{})
+	p.cmd, p.exited, p.paused, p.exitRequested = cmd, exited, false, false
 	go func() {
 		err := cmd.Wait()
 		out.Close()
 		p.mu.Lock()
 		p.cmd = nil
-		told := p.exitRequested
+		exitRequested := p.exitRequested
 		p.mu.Unlock()
-		if !told && p.OnCrash != nil {
+		if !exitRequested && p.OnCrash != nil {
 			p.OnCrash(p.Name, fmt.Sprint(err))
 		}
-		close(dead)
+		close(exited)
 	}()
 	if p.diskFull {
 		return p.setFileSizeLimit(0)
@@ -135,9 +135,9 @@
 }
 
 // Pause stops the process where it is, or lets it go on.
-func (p *Process) SetPaused(on bool) error {
+func (p *Process) SetPaused(paused bool) error {
 	s := syscall.SIGCONT
-	if on {
+	if paused {
 		s = syscall.SIGSTOP
 	}
 	_, err := p.signal(s)
@@ -173,9 +173,9 @@
 
 // Kill ends it at once, and returns when it is gone.
 func (p *Process) Kill() error {
-	dead, err := p.signal(syscall.SIGKILL)
-	if dead != nil {
-		<-dead
+	exited, err := p.signal(syscall.SIGKILL)
+	if exited != nil {
+		<-exited
 	}
 	return err
 }
@@ -183,17 +183,17 @@
 // End tells it to end, and kills it if it takes too long.
 func (p *Process) Stop() error {
 	p.mu.Lock()
-	stopped := p.paused
+	paused := p.paused
 	p.mu.Unlock()
-	if stopped {
+	if paused {
 		return p.Kill()
 	}
-	dead, err := p.signal(syscall.SIGTERM)
-	if dead == nil {
+	exited, err := p.signal(syscall.SIGTERM)
+	if exited == nil {
 		return err
 	}
 	select {
-	case <-dead:
+	case <-exited:
 		return nil
 	case <-time.After(terminateTimeout):
 		return errors.Join(fmt.Errorf("%s: it did not end within %v", p.Name, terminateTimeout), p.Kill())
@@ -284,30 +284,30 @@
 		return fmt.Errorf("%s: it runs, and its files are not damaged", p.Name)
 	}
 	path := filepath.Join(p.StateDir, filepath.Base(file))
-	raw, err := os.ReadFile(path)
-	if err != nil || len(raw) == 0 {
+	data, err := os.ReadFile(path)
+	if err != nil || len(data) == 0 {
 		return err
 	}
-	place := rng.IntN(len(raw))
+	offset := rng.IntN(len(data))
 	if rng.IntN(2) == 0 {
-		raw = raw[:place]
+		data = data[:offset]
 	} else {
-		raw[place] ^= 1 << rng.IntN(8)
+		data[offset] ^= 1 << rng.IntN(8)
 	}
-	return os.WriteFile(path, raw, 0o600)
+	return os.WriteFile(path, data, 0o600)
 }
 
 const wantedOpenFiles = 1 << 17 // each connection on the stage takes up to four descriptors here
 
 // roomForFiles asks for as many descriptors as the system gives this process.
 func raiseFileLimit() {
-	var l unix.Rlimit
-	if unix.Getrlimit(unix.RLIMIT_NOFILE, &l) != nil || l.Cur >= wantedOpenFiles {
+	var limit unix.Rlimit
+	if unix.Getrlimit(unix.RLIMIT_NOFILE, &limit) != nil || limit.Cur >= wantedOpenFiles {
 		return
 	}
-	more := unix.Rlimit{Cur: wantedOpenFiles, Max: max(l.Max, wantedOpenFiles)}
-	if unix.Setrlimit(unix.RLIMIT_NOFILE, &more) != nil { // only root may have more than it was given
-		l.Cur = l.Max
-		unix.Setrlimit(unix.RLIMIT_NOFILE, &l) // no more can be had then
+	wanted := unix.Rlimit{Cur: wantedOpenFiles, Max: max(limit.Max, wantedOpenFiles)}
+	if unix.Setrlimit(unix.RLIMIT_NOFILE, &wanted) != nil { // only root may have more than it was given
+		limit.Cur = limit.Max
+		unix.Setrlimit(unix.RLIMIT_NOFILE, &limit) // no more can be had then
 	}
 }
--- a/internal/lab/relay/fault.go
+++ b/internal/lab/relay/fault.go
@@ -85,19 +85,19 @@
 }
 
 // with is both faults together: the worse of each.
-func (f Fault) combine(o Fault) Fault {
-	least := func(a, b int) int {
+func (f Fault) combine(other Fault) Fault {
+	stricter := func(a, b int) int {
 		if a == 0 || b == 0 {
 			return max(a, b)
 		}
 		return min(a, b)
 	}
 	return Fault{
-		Cut: f.Cut || o.Cut, ResetOnHeal: f.ResetOnHeal || o.ResetOnHeal, Refuse: f.Refuse || o.Refuse,
-		ResetShare: max(f.ResetShare, o.ResetShare), ResetWithin: max(f.ResetWithin, o.ResetWithin),
-		Delay: f.Delay + o.Delay, Jitter: f.Jitter + o.Jitter,
-		BytesPerSecond: least(f.BytesPerSecond, o.BytesPerSecond), StallAfter: least(f.StallAfter, o.StallAfter),
-		LossShare: max(f.LossShare, o.LossShare), DuplicateShare: max(f.DuplicateShare, o.DuplicateShare), ReorderShare: max(f.ReorderShare, o.ReorderShare),
+		Cut: f.Cut || other.Cut, ResetOnHeal: f.ResetOnHeal || other.ResetOnHeal, Refuse: f.Refuse || other.Refuse,
+		ResetShare: max(f.ResetShare, other.ResetShare), ResetWithin: max(f.ResetWithin, other.ResetWithin),
+		Delay: f.Delay + other.Delay, Jitter: f.Jitter + other.Jitter,
+		BytesPerSecond: stricter(f.BytesPerSecond, other.BytesPerSecond), StallAfter: stricter(f.StallAfter, other.StallAfter),
+		LossShare: max(f.LossShare, other.LossShare), DuplicateShare: max(f.DuplicateShare, other.DuplicateShare), ReorderShare: max(f.ReorderShare, other.ReorderShare),
 	}
 }
 
@@ -147,8 +147,8 @@
 
 // New makes a Net without a socket. who names the party of an address; tell hears what passes, from many goroutines,
 // and must not wait. Chance is drawn from the seed.
-func New(seed uint64, who func(netip.Addr) (Party, bool), tell func(Event)) *Network {
-	return &Network{partyAt: who, onEvent: tell, rng: rand.New(rand.NewPCG(seed, 0x57a6e)), rulesChanged: make(chan struct{}), done: make(chan struct{}), faces: map[Party]*face{}}
+func New(seed uint64, partyAt func(netip.Addr) (Party, bool), onEvent func(Event)) *Network {
+	return &Network{partyAt: partyAt, onEvent: onEvent, rng: rand.New(rand.NewPCG(seed, 0x57a6e)), rulesChanged: make(chan struct{}), done: make(chan struct{}), faces: map[Party]*face{}}
 }
 
 // Impair puts a fault on the ways from each of the one set to each of the other, until Lift.
@@ -210,14 +210,14 @@
 }
 
 // keep has Close call end, or calls it now if the Net is closed already.
-func (n *Network) addCloser(end func()) bool {
+func (n *Network) addCloser(closer func()) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.closed {
-		end()
+		closer()
 		return false
 	}
-	n.closers = append(n.closers, end)
+	n.closers = append(n.closers, closer)
 	return true
 }
 
@@ -228,10 +228,10 @@
 		close(n.done)
 	}
 	n.closed = true
-	ends := n.closers
+	closers := n.closers
 	n.closers = nil
 	n.mu.Unlock()
-	for _, end := range ends {
+	for _, end := range closers {
 		end()
 	}
 	n.wg.Wait()
--- a/internal/lab/relay/relay_test.go
+++ b/internal/lab/relay/relay_test.go
@@ -115,7 +115,7 @@
 	return bufio.NewReader(nc).ReadString('\n')
 }
 
-func addFaultBothWays(b *fixture, f Fault) (lift func()) {
+func addFaultBothWays(b *fixture, f Fault) (remove func()) {
 	rules := []*FaultRule{b.net.AddFault(PartySet{clientParty: true}, PartySet{serverParty: true}, f), b.net.AddFault(PartySet{serverParty: true}, PartySet{clientParty: true}, f)}
 	return func() {
 		for _, r := range rules {
@@ -168,11 +168,11 @@
 	if _, err := echo(nc, "before", testTimeout); err != nil {
 		t.Fatal(err)
 	}
-	lift := addFaultBothWays(b, Fault{ResetOnHeal: true})
+	remove := addFaultBothWays(b, Fault{ResetOnHeal: true})
 	if got, err := echo(nc, "in it", 100*time.Millisecond); err == nil {
 		t.Fatalf("%q comes through", got)
 	}
-	lift()
+	remove()
 	nc.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := nc.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("after it: %v", err)
@@ -194,10 +194,10 @@
 // Who gives a connection up while it is cut is never connected.
 func TestConnAbandonedDuringCutIsNeverOpened(t *testing.T) {
 	b := newFixture(t, 1)
-	lift := addFaultBothWays(b, Fault{Cut: true})
+	remove := addFaultBothWays(b, Fault{Cut: true})
 	b.dial().Close()
 	time.Sleep(150 * time.Millisecond) // longer than the relay takes to look
-	lift()
+	remove()
 	if got, err := echo(b.dial(), "x", testTimeout); err != nil {
 		t.Fatalf("%q, %v", got, err)
 	}
@@ -257,20 +257,20 @@
 // Datagrams carry the face of who sent them, and are lost, doubled or late as the fault says.
 func TestDatagramFaults(t *testing.T) {
 	parties := []Party{{Node, 0}, {Node, 1}}
-	owns, faces := []string{"127.0.0.2:0", "127.0.0.3:0"}, []string{freeAddr(t), freeAddr(t)}
+	ownAddrs, faces := []string{"127.0.0.2:0", "127.0.0.3:0"}, []string{freeAddr(t), freeAddr(t)}
 	var conns []*net.UDPConn
-	for i := range owns {
-		conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.MustParseAddrPort(owns[i])))
+	for i := range ownAddrs {
+		conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.MustParseAddrPort(ownAddrs[i])))
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { conn.Close() })
-		conns, owns[i] = append(conns, conn), conn.LocalAddr().String()
+		conns, ownAddrs[i] = append(conns, conn), conn.LocalAddr().String()
 	}
 	who := func(a netip.Addr) (Party, bool) { return Party{Node, int(a.As4()[3]) - 2}, true }
 	n := New(3, who, func(Event) {})
 	t.Cleanup(n.Close)
-	if err := n.ListenUDP(parties, faces, owns); err != nil {
+	if err := n.ListenUDP(parties, faces, ownAddrs); err != nil {
 		t.Fatal(err)
 	}
 	count := func(f Fault, sent int) (got int) {
--- a/internal/lab/relay/tcp.go
+++ b/internal/lab/relay/tcp.go
@@ -110,14 +110,14 @@
 }
 
 // reached takes the other half, and tells whether the link is still wanted.
-func (l *proxiedConn) setUpstream(far *net.TCPConn) bool {
+func (l *proxiedConn) setUpstream(upstream *net.TCPConn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
-		far.Close()
+		upstream.Close()
 		return false
 	}
-	l.upstream = far
+	l.upstream = upstream
 	return true
 }
 
@@ -141,10 +141,10 @@
 	}
 }
 
-func (n *Network) proxy(near *net.TCPConn, to Party, target string) {
-	source := near.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap()
+func (n *Network) proxy(downstream *net.TCPConn, to Party, target string) {
+	source := downstream.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap()
 	from, known := n.partyAt(source)
-	l := &proxiedConn{downstream: near, done: make(chan struct{})}
+	l := &proxiedConn{downstream: downstream, done: make(chan struct{})}
 	defer l.close(false)
 	f, _ := n.currentFault(from, to)
 	if !known || f.Refuse {
@@ -165,13 +165,13 @@
 		return
 	}
 	d := net.Dialer{Timeout: dialTimeout, LocalAddr: &net.TCPAddr{IP: net.IP(source.AsSlice())}}
-	far, err := d.Dial("tcp4", target)
+	upstream, err := d.Dial("tcp4", target)
 	if err != nil {
 		n.onEvent(Event{Type: ConnFailed, From: from, To: to})
 		l.close(true)
 		return
 	}
-	if !l.setUpstream(far.(*net.TCPConn)) {
+	if !l.setUpstream(upstream.(*net.TCPConn)) {
 		return
 	}
 	n.onEvent(Event{Type: ConnOpened, From: from, To: to})
@@ -182,10 +182,10 @@
 		})
 		defer t.Stop()
 	}
-	var ways sync.WaitGroup
-	ways.Go(func() { n.forward(l, l.downstream, l.upstream, from, to) })
-	ways.Go(func() { n.forward(l, l.upstream, l.downstream, to, from) })
-	ways.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { n.forward(l, l.downstream, l.upstream, from, to) })
+	directions.Go(func() { n.forward(l, l.upstream, l.downstream, to, from) })
+	directions.Wait()
 }
 
 // reach waits while the way to the other party is cut, and tells whether the connection is still wanted.
@@ -206,16 +206,16 @@
 
 // gone waits until the faults change or the link is over, and tells the latter. A connection that nobody reads from is
 // looked at now and then: who has given it up is not to be connected later.
-func awaitChange(nc *net.TCPConn, over, changed <-chan struct{}) bool {
-	look := time.NewTicker(50 * time.Millisecond)
-	defer look.Stop()
+func awaitChange(nc *net.TCPConn, done, changed <-chan struct{}) bool {
+	poll := time.NewTicker(50 * time.Millisecond)
+	defer poll.Stop()
 	for {
 		select {
-		case <-over:
+		case <-done:
 			return true
 		case <-changed:
 			return false
-		case <-look.C:
+		case <-poll.C:
 			if peerClosed(nc) {
 				return true
 			}
@@ -247,11 +247,11 @@
 
 // way passes on what comes from one half to the other, until it ends.
 func (n *Network) forward(l *proxiedConn, src, dst *net.TCPConn, from, to Party) {
-	ahead := make(chan chunk, maxBufferedChunks)
+	buffered := make(chan chunk, maxBufferedChunks)
 	var reader sync.WaitGroup
 	defer reader.Wait()
 	reader.Go(func() {
-		defer close(ahead)
+		defer close(buffered)
 		var last time.Time
 		for {
 			b := make([]byte, chunkBytes)
@@ -267,7 +267,7 @@
 				c.reset = !errors.Is(err, io.EOF)
 			}
 			select {
-			case ahead <- c:
+			case buffered <- c:
 			case <-l.done:
 				return
 			}
@@ -277,7 +277,7 @@
 		}
 	})
 	passed := 0
-	for c := range ahead {
+	for c := range buffered {
 		if !n.writeChunk(l, dst, c, from, to, &passed) {
 			l.close(true)
 			return
@@ -291,12 +291,12 @@
 		return false
 	}
 	vanished := false
-	for text := c.data; len(text) > 0; {
+	for data := c.data; len(data) > 0; {
 		f, changed := n.currentFault(from, to)
 		if vanished && !f.blocks() {
 			return false
 		}
-		room := len(text)
+		room := len(data)
 		if f.StallAfter > 0 {
 			room = min(room, f.StallAfter-*passed)
 		}
@@ -315,12 +315,12 @@
 				return false
 			}
 		}
-		if _, err := dst.Write(text[:room]); err != nil {
+		if _, err := dst.Write(data[:room]); err != nil {
 			return false
 		}
-		n.onEvent(Event{Type: DataForwarded, From: from, To: to, Bytes: room, Data: text[:room]})
+		n.onEvent(Event{Type: DataForwarded, From: from, To: to, Bytes: room, Data: data[:room]})
 		*passed += room
-		text = text[room:]
+		data = data[room:]
 	}
 	if len(c.data) > 0 && !c.reset {
 		return true
--- a/internal/lab/relay/udp.go
+++ b/internal/lab/relay/udp.go
@@ -20,9 +20,9 @@
 		return fmt.Errorf("relay: %d parties with %d faces and %d addresses", len(parties), len(faces), len(targets))
 	}
 	conns := map[Party]*net.UDPConn{}
-	at := map[Party]netip.AddrPort{}
+	ownAddrs := map[Party]netip.AddrPort{}
 	for i, p := range parties {
-		own, err := parseLoopback(targets[i])
+		ownAddr, err := parseLoopback(targets[i])
 		if err != nil {
 			return err
 		}
@@ -37,7 +37,7 @@
 		if !n.addCloser(func() { conn.Close() }) {
 			return net.ErrClosed
 		}
-		conns[p], at[p] = conn, own
+		conns[p], ownAddrs[p] = conn, ownAddr
 	}
 	for _, to := range parties {
 		n.wg.Go(func() {
@@ -51,10 +51,10 @@
 					continue
 				}
 				from, known := n.partyAt(source.Addr().Unmap())
-				if !known || conns[from] == nil || source.Port() != at[from].Port() {
+				if !known || conns[from] == nil || source.Port() != ownAddrs[from].Port() {
 					continue
 				}
-				n.forwardDatagram(conns[from], at[to], from, to, b[:k])
+				n.forwardDatagram(conns[from], ownAddrs[to], from, to, b[:k])
 			}
 		})
 	}
@@ -62,10 +62,10 @@
 }
 
 // datagram passes one on, or not.
-func (n *Network) forwardDatagram(face *net.UDPConn, target netip.AddrPort, from, to Party, text []byte) {
+func (n *Network) forwardDatagram(face *net.UDPConn, target netip.AddrPort, from, to Party, data []byte) {
 	f, _ := n.currentFault(from, to)
 	if f.blocks() || n.happens(f.LossShare) {
-		n.onEvent(Event{Type: DatagramLost, From: from, To: to, Bytes: len(text)})
+		n.onEvent(Event{Type: DatagramLost, From: from, To: to, Bytes: len(data)})
 		return
 	}
 	copies := 1
@@ -73,12 +73,12 @@
 		copies = 2
 	}
 	for range copies {
-		late := f.Delay + n.randomDuration(f.Jitter)
+		delay := f.Delay + n.randomDuration(f.Jitter)
 		if n.happens(f.ReorderShare) {
-			late += n.randomDuration(maxReorderDelay)
+			delay += n.randomDuration(maxReorderDelay)
 		}
-		if late <= 0 {
-			n.sendDatagram(face, target, from, to, text)
+		if delay <= 0 {
+			n.sendDatagram(face, target, from, to, data)
 			continue
 		}
 		n.mu.Lock()
@@ -88,11 +88,11 @@
 		}
 		n.mu.Unlock()
 		if full {
-			n.onEvent(Event{Type: DatagramLost, From: from, To: to, Bytes: len(text)})
+			n.onEvent(Event{Type: DatagramLost, From: from, To: to, Bytes: len(data)})
 			continue
 		}
-		kept := append([]byte(nil), text...)
-		time.AfterFunc(late, func() {
+		kept := append([]byte(nil), data...)
+		time.AfterFunc(delay, func() {
 			n.mu.Lock()
 			n.delayedDatagrams--
 			n.mu.Unlock()
@@ -103,10 +103,10 @@
 	}
 }
 
-func (n *Network) sendDatagram(face *net.UDPConn, target netip.AddrPort, from, to Party, text []byte) {
-	what := DatagramForwarded
-	if _, err := face.WriteToUDPAddrPort(text, target); err != nil {
-		what = DatagramLost
+func (n *Network) sendDatagram(face *net.UDPConn, target netip.AddrPort, from, to Party, data []byte) {
+	eventType := DatagramForwarded
+	if _, err := face.WriteToUDPAddrPort(data, target); err != nil {
+		eventType = DatagramLost
 	}
-	n.onEvent(Event{Type: what, From: from, To: to, Bytes: len(text)})
+	n.onEvent(Event{Type: eventType, From: from, To: to, Bytes: len(data)})
 }
--- a/internal/lab/stage/audit.go
+++ b/internal/lab/stage/audit.go
@@ -19,7 +19,7 @@
 
 // Audit holds the nodes' own records of acts, as they stand in their folders, against what the list servers remember.
 func (st *Stage) Audit() (auditlog.Report, error) {
-	var best auditlog.History
+	var history auditlog.History
 	var errs []error
 	for i := range st.servers {
 		var h auditlog.History
@@ -31,12 +31,12 @@
 			errs = append(errs, err)
 			continue
 		}
-		best = auditlog.MoreComplete(best, h)
+		history = auditlog.MoreComplete(history, h)
 	}
 	if len(errs) == len(st.servers) {
 		return auditlog.Report{}, fmt.Errorf("stage: no list server tells what it remembers: %w", errors.Join(errs...))
 	}
-	a := auditlog.Auditor{History: best, Grace: st.ledger.day.Settings.DrainTimeout + lateSlack, Slack: auditSlack}
+	a := auditlog.Auditor{History: history, Grace: st.ledger.day.Settings.DrainTimeout + lateSlack, Slack: auditSlack}
 	for i := range st.nodes {
 		name := relay.Party{Kind: relay.Node, Index: i}.String()
 		raw, err := auditlog.ReadDir(filepath.Join(st.dir, name))
@@ -59,7 +59,7 @@
 // compare holds what an audit has found against what partners have seen. Missed are late calls that it neither found nor
 // told as unsure; false ones it found that were not so. Nodes' records that it told as unreadable, or lives without a clock,
 // are excused: it says that it does not know.
-func compareAudit(late []LateCalls, r auditlog.Report) (missed, wrong int, text []string) {
+func compareAudit(late []LateCalls, r auditlog.Report) (missed, wrong int, differences []string) {
 	unknown := map[string]bool{}
 	for _, u := range r.Unknown {
 		unknown[fmt.Sprint(u.Node, " ", u.Incarnation)] = true
@@ -80,21 +80,21 @@
 		}
 		if l.Count > f.LateCalls+f.UnsureCalls {
 			missed += l.Count - f.LateCalls - f.UnsureCalls
-			text = append(text, fmt.Sprintf("%+v: %d calls are late, the audit has %d, and %d that it is unsure of", k, l.Count, f.LateCalls, f.UnsureCalls))
+			differences = append(differences, fmt.Sprintf("%+v: %d calls are late, the audit has %d, and %d that it is unsure of", k, l.Count, f.LateCalls, f.UnsureCalls))
 		}
 		if f.LateCalls > l.Count {
 			wrong += f.LateCalls - l.Count
-			text = append(text, fmt.Sprintf("%+v: %d calls are late, the audit has %d", k, l.Count, f.LateCalls))
+			differences = append(differences, fmt.Sprintf("%+v: %d calls are late, the audit has %d", k, l.Count, f.LateCalls))
 		}
 	}
 	for k, f := range found {
 		if f.LateCalls > 0 {
 			wrong += f.LateCalls
-			text = append(text, fmt.Sprintf("%+v: no call is late, the audit has %d", k, f.LateCalls))
+			differences = append(differences, fmt.Sprintf("%+v: no call is late, the audit has %d", k, f.LateCalls))
 		}
 	}
-	slices.Sort(text)
-	return missed, wrong, text
+	slices.Sort(differences)
+	return missed, wrong, differences
 }
 
 // holdAudit puts into a report how the nodes' records stand against the ledger.
@@ -104,15 +104,15 @@
 		r.Missed = append(r.Missed, err.Error())
 		return
 	}
-	missed, wrong, text := compareAudit(r.LateCalls, found)
+	missed, wrong, differences := compareAudit(r.LateCalls, found)
 	f := r.Figures
 	f["audit_missed"], f["audit_wrong"] = float64(missed), float64(wrong)
 	f["audit_calls"], f["audit_unknown"] = float64(found.Calls), float64(len(found.Unknown))
-	for _, x := range found.Findings {
-		f["audit_late"] += float64(x.LateCalls)
-		f["audit_unsure"] += float64(x.UnsureCalls)
+	for _, finding := range found.Findings {
+		f["audit_late"] += float64(finding.LateCalls)
+		f["audit_unsure"] += float64(finding.UnsureCalls)
 	}
-	r.Audit, r.AuditDifferences = &found, text
+	r.Audit, r.AuditDifferences = &found, differences
 }
 
 func sortLateCalls(all []LateCalls) {
--- a/internal/lab/stage/audit_test.go
+++ b/internal/lab/stage/audit_test.go
@@ -67,14 +67,14 @@
 	}
 	var out, errs bytes.Buffer
 	code := cli.Main([]string{"fleet", "audit", "--json", "--servers", strings.Join(servers, ","), "--grace", "1050ms", "--slack", auditSlack.String()}, &out, &errs)
-	var by auditlog.Report
-	if err := json.Unmarshal(out.Bytes(), &by); err != nil || code != 1 {
+	var fromAdmin auditlog.Report
+	if err := json.Unmarshal(out.Bytes(), &fromAdmin); err != nil || code != 1 {
 		t.Fatalf("status %d, %v, %s", code, err, errs.String())
 	}
-	if _, wrong, text := compareAudit(r.LateCalls, by); wrong > 0 || len(by.Findings) != len(r.Audit.Findings) {
-		t.Errorf("by the doors %d findings, in the folders %d: %v, unknown %v", len(by.Findings), len(r.Audit.Findings), text, by.Unknown)
+	if _, wrong, text := compareAudit(r.LateCalls, fromAdmin); wrong > 0 || len(fromAdmin.Findings) != len(r.Audit.Findings) {
+		t.Errorf("by the doors %d findings, in the folders %d: %v, unknown %v", len(fromAdmin.Findings), len(r.Audit.Findings), text, fromAdmin.Unknown)
 	}
-	for _, f := range by.Findings {
+	for _, f := range fromAdmin.Findings {
 		if f.Endpoint != "p0-0" || strings.Contains("node-4 node-5 node-6 node-7", f.Node) || f.WithdrawnRevision <= f.Revision || f.Reason == "not told" {
 			t.Errorf("%+v", f)
 		}
@@ -142,8 +142,8 @@
 	s.Node.Audit, s.Node.Fencing, s.Node.ListHeartbeat, s.Node.Admin = true, true, 250, true
 	st, run, done := openStage(t, s)
 	run()
-	first := relay.Party{Kind: relay.Server, Index: 0}
-	server := process.HostPort(st.addrs.OwnAddr(first), process.ListPort)
+	serverParty := relay.Party{Kind: relay.Server, Index: 0}
+	server := process.HostPort(st.addrs.OwnAddr(serverParty), process.ListPort)
 	fleet := func(want int, args ...string) string {
 		t.Helper()
 		var out, errs bytes.Buffer
@@ -152,7 +152,7 @@
 		}
 		return out.String()
 	}
-	shut := func(want int) {
+	awaitFenced := func(want int) {
 		t.Helper()
 		testkit.Eventually(t, fmt.Sprint(want, " are shut out"), func() bool {
 			out := 0
@@ -164,26 +164,26 @@
 			return out == want && len(st.RolloutStatus().Nodes) == s.Nodes
 		})
 	}
-	shut(0)
+	awaitFenced(0)
 	head := strconv.FormatInt(st.RolloutStatus().Head, 10)
 	fleet(0, "require", "--revision", head)
-	if said := fleet(1, "require", "--build", "another"); !strings.Contains(said, "3 of 3 nodes do not reach it now: node-0 node-1 node-2") {
-		t.Errorf("%q", said)
+	if output := fleet(1, "require", "--build", "another"); !strings.Contains(output, "3 of 3 nodes do not reach it now: node-0 node-1 node-2") {
+		t.Errorf("%q", output)
 	}
 	fleet(0, "require", "--build", "another", "--dry-run")
 	fleet(1, "require", "--revision", "99999999999999", "--force")
-	shut(0)
+	awaitFenced(0)
 	fleet(0, "require", "--build", "another", "--force")
-	shut(3)
-	if err := errors.Join(st.Kill(first), st.Start(first)); err != nil {
+	awaitFenced(3)
+	if err := errors.Join(st.Kill(serverParty), st.Start(serverParty)); err != nil {
 		t.Fatal(err)
 	}
 	testkit.Eventually(t, "it serves again", func() bool { return st.RolloutStatus().Head > 0 })
-	shut(3)
+	awaitFenced(3)
 	testkit.Eventually(t, "it takes writes", func() bool {
 		return cli.Main([]string{"fleet", "release", "--servers", server}, io.Discard, io.Discard) == 0
 	})
-	shut(0)
+	awaitFenced(0)
 	done()
 }
 
--- a/internal/lab/stage/judge_test.go
+++ b/internal/lab/stage/judge_test.go
@@ -36,11 +36,11 @@
 		return 1
 	}
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(cfg.Source)}}
-	hc := &http.Client{Transport: &http.Transport{DialContext: d.DialContext, MaxIdleConnsPerHost: 100}}
-	end := make(chan os.Signal, 1)
-	signal.Notify(end, syscall.SIGTERM)
+	httpClient := &http.Client{Transport: &http.Transport{DialContext: d.DialContext, MaxIdleConnsPerHost: 100}}
+	terminate := make(chan os.Signal, 1)
+	signal.Notify(terminate, syscall.SIGTERM)
 	list := func() (addrs []string) {
-		resp, err := hc.Get("http://" + cfg.Registry.Addresses[0] + "/registry/instances")
+		resp, err := httpClient.Get("http://" + cfg.Registry.Addresses[0] + "/registry/instances")
 		if err != nil {
 			return nil
 		}
@@ -66,20 +66,20 @@
 			return
 		}
 		req.Header.Set("X-Trace-Id", id)
-		if resp, err := hc.Do(req); err == nil {
+		if resp, err := httpClient.Do(req); err == nil {
 			io.Copy(io.Discard, resp.Body)
 			resp.Body.Close()
 		}
 	}
-	tell := func(id, state string) {
-		resp, err := hc.Post("http://"+cfg.Registry.Addresses[0]+"/reports", "application/json", strings.NewReader(fmt.Sprintf(`{"id":%q,"state":%q}`+"\n", id, state)))
+	sendNotice := func(id, state string) {
+		resp, err := httpClient.Post("http://"+cfg.Registry.Addresses[0]+"/reports", "application/json", strings.NewReader(fmt.Sprintf(`{"id":%q,"state":%q}`+"\n", id, state)))
 		if err == nil {
 			resp.Body.Close()
 		}
 	}
-	var taken atomic.Int64
+	var accepted atomic.Int64
 	fault := os.Getenv(faultEnv)
-	wrong := func(id string) {
+	deliver := func(id string) {
 		switch addr := known[0]; fault {
 		case "loses":
 		case "copies":
@@ -94,7 +94,7 @@
 			call(addr, id)
 		case "ends late":
 			time.Sleep(1800 * time.Millisecond)
-			tell(id, "returned")
+			sendNotice(id, "returned")
 		case "goes on": // at an endpoint that it has known from the start
 			call(addr, id)
 			for range 20 {
@@ -112,7 +112,7 @@
 		return 1
 	}
 	go func() {
-		<-end
+		<-terminate
 		os.Exit(0)
 	}()
 	for {
@@ -144,8 +144,8 @@
 					continue
 				}
 				io.WriteString(nc, "+OK\r\n")
-				taken.Add(1)
-				go wrong(args[2])
+				accepted.Add(1)
+				go deliver(args[2])
 			}
 		}()
 	}
--- a/internal/lab/stage/ledger.go
+++ b/internal/lab/stage/ledger.go
@@ -240,11 +240,11 @@
 }
 
 // crash notes a process that has ended by itself.
-func (l *ledger) processCrashed(name, how string) {
+func (l *ledger) processCrashed(name, reason string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.crashes++
-	l.recordViolation("crash", "%s ends by itself: %s", name, how)
+	l.recordViolation("crash", "%s ends by itself: %s", name, reason)
 }
 
 // pong notes that a node takes clients.
@@ -278,12 +278,12 @@
 }
 
 // answered notes what a node says to a hand-in. end is whether the client leaves it at that.
-func (l *ledger) submissionAnswered(m *message, told model.SubmitResult, end bool) {
+func (l *ledger) submissionAnswered(m *message, answer model.SubmitResult, final bool) {
 	at := l.now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	m.tracef(at, "told %d, end %v", told, end)
-	switch told {
+	m.tracef(at, "told %d, end %v", answer, final)
+	switch answer {
 	case model.SubmitAccepted:
 		if m.accepted || m.ended {
 			return
@@ -295,7 +295,7 @@
 		}
 	case model.SubmitRejected:
 		l.bin(at).Busy++
-		if end {
+		if final {
 			l.endMessage(m, at, choice.Rejected, "refused")
 		} else { // the try is over, the message goes on
 			l.observe(l.answerEvent(m, at, choice.Rejected))
@@ -304,7 +304,7 @@
 		l.bin(at).Failed++
 		l.endMessage(m, at, choice.ServerError, "failed")
 	case model.SubmitUnanswered:
-		if end {
+		if final {
 			m.ended, m.outcome = true, "unheard"
 		}
 	}
@@ -315,12 +315,12 @@
 }
 
 // over gives a message its end. The lock is held.
-func (l *ledger) endMessage(m *message, at time.Duration, o choice.Outcome, end string) {
+func (l *ledger) endMessage(m *message, at time.Duration, o choice.Outcome, outcome string) {
 	if m.ended {
 		return
 	}
-	m.ended, m.outcome = true, end
-	m.tracef(at, "over: %s", end)
+	m.ended, m.outcome = true, outcome
+	m.tracef(at, "over: %s", outcome)
 	l.observe(l.answerEvent(m, at, o))
 }
 
@@ -389,7 +389,7 @@
 		b.Calls++
 		e.calls++
 		e.maxLoad = max(e.maxLoad, s.Load)
-		by, marked := parseDecisionBasis(node, s.Header.Get(egress.DecisionBasisHeader))
+		basis, marked := parseDecisionBasis(node, s.Header.Get(egress.DecisionBasisHeader))
 		if l.script.Node.Audit && !marked {
 			l.unmarkedCalls++
 		}
@@ -399,7 +399,7 @@
 		if grace := l.day.Settings.DrainTimeout + lateSlack; e.withdrawnAt >= 0 && at > e.withdrawnAt+grace {
 			e.lateCalls++
 			n.lateCalls++
-			e.lateCallsByBasis[by]++
+			e.lateCallsByBasis[basis]++
 			e.lastLateCall = at - e.withdrawnAt
 		}
 		l.callReceived(node, e, s, at)
@@ -501,12 +501,12 @@
 }
 
 // withdrew notes that the list leaves an endpoint out, or has it again.
-func (l *ledger) setWithdrawn(endpoint string, gone bool) {
+func (l *ledger) setWithdrawn(endpoint string, withdrawn bool) {
 	at := l.now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := &l.endpoints[l.endpointIndex[endpoint]]
-	if e.withdrawnAt = -1; gone {
+	if e.withdrawnAt = -1; withdrawn {
 		e.withdrawnAt = at
 	}
 }
--- a/internal/lab/stage/play.go
+++ b/internal/lab/stage/play.go
@@ -32,14 +32,14 @@
 )
 
 // Play sets a stage up, plays its script, and returns what came of it. A broken rule is no error of Play.
-func Play(ctx context.Context, s Script, o Options) (r *Report, err error) {
-	st, err := Open(ctx, s, o)
+func Play(ctx context.Context, s Script, options Options) (r *Report, err error) {
+	st, err := Open(ctx, s, options)
 	if err != nil {
 		return nil, err
 	}
 	defer func() {
-		if closing := st.Close(); err == nil && closing != nil {
-			err = fmt.Errorf("stage: %w", closing)
+		if closeErr := st.Close(); err == nil && closeErr != nil {
+			err = fmt.Errorf("stage: %w", closeErr)
 		}
 	}()
 	if err := st.Run(); err != nil {
@@ -100,7 +100,7 @@
 
 // stale is how many nodes don't have the newest revision of the list some time after all is over.
 func (st *Stage) countStaleNodes() (behind int) {
-	for end := time.Now().Add(staleTimeout); ; time.Sleep(50 * time.Millisecond) {
+	for deadline := time.Now().Add(staleTimeout); ; time.Sleep(50 * time.Millisecond) {
 		var newest int64
 		for i := range st.servers {
 			newest = max(newest, fetchFigure("http://"+st.serverAdminAddr(i)+"/ops/stats", "registry.revision:"))
@@ -111,7 +111,7 @@
 				behind++
 			}
 		}
-		if behind == 0 && newest > 0 || time.Now().After(end) || st.ctx.Err() != nil {
+		if behind == 0 && newest > 0 || time.Now().After(deadline) || st.ctx.Err() != nil {
 			return behind
 		}
 	}
@@ -171,29 +171,29 @@
 	for i := range st.partners {
 		st.SetListed(i, true)
 	}
-	until := st.script.Length.Duration()
+	trafficEnd := st.script.Length.Duration()
 	var clients sync.WaitGroup
 	for n := range st.nodes {
-		clients.Go(func() { st.runClients(n, until) })
+		clients.Go(func() { st.runClients(n, trafficEnd) })
 	}
 	var notices sync.WaitGroup
 	polling, stop := context.WithCancel(st.ctx)
 	notices.Go(func() { st.pollNotices(polling) })
 	defer stop()
-	var doing sync.WaitGroup
+	var running sync.WaitGroup
 	for _, m := range plan {
 		if !st.sleepUntil(m.at) {
 			break
 		}
-		doing.Go(m.run) // one that waits must not delay the next
+		running.Go(m.run) // one that waits must not delay the next
 	}
-	st.sleepUntil(until)
+	st.sleepUntil(trafficEnd)
 	clients.Wait()
-	last := until + st.script.Traffic.TTL.Duration() + settleTime
-	for st.ledger.openMessages() > 0 && st.ledger.now() < last && st.ctx.Err() == nil {
+	deadline := trafficEnd + st.script.Traffic.TTL.Duration() + settleTime
+	for st.ledger.openMessages() > 0 && st.ledger.now() < deadline && st.ctx.Err() == nil {
 		time.Sleep(20 * time.Millisecond)
 	}
-	doing.Wait()
+	running.Wait()
 	stop()
 	notices.Wait()
 	st.readNotices()
@@ -214,12 +214,12 @@
 
 func (st *Stage) planStarts(add func(time.Duration, func())) {
 	for i := range st.servers {
-		p, when := relay.Party{Kind: relay.Server, Index: i}, time.Duration(0)
+		p, at := relay.Party{Kind: relay.Server, Index: i}, time.Duration(0)
 		if i < len(st.script.Start.Servers) {
-			when = st.script.Start.Servers[i].Duration()
+			at = st.script.Start.Servers[i].Duration()
 		}
-		add(when, func() {
-			if when > 0 {
+		add(at, func() {
+			if at > 0 {
 				st.ledger.allowLateNotices()
 				st.recordMark("start " + p.String())
 			}
@@ -228,11 +228,11 @@
 	}
 	rng := rand.New(rand.NewPCG(st.script.Seed, 2))
 	for i := range st.nodes {
-		p, when := relay.Party{Kind: relay.Node, Index: i}, st.script.Start.Nodes.Duration()
+		p, at := relay.Party{Kind: relay.Node, Index: i}, st.script.Start.Nodes.Duration()
 		if spread := st.script.Start.Spread.Duration(); spread > 0 {
-			when += time.Duration(rng.Int64N(int64(spread)))
+			at += time.Duration(rng.Int64N(int64(spread)))
 		}
-		add(when, func() { st.recordError(st.Start(p)) })
+		add(at, func() { st.recordError(st.Start(p)) })
 	}
 }
 
@@ -251,14 +251,14 @@
 	}
 	for _, a := range st.script.Actions {
 		for at := a.At.Duration(); ; at += a.Every.Duration() {
-			who, _ := st.script.Group(a.Targets, rng)
-			add(at, func() { st.recordMark(fmt.Sprintf("%s %s", a.Type, describeGroup(who))) })
-			for _, p := range who {
-				when := at
+			targets, _ := st.script.Group(a.Targets, rng)
+			add(at, func() { st.recordMark(fmt.Sprintf("%s %s", a.Type, describeGroup(targets))) })
+			for _, p := range targets {
+				targetAt := at
 				if a.Spread > 0 {
-					when += time.Duration(rng.Int64N(int64(a.Spread.Duration())))
+					targetAt += time.Duration(rng.Int64N(int64(a.Spread.Duration())))
 				}
-				add(when, func() { st.runAction(a, p) })
+				add(targetAt, func() { st.runAction(a, p) })
 			}
 			if a.Every <= 0 || at+a.Every.Duration() >= st.script.Length.Duration() {
 				break
@@ -268,12 +268,12 @@
 }
 
 // named tells a group in few words.
-func describeGroup(who []relay.Party) string {
-	if len(who) > 3 {
-		return fmt.Sprintf("%s and %d more", who[0], len(who)-1)
+func describeGroup(group []relay.Party) string {
+	if len(group) > 3 {
+		return fmt.Sprintf("%s and %d more", group[0], len(group)-1)
 	}
 	var names []string
-	for _, p := range who {
+	for _, p := range group {
 		names = append(names, p.String())
 	}
 	return strings.Join(names, ", ")
@@ -281,17 +281,17 @@
 
 // impair holds a fault for its time.
 func (st *Stage) runFault(f FaultSpec, from, to []relay.Party) {
-	lifts := []func(){st.AddFault(from, to, f.relayFault())}
+	removers := []func(){st.AddFault(from, to, f.relayFault())}
 	if f.BothWays {
-		lifts = append(lifts, st.AddFault(to, from, f.relayFault()))
+		removers = append(removers, st.AddFault(to, from, f.relayFault()))
 	}
 	st.recordMark(fmt.Sprintf("fault from %s to %s", describeGroup(from), describeGroup(to)))
 	if f.Length <= 0 {
 		return
 	}
 	st.sleepUntil(st.ledger.now() + f.Length.Duration())
-	for _, lift := range lifts {
-		lift()
+	for _, remove := range removers {
+		remove()
 	}
 	st.recordMark(fmt.Sprintf("fault from %s to %s is over", describeGroup(from), describeGroup(to)))
 }
@@ -338,21 +338,21 @@
 }
 
 // traffic is what the clients of one node hand in.
-func (st *Stage) runClients(n int, until time.Duration) {
+func (st *Stage) runClients(n int, end time.Duration) {
 	rng := rand.New(rand.NewPCG(st.script.Seed, uint64(n)+100))
 	clients := make(chan *client.Client, clientsPerNode)
 	for range clientsPerNode {
 		clients <- client.New(st.ClientAddr(n), client.AnswerTimeout)
 	}
-	var hands sync.WaitGroup
+	var submissions sync.WaitGroup
 	defer func() {
-		hands.Wait()
+		submissions.Wait()
 		for range clientsPerNode {
 			(<-clients).Close()
 		}
 	}()
 	for c := <-clients; ; {
-		if st.ledger.now() > until || st.ctx.Err() != nil {
+		if st.ledger.now() > end || st.ctx.Err() != nil {
 			clients <- c
 			return
 		}
@@ -364,7 +364,7 @@
 	}
 	st.ledger.nodeReady(n)
 	number := 0
-	one := func() {
+	submitOne := func() {
 		m := &message{id: fmt.Sprintf("m%d-%d", n, number), node: n, dest: rng.IntN(len(st.script.Dests))}
 		if rng.Float64() < st.script.Traffic.AtMostOnceShare {
 			m.class = classAtMostOnce
@@ -372,33 +372,33 @@
 		number++
 		m.deadline = st.ledger.now() + st.script.Traffic.TTL.Duration()
 		seed := rng.Uint64()
-		hands.Go(func() { st.submit(m, clients, rand.New(rand.NewPCG(seed, 0))) })
+		submissions.Go(func() { st.submit(m, clients, rand.New(rand.NewPCG(seed, 0))) })
 	}
 	for range st.script.Traffic.Burst {
-		one()
+		submitOne()
 	}
 	if st.script.Traffic.Rate <= 0 {
 		return
 	}
 	for at := st.ledger.now(); ; {
 		at += time.Duration(rng.ExpFloat64() / st.script.Traffic.Rate * float64(time.Second))
-		if at > until || !st.sleepUntil(at) {
+		if at > end || !st.sleepUntil(at) {
 			return
 		}
-		one()
+		submitOne()
 	}
 }
 
 // hand hands one message in, and again while the node asks for that or says nothing, until its time is over.
 func (st *Stage) submit(m *message, clients chan *client.Client, rng *rand.Rand) {
 	m.newSubmission = true
-	for again := true; again; {
-		left := m.deadline - st.ledger.now()
-		if left <= 0 || st.ctx.Err() != nil {
+	for retry := true; retry; {
+		ttl := m.deadline - st.ledger.now()
+		if ttl <= 0 || st.ctx.Err() != nil {
 			st.ledger.submissionAnswered(m, model.SubmitUnanswered, true)
 			return
 		}
-		var told client.Answer
+		var answer client.Answer
 		var wait time.Duration
 		select {
 		case c := <-clients:
@@ -406,8 +406,8 @@
 				st.ledger.submitting(m)
 				m.newSubmission = false
 			}
-			told, wait, _ = c.Enqueue(client.Message{
-				ID: m.submissionID, Class: classNames[m.class], Tenant: "t", Dest: m.dest, TTL: left, Body: []byte("body of " + m.id),
+			answer, wait, _ = c.Enqueue(client.Message{
+				ID: m.submissionID, Class: classNames[m.class], Tenant: "t", Dest: m.dest, TTL: ttl, Body: []byte("body of " + m.id),
 			})
 			clients <- c
 		case <-st.ctx.Done():
@@ -415,7 +415,7 @@
 		}
 		wait = max(wait, minRetryDelay)
 		wait += time.Duration(rng.Int64N(int64(wait)/4 + 1))
-		switch told {
+		switch answer {
 		case client.Accepted:
 			st.ledger.submissionAnswered(m, model.SubmitAccepted, true)
 			return
@@ -423,14 +423,14 @@
 			st.ledger.submissionAnswered(m, model.SubmitFailed, true)
 			return
 		case client.Busy:
-			again = st.ledger.now()+wait < m.deadline
+			retry = st.ledger.now()+wait < m.deadline
 			m.newSubmission = true
-			st.ledger.submissionAnswered(m, model.SubmitRejected, !again)
+			st.ledger.submissionAnswered(m, model.SubmitRejected, !retry)
 		case client.NoAnswer:
-			again = m.class == classIdempotent // the other kind may have been taken on
-			st.ledger.submissionAnswered(m, model.SubmitUnanswered, !again)
+			retry = m.class == classIdempotent // the other kind may have been taken on
+			st.ledger.submissionAnswered(m, model.SubmitUnanswered, !retry)
 		}
-		if again && !st.sleepUntil(st.ledger.now()+wait) {
+		if retry && !st.sleepUntil(st.ledger.now()+wait) {
 			return
 		}
 	}
@@ -460,11 +460,11 @@
 }
 
 // readPage reads one page, and tells whether there may be more.
-func (st *Stage) readNoticePage(i int) bool {
+func (st *Stage) readNoticePage(server int) bool {
 	ctx, cancel := context.WithTimeout(st.ctx, time.Second)
 	defer cancel()
-	addr := process.HostPort(st.addrs.OwnAddr(relay.Party{Kind: relay.Server, Index: i}), process.ListPort)
-	url := "http://" + addr + "/reports?after=" + strconv.FormatInt(st.noticeSeqs[i], 10)
+	addr := process.HostPort(st.addrs.OwnAddr(relay.Party{Kind: relay.Server, Index: server}), process.ListPort)
+	url := "http://" + addr + "/reports?after=" + strconv.FormatInt(st.noticeSeqs[server], 10)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return false
@@ -475,7 +475,7 @@
 		return false
 	}
 	defer resp.Body.Close()
-	lines, some := bufio.NewScanner(io.LimitReader(resp.Body, maxPageBytes)), false
+	lines, found := bufio.NewScanner(io.LimitReader(resp.Body, maxPageBytes)), false
 	for lines.Scan() {
 		var n struct {
 			Seq   int64  `json:"seq"`
@@ -486,9 +486,9 @@
 		if json.Unmarshal(lines.Bytes(), &n) != nil {
 			return false
 		}
-		some = true
-		st.noticeSeqs[i] = n.Seq
+		found = true
+		st.noticeSeqs[server] = n.Seq
 		st.ledger.notice(n.ID, n.State, time.UnixMilli(n.AtMS))
 	}
-	return some
+	return found
 }
--- a/internal/lab/stage/report.go
+++ b/internal/lab/stage/report.go
@@ -64,11 +64,11 @@
 }
 
 // busiest is the most of a count in so many bins in a row.
-func maxWindowSum(bins []Bin, wide int, of func(Bin) int) float64 {
+func maxWindowSum(bins []Bin, width int, count func(Bin) int) float64 {
 	most, sum := 0, 0
 	for i, b := range bins {
-		if sum += of(b); i >= wide {
-			sum -= of(bins[i-wide])
+		if sum += count(b); i >= width {
+			sum -= count(bins[i-width])
 		}
 		most = max(most, sum)
 	}
@@ -95,14 +95,14 @@
 	t.histogram.RecordValue(max(d.Microseconds(), 1)) // bounded by the play's length
 }
 
-func (t *durationStats) writeFigures(into map[string]float64, name string) {
-	into[name+"_never"] = float64(t.never)
+func (t *durationStats) writeFigures(figures map[string]float64, name string) {
+	figures[name+"_never"] = float64(t.never)
 	if t.histogram.TotalCount() == 0 {
 		return
 	}
-	into[name+"_median"] = float64(t.histogram.ValueAtQuantile(50)) / 1e6
-	into[name+"_p99"] = float64(t.histogram.ValueAtQuantile(99)) / 1e6
-	into[name+"_last"] = t.max.Seconds()
+	figures[name+"_median"] = float64(t.histogram.ValueAtQuantile(50)) / 1e6
+	figures[name+"_p99"] = float64(t.histogram.ValueAtQuantile(99)) / 1e6
+	figures[name+"_last"] = t.max.Seconds()
 }
 
 // report closes the ledger.
@@ -111,31 +111,31 @@
 	defer l.mu.Unlock()
 	r := &Report{Name: l.script.Name, Seed: l.script.Seed, Nodes: l.script.Nodes, Figures: map[string]float64{}, Marks: marks, Bins: l.bins}
 	f := r.Figures
-	ends, delays, first99 := map[string]int{}, newDurationStats(), []time.Duration{}
+	outcomes, delays, executedAt := map[string]int{}, newDurationStats(), []time.Duration{}
 	repeats, tries := 0, 0
 	for _, m := range l.messages {
-		end := m.outcome
+		outcome := m.outcome
 		if !m.ended {
-			end = "lost"
+			outcome = "lost"
 		}
-		if ends[end]++; end == "lost" {
+		if outcomes[outcome]++; outcome == "lost" {
 			r.addTrace(m)
 		}
 		tries += m.submissions
 		repeats += max(m.executions-1, 0)
 		if m.executions > 0 {
 			delays.add(m.firstExecutedAt - m.submittedAt)
-			first99 = append(first99, m.firstExecutedAt)
+			executedAt = append(executedAt, m.firstExecutedAt)
 		}
 	}
-	for _, end := range []string{"delivered", "returned", "refused", "failed", "failed late", "unheard", "lost"} {
-		f[figureName(end)] = float64(ends[end])
+	for _, outcome := range []string{"delivered", "returned", "refused", "failed", "failed late", "unheard", "lost"} {
+		f[figureName(outcome)] = float64(outcomes[outcome])
 	}
 	f["handed_in"], f["hand_ins"], f["repeated"] = float64(len(l.messages)), float64(tries), float64(repeats)
 	delays.writeFigures(f, "delivery")
-	if slices.Sort(first99); len(first99) > 0 {
-		f["first_delivery"] = first99[0].Seconds()
-		f["deliveries_99"] = first99[(len(first99)*99)/100].Seconds()
+	if slices.Sort(executedAt); len(executedAt) > 0 {
+		f["first_delivery"] = executedAt[0].Seconds()
+		f["deliveries_99"] = executedAt[(len(executedAt)*99)/100].Seconds()
 	}
 	ready, listed, called := newDurationStats(), newDurationStats(), newDurationStats()
 	for _, n := range l.nodes {
@@ -152,26 +152,26 @@
 		sum.Conns, sum.ConnsRejected, sum.Calls, sum.CallsRefused, sum.CallsExecuted = sum.Conns+b.Conns, sum.ConnsRejected+b.ConnsRejected, sum.Calls+b.Calls, sum.CallsRefused+b.CallsRefused, sum.CallsExecuted+b.CallsExecuted
 		sum.Datagrams, sum.DatagramsLost, sum.Busy = sum.Datagrams+b.Datagrams, sum.DatagramsLost+b.DatagramsLost, sum.Busy+b.Busy
 	}
-	for name, of := range series {
-		f[name] = float64(of(sum))
-		f[name+"_in_1s"] = maxWindowSum(l.bins, 10, of)
-		f[name+"_in_100ms"] = maxWindowSum(l.bins, 1, of)
+	for name, count := range series {
+		f[name] = float64(count(sum))
+		f[name+"_in_1s"] = maxWindowSum(l.bins, 10, count)
+		f[name+"_in_100ms"] = maxWindowSum(l.bins, 1, count)
 	}
 	f["refused_share"] = ratio(float64(sum.CallsRefused), float64(sum.Calls))
-	fell := 0
+	overloads := 0
 	for _, e := range l.endpoints {
-		fell += e.overloads
+		overloads += e.overloads
 		f["open_early"], f["open_most"] = max(f["open_early"], float64(e.maxOpenAtStart)), max(f["open_most"], float64(e.maxOpenConns))
 		f["open_last"] = max(f["open_last"], float64(e.maxOpenLastThird))
 		f["cold_load"] = max(f["cold_load"], e.maxLoad)
 		f["late_calls"] += float64(e.lateCalls)
 		f["last_late_call"] = max(f["last_late_call"], e.lastLateCall.Seconds())
-		for by, n := range e.lateCallsByBasis {
-			r.LateCalls = append(r.LateCalls, LateCalls{e.id, by.node, by.incarnation, by.revision, n})
+		for basis, n := range e.lateCallsByBasis {
+			r.LateCalls = append(r.LateCalls, LateCalls{e.id, basis.node, basis.incarnation, basis.revision, n})
 		}
 	}
 	sortLateCalls(r.LateCalls)
-	f["fell"], f["strange"], f["crashes"] = float64(fell), float64(l.unexpectedEvents), float64(l.crashes)
+	f["fell"], f["strange"], f["crashes"] = float64(overloads), float64(l.unexpectedEvents), float64(l.crashes)
 	f["unmarked"] = float64(l.unmarkedCalls)
 	r.Result = l.judge.Result()
 	r.Broken = slices.Clone(l.violations)
@@ -192,11 +192,11 @@
 	"list_bytes": func(b Bin) int { return b.ListBytes }, "datagrams": func(b Bin) int { return b.Datagrams }, "datagrams_lost": func(b Bin) int { return b.DatagramsLost },
 }
 
-func figureName(end string) string {
-	if end == "failed late" {
+func figureName(outcome string) string {
+	if outcome == "failed late" {
 		return "failed_late"
 	}
-	return end
+	return outcome
 }
 
 func ratio(a, b float64) float64 {
@@ -208,15 +208,15 @@
 
 // hold notes what the script expects and the figures don't show.
 func (r *Report) checkExpectations(s *Script) {
-	check := func(bounds map[string]float64, most bool) {
+	check := func(bounds map[string]float64, upper bool) {
 		for _, name := range slices.Sorted(maps.Keys(bounds)) {
 			v, known := r.Figures[name]
 			switch {
 			case !known:
 				r.Missed = append(r.Missed, fmt.Sprintf("%s is expected, and there is no such figure", name))
-			case most && v > bounds[name]:
+			case upper && v > bounds[name]:
 				r.Missed = append(r.Missed, fmt.Sprintf("%s is %v, at most %v is expected", name, roundToThousandths(v), bounds[name]))
-			case !most && v < bounds[name]:
+			case !upper && v < bounds[name]:
 				r.Missed = append(r.Missed, fmt.Sprintf("%s is %v, at least %v is expected", name, roundToThousandths(v), bounds[name]))
 			}
 		}
@@ -289,7 +289,7 @@
 		Report  *Report
 		Figures []figure
 	}{Report: r}
-	for _, one := range []struct {
+	for _, chart := range []struct {
 		title string
 		lines []string
 	}{
@@ -298,11 +298,11 @@
 		{"Messages: run, answered with -BUSY, in 100 ms", []string{"ran", "busy"}},
 		{"Datagrams between nodes, and those lost, in 100 ms", []string{"datagrams", "datagrams_lost"}},
 	} {
-		svg, err := r.plotSeries(one.lines)
+		svg, err := r.plotSeries(chart.lines)
 		if err != nil {
 			return fmt.Errorf("stage: %w", err)
 		}
-		data.Figures = append(data.Figures, figure{one.title, svg})
+		data.Figures = append(data.Figures, figure{chart.title, svg})
 	}
 	return pageTemplate.Execute(w, data)
 }
--- a/internal/lab/stage/script.go
+++ b/internal/lab/stage/script.go
@@ -207,11 +207,11 @@
 	}
 	for i, a := range s.Actions {
 		kinds, known := actionTargetKinds[a.Type]
-		who, err := s.Group(a.Targets, rng)
+		targets, err := s.Group(a.Targets, rng)
 		if err == nil && !known {
 			err = fmt.Errorf("%q is nothing that can be done", a.Type)
 		}
-		for _, p := range who {
+		for _, p := range targets {
 			if err == nil && p.Kind != kinds[0] && p.Kind != kinds[len(kinds)-1] {
 				err = fmt.Errorf("%s can't be done to %s", a.Type, p)
 			}
@@ -223,8 +223,8 @@
 	return nil
 }
 
-func checkTimes(times ...units.Millis) error {
-	for _, t := range times {
+func checkTimes(durations ...units.Millis) error {
+	for _, t := range durations {
 		if t < 0 || t.Duration() > MaxLength {
 			return fmt.Errorf("a time of %v: from 0 to %v", t.Duration(), MaxLength)
 		}
@@ -237,18 +237,18 @@
 func (s *Script) Group(text string, rng *rand.Rand) ([]relay.Party, error) {
 	var out []relay.Party
 	for _, word := range strings.Fields(text) {
-		name, which, some := strings.Cut(word, ":")
-		kind, all := relay.Node, s.Nodes
+		name, selector, selected := strings.Cut(word, ":")
+		kind, total := relay.Node, s.Nodes
 		switch name {
 		case "nodes":
 		case "servers":
-			kind, all = relay.Server, s.Servers
+			kind, total = relay.Server, s.Servers
 		case "partners":
-			kind, all = relay.Partner, s.partnerCount()
+			kind, total = relay.Partner, s.partnerCount()
 		default:
 			return nil, fmt.Errorf("%q: nodes, servers or partners", word)
 		}
-		numbers, err := selectIndexes(which, some, all, rng)
+		numbers, err := selectIndexes(selector, selected, total, rng)
 		if err != nil {
 			return nil, fmt.Errorf("%q: %w", word, err)
 		}
@@ -262,26 +262,26 @@
 	return out, nil
 }
 
-func selectIndexes(which string, some bool, all int, rng *rand.Rand) (out []int, err error) {
-	if !some {
-		which = fmt.Sprintf("0-%d", all-1)
+func selectIndexes(selector string, selected bool, total int, rng *rand.Rand) (out []int, err error) {
+	if !selected {
+		selector = fmt.Sprintf("0-%d", total-1)
 	}
-	if text, ok := strings.CutSuffix(which, "%"); ok {
+	if text, ok := strings.CutSuffix(selector, "%"); ok {
 		share, err := strconv.ParseFloat(text, 64)
 		if err != nil || !(share > 0 && share <= 100) {
 			return nil, fmt.Errorf("%s%% is no share", text)
 		}
-		return rng.Perm(all)[:max(1, int(share/100*float64(all)+0.5))], nil
+		return rng.Perm(total)[:max(1, int(share/100*float64(total)+0.5))], nil
 	}
-	for part := range strings.SplitSeq(which, ",") {
+	for part := range strings.SplitSeq(selector, ",") {
 		from, to, isRange := strings.Cut(part, "-")
 		if !isRange {
 			to = from
 		}
 		a, errA := strconv.Atoi(from)
 		b, errB := strconv.Atoi(to)
-		if errA != nil || errB != nil || a < 0 || b < a || b >= all {
-			return nil, fmt.Errorf("%q: numbers from 0 to %d", part, all-1)
+		if errA != nil || errB != nil || a < 0 || b < a || b >= total {
+			return nil, fmt.Errorf("%q: numbers from 0 to %d", part, total-1)
 		}
 		for n := a; n <= b; n++ {
 			out = append(out, n)
--- a/internal/lab/stage/settings.go
+++ b/internal/lab/stage/settings.go
@@ -23,13 +23,13 @@
 const connIdle = 15 * time.Second // of partners
 
 // settings are the facts of the deployment, in the platform's words.
-func (s *Script) settings(number int) map[string]any {
+func (s *Script) settings(nodeNumber int) map[string]any {
 	life := float64(s.Traffic.TTL)
 	class := func(name, effect string) map[string]any {
 		return map[string]any{"name": name, "aim": life / 4, "deadline": life, "worth": 1, "lateWorth": 0.3, "effect": effect}
 	}
 	return map[string]any{
-		"fleetSize": s.Nodes, "myNumber": number, "flavors": []string{"partner"}, "failureDomains": []string{"a"},
+		"fleetSize": s.Nodes, "myNumber": nodeNumber, "flavors": []string{"partner"}, "failureDomains": []string{"a"},
 		"categories": []any{class(classNames[classIdempotent], "idempotent"), class(classNames[classAtMostOnce], "at_most_once")},
 		"customers":  []any{map[string]any{"name": "t", "allowancePerS": 1e6}},
 		"discovery":  "pushed", "weights": s.Node.Weights, "overShareWorth": 0.2, "tick": 5,
--- a/internal/lab/stage/stage.go
+++ b/internal/lab/stage/stage.go
@@ -68,15 +68,15 @@
 }
 
 // Open sets a stage up: all addresses are held and all faces open, and nothing is started yet but partners.
-func Open(ctx context.Context, s Script, o Options) (st *Stage, err error) {
+func Open(ctx context.Context, s Script, options Options) (st *Stage, err error) {
 	if err := s.Check(); err != nil {
 		return nil, fmt.Errorf("stage: %w", err)
 	}
-	day, err := s.judgeDay()
+	judgeDay, err := s.judgeDay()
 	if err != nil {
 		return nil, fmt.Errorf("stage: %w", err)
 	}
-	st = &Stage{script: s, options: o, dir: o.Dir, rng: rand.New(rand.NewPCG(s.Seed, 1)), noticeSeqs: make([]int64, s.Servers)}
+	st = &Stage{script: s, options: options, dir: options.Dir, rng: rand.New(rand.NewPCG(s.Seed, 1)), noticeSeqs: make([]int64, s.Servers)}
 	if st.dir == "" {
 		st.dir, err = os.MkdirTemp("", "harrierlab-stage-")
 	} else {
@@ -89,7 +89,7 @@
 		return nil, errors.Join(err, st.removeTempDir())
 	}
 	st.ctx, st.cancel = context.WithCancel(ctx)
-	st.ledger = newLedger(&st.script, day, time.Now())
+	st.ledger = newLedger(&st.script, judgeDay, time.Now())
 	st.net = relay.New(s.Seed, st.addrs.PartyAt, st.ledger.relayEvent)
 	st.starter = process.NewStarter()
 	if err := st.prepareFleet(); err != nil {
@@ -101,11 +101,11 @@
 // build opens the faces, and prepares the processes.
 func (st *Stage) prepareFleet() error {
 	var parties []relay.Party
-	var faces, owns []string
+	var faces, ownAddrs []string
 	for i := range st.script.Nodes {
 		p := relay.Party{Kind: relay.Node, Index: i}
 		parties = append(parties, p)
-		faces, owns = append(faces, process.HostPort(st.addrs.FaceAddr(p), process.PeerPort)), append(owns, process.HostPort(st.addrs.OwnAddr(p), process.PeerPort))
+		faces, ownAddrs = append(faces, process.HostPort(st.addrs.FaceAddr(p), process.PeerPort)), append(ownAddrs, process.HostPort(st.addrs.OwnAddr(p), process.PeerPort))
 		raw, err := st.nodeConfig(i)
 		if err != nil {
 			return err
@@ -114,14 +114,14 @@
 		if err := os.WriteFile(file, raw, 0o600); err != nil {
 			return err
 		}
-		x, err := st.newProcess(p, append([]string{"serve", "--config", file, "--state", filepath.Join(st.dir, p.String())}, st.options.NodeArgs...))
+		proc, err := st.newProcess(p, append([]string{"serve", "--config", file, "--state", filepath.Join(st.dir, p.String())}, st.options.NodeArgs...))
 		if err != nil {
 			return err
 		}
-		st.nodes = append(st.nodes, x)
+		st.nodes = append(st.nodes, proc)
 	}
 	if st.script.Node.PeerDatagrams {
-		if err := st.net.ListenUDP(parties, faces, owns); err != nil {
+		if err := st.net.ListenUDP(parties, faces, ownAddrs); err != nil {
 			return err
 		}
 	}
@@ -130,16 +130,16 @@
 		if err := st.net.ListenTCP(process.HostPort(st.addrs.FaceAddr(p), process.ListPort), p, process.HostPort(st.addrs.OwnAddr(p), process.ListPort)); err != nil {
 			return err
 		}
-		x, err := st.newProcess(p, st.serverArgs(i))
+		proc, err := st.newProcess(p, st.serverArgs(i))
 		if err != nil {
 			return err
 		}
-		st.servers = append(st.servers, x)
+		st.servers = append(st.servers, proc)
 	}
-	shared := partner.NewLedger()
+	executions := partner.NewLedger()
 	for d, spec := range st.script.Dests {
 		for k := range spec.Endpoints {
-			if err := st.startPartner(d, k, spec, shared); err != nil {
+			if err := st.startPartner(d, k, spec, executions); err != nil {
 				return err
 			}
 		}
@@ -159,28 +159,28 @@
 }
 
 // openPartner starts a partner on its own address, and opens its face.
-func (st *Stage) startPartner(dest, n int, spec DestSpec, shared *partner.Ledger) error {
+func (st *Stage) startPartner(dest, n int, spec DestSpec, executions *partner.Ledger) error {
 	p := relay.Party{Kind: relay.Partner, Index: len(st.partners)}
-	own := process.HostPort(st.addrs.OwnAddr(p), process.PartnerPort)
+	ownAddr := process.HostPort(st.addrs.OwnAddr(p), process.PartnerPort)
 	cfg := partner.Config{
-		ID: endpointID(dest, n), Rate: spec.Rate, Burst: spec.Burst, Latency: spec.Latency.Duration(), Listen: own, MaxConns: spec.Connections,
+		ID: endpointID(dest, n), Rate: spec.Rate, Burst: spec.Burst, Latency: spec.Latency.Duration(), Listen: ownAddr, MaxConns: spec.Connections,
 	}
 	cfg.OnEvent = func(s partner.Event) { st.ledger.partnerEvent(st.nodeAt(s.PeerAddr), s) }
 	if spec.Cold {
 		c := st.ledger.day.Settings
 		cfg.ColdStart = partner.ColdStart{InitialShare: c.ColdCapacity, OverloadFactor: c.OverloadMultiple, WarmUpTime: c.WarmUpTime, OverloadWindow: c.OverloadDuration, Downtime: 2 * time.Second}
 	}
-	one, err := partner.Start(cfg, shared)
+	started, err := partner.Start(cfg, executions)
 	if err != nil {
 		return err
 	}
 	source := &net.TCPAddr{IP: net.IP(st.addrs.OwnAddr(p).AsSlice())}
 	face := process.HostPort(st.addrs.FaceAddr(p), process.PartnerPort)
 	st.partners = append(st.partners, &registeredPartner{
-		partner: one, instance: partner.Instance{ID: cfg.ID, Addr: face, Zone: "a", Kind: "partner", Dest: dest, Size: max(spec.Rate, 1)},
+		partner: started, instance: partner.Instance{ID: cfg.ID, Addr: face, Zone: "a", Kind: "partner", Dest: dest, Size: max(spec.Rate, 1)},
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, DialContext: (&net.Dialer{LocalAddr: source}).DialContext}},
 	})
-	return st.net.ListenTCP(face, p, own)
+	return st.net.ListenTCP(face, p, ownAddr)
 }
 
 // nodeOf is the number of the node that an address is of, -1 for none.
@@ -210,13 +210,13 @@
 	for i := range st.script.Servers {
 		servers = append(servers, process.HostPort(st.addrs.FaceAddr(relay.Party{Kind: relay.Server, Index: i}), process.ListPort))
 	}
-	ctx, leave := context.WithCancel(st.ctx)
-	before, left := x.deregistered, make(chan struct{})
-	x.deregister, x.deregistered = leave, left
+	ctx, deregister := context.WithCancel(st.ctx)
+	previous, deregistered := x.deregistered, make(chan struct{})
+	x.deregister, x.deregistered = deregister, deregistered
 	st.wg.Go(func() {
-		defer close(left)
-		if before != nil {
-			<-before
+		defer close(deregistered)
+		if previous != nil {
+			<-previous
 		}
 		st.ledger.setWithdrawn(x.instance.ID, false)
 		partner.KeepRegistered(ctx, x.client, servers, x.instance)
@@ -237,20 +237,20 @@
 }
 
 // Impair puts a fault on the ways between two groups until the function that it returns is called.
-func (st *Stage) AddFault(from, to []relay.Party, f relay.Fault) (lift func()) {
-	touches := func(all []relay.Party) bool {
-		return slices.ContainsFunc(all, func(p relay.Party) bool { return p.Kind == relay.Server })
+func (st *Stage) AddFault(from, to []relay.Party, f relay.Fault) (remove func()) {
+	hasServer := func(group []relay.Party) bool {
+		return slices.ContainsFunc(group, func(p relay.Party) bool { return p.Kind == relay.Server })
 	}
-	if touches(from) || touches(to) {
+	if hasServer(from) || hasServer(to) {
 		st.ledger.allowLateNotices()
 	}
 	r := st.net.AddFault(partySet(from), partySet(to), f)
 	return func() { st.net.RemoveFault(r) }
 }
 
-func partySet(all []relay.Party) relay.PartySet {
+func partySet(group []relay.Party) relay.PartySet {
 	out := relay.PartySet{}
-	for _, p := range all {
+	for _, p := range group {
 		out[p] = true
 	}
 	return out
@@ -258,11 +258,11 @@
 
 // Start starts a process, if it does not run.
 func (st *Stage) Start(p relay.Party) error {
-	x := st.process(p)
-	if p.Kind == relay.Node && !x.Running() {
+	proc := st.process(p)
+	if p.Kind == relay.Node && !proc.Running() {
 		st.ledger.nodeStarted(p.Index)
 	}
-	return x.Start()
+	return proc.Start()
 }
 
 // Kill ends a process at once.
@@ -289,11 +289,11 @@
 }
 
 // Pause stops a process where it is, or lets it go on.
-func (st *Stage) SetPaused(p relay.Party, on bool) error {
-	if on && p.Kind == relay.Server {
+func (st *Stage) SetPaused(p relay.Party, paused bool) error {
+	if paused && p.Kind == relay.Server {
 		st.ledger.allowLateNotices()
 	}
-	return st.process(p).SetPaused(on)
+	return st.process(p).SetPaused(paused)
 }
 
 // Fill makes the disk of a process full, or gives it room again.
@@ -310,7 +310,7 @@
 }
 
 // Shut makes a partner refuse every call, or take them again, cold.
-func (st *Stage) SetRefusing(n int, shut bool) { st.partners[n].partner.SetRefusing(shut) }
+func (st *Stage) SetRefusing(n int, refusing bool) { st.partners[n].partner.SetRefusing(refusing) }
 
 // Addr is where clients reach a node, and Door where operators do.
 func (st *Stage) ClientAddr(n int) string {
@@ -346,11 +346,11 @@
 func (st *Stage) Close() error {
 	st.cancel()
 	st.wg.Wait()
-	var ends sync.WaitGroup
+	var killing sync.WaitGroup
 	for _, p := range slices.Concat(st.nodes, st.servers) {
-		ends.Go(func() { st.recordError(p.Kill()) })
+		killing.Go(func() { st.recordError(p.Kill()) })
 	}
-	ends.Wait()
+	killing.Wait()
 	st.net.Close()
 	for _, x := range st.partners {
 		x.partner.Close()
--- a/internal/lab/stage/stage_test.go
+++ b/internal/lab/stage/stage_test.go
@@ -346,17 +346,17 @@
 		x := st.process(p)
 		pids = append(pids, x.PID())
 		// Its list server is not there: the node says so, and takes no messages.
-		var why string
-		for end := time.Now().Add(20 * time.Second); why == "" && time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+		var reason string
+		for end := time.Now().Add(20 * time.Second); reason == "" && time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 			if resp, err := http.Get("http://" + st.AdminAddr(1) + "/ops/readiness"); err == nil {
 				text, _ := io.ReadAll(resp.Body)
 				if resp.Body.Close(); resp.StatusCode == http.StatusServiceUnavailable && strings.Contains(string(text), "list") {
-					why = string(text)
+					reason = string(text)
 				}
 			}
 		}
-		if !strings.Contains(why, "waiting for the list since") {
-			t.Errorf("readiness says %q", why)
+		if !strings.Contains(reason, "waiting for the list since") {
+			t.Errorf("readiness says %q", reason)
 		}
 	}
 	for _, st := range stages {
@@ -387,7 +387,7 @@
 }
 
 func TestInvalidScriptsAreRejected(t *testing.T) {
-	for text, says := range map[string]string{
+	for text, wantErr := range map[string]string{
 		"nodes = 0":                            "0 nodes",
 		"nodes = 301":                          "301 nodes",
 		"nodes = 2\nservers = 9":               "9 list servers",
@@ -411,7 +411,7 @@
 		if err := os.WriteFile(path, []byte(text+dest), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Load(path); err == nil || !strings.Contains(err.Error(), says) {
+		if _, err := Load(path); err == nil || !strings.Contains(err.Error(), wantErr) {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
--- a/internal/lab/sysfault/injector.go
+++ b/internal/lab/sysfault/injector.go
@@ -141,13 +141,13 @@
 }
 
 // text reads a path from the process's memory.
-func (in *Injector) readPath(at uintptr) string {
+func (in *Injector) readPath(address uintptr) string {
 	b := make([]byte, maxPathBytes)
-	n, err := unix.ProcessVMReadv(in.pid, iovec(b), []unix.RemoteIovec{{Base: at, Len: len(b)}}, 0)
+	n, err := unix.ProcessVMReadv(in.pid, iovec(b), []unix.RemoteIovec{{Base: address, Len: len(b)}}, 0)
 	if err != nil {
 		// The page behind the path may not be there.
-		rest := os.Getpagesize() - int(at)%os.Getpagesize()
-		n, err = unix.ProcessVMReadv(in.pid, iovec(b), []unix.RemoteIovec{{Base: at, Len: min(rest, len(b))}}, 0)
+		rest := os.Getpagesize() - int(address)%os.Getpagesize()
+		n, err = unix.ProcessVMReadv(in.pid, iovec(b), []unix.RemoteIovec{{Base: address, Len: min(rest, len(b))}}, 0)
 	}
 	if err != nil {
 		return ""
@@ -163,18 +163,18 @@
 }
 
 // transfer reads or writes at most so many bytes in the process's place; ok is false where that can't be done.
-func (in *Injector) transfer(n *notification, most int) (moved int, errno syscall.Errno, ok bool) {
+func (in *Injector) transfer(n *notification, maxBytes int) (moved int, errno syscall.Errno, ok bool) {
 	args := n.data.args
 	fd, err := unix.PidfdGetfd(in.pidfd, int(int32(args[0])), 0)
 	if err != nil {
 		return 0, 0, false
 	}
 	defer unix.Close(fd)
-	b := make([]byte, most)
-	remote := []unix.RemoteIovec{{Base: uintptr(args[1]), Len: most}}
+	b := make([]byte, maxBytes)
+	remote := []unix.RemoteIovec{{Base: uintptr(args[1]), Len: maxBytes}}
 	number := int(n.data.number)
 	if number == unix.SYS_WRITE || number == unix.SYS_PWRITE64 {
-		if got, err := unix.ProcessVMReadv(in.pid, iovec(b), remote, 0); err != nil || got != most {
+		if got, err := unix.ProcessVMReadv(in.pid, iovec(b), remote, 0); err != nil || got != maxBytes {
 			return 0, 0, false
 		}
 	}
@@ -191,8 +191,8 @@
 		return 0, 0, false
 	}
 	if err != nil {
-		failed, _ := errors.AsType[syscall.Errno](err)
-		return 0, failed, true
+		errno, _ := errors.AsType[syscall.Errno](err)
+		return 0, errno, true
 	}
 	if moved > 0 && (number == unix.SYS_READ || number == unix.SYS_PREAD64) {
 		if !in.writeMemory(b[:moved], uintptr(args[1])) {
@@ -203,8 +203,8 @@
 }
 
 // write puts bytes into the process's memory.
-func (in *Injector) writeMemory(b []byte, at uintptr) bool {
-	local, remote := iovec(b), unix.RemoteIovec{Base: at, Len: len(b)}
+func (in *Injector) writeMemory(b []byte, address uintptr) bool {
+	local, remote := iovec(b), unix.RemoteIovec{Base: address, Len: len(b)}
 	n, _, errno := unix.Syscall6(unix.SYS_PROCESS_VM_WRITEV, uintptr(in.pid), uintptr(unsafe.Pointer(&local[0])), 1,
 		uintptr(unsafe.Pointer(&remote)), 1, 0)
 	return errno == 0 && int(n) == len(b)
