--- a/internal/lab/process/block.go
+++ b/internal/lab/process/block.go
@@ -10,33 +10,33 @@
 )
 
 const (
-	minSecondByte, maxSecondByte = 64, 126 // the second byte
-	partiesPerLastByte           = 250     // parties told apart by the last byte
-	thirdBytesPerKind            = 4       // of the third byte
+	minSecondByte, maxSecondByte = 64, 126 // of the second byte of a block's addresses
+	partiesPerLastByte           = 250     // parties whose addresses differ in the last byte only
+	thirdBytesPerKind            = 4       // values of the third byte for each kind of party
 
 	reservationPort = 20999
 )
 
-// Ports, the same at every address.
+// Ports of the processes. They are the same at every address, since each process has an address of its own.
 const (
 	ClientPort    = 21000 // of a node, for clients
-	NodeAdminPort = 21001
-	PeerPort      = 21002
-	AgentPort     = 21003 // the platform, as one node sees it
-	ListPort      = 21010 // of a list server
-	ListAdminPort = 21011
-	PartnerPort   = 21020 // of a partner
+	NodeAdminPort = 21001 // of a node, for operators
+	PeerPort      = 21002 // of a node, for datagrams of other nodes
+	AgentPort     = 21003 // of the discovery agent that stands in for the platform at one node
+	ListPort      = 21010 // of a list server, for nodes and partners
+	ListAdminPort = 21011 // of a list server, for operators
+	PartnerPort   = 21020 // of a partner, for calls
 )
 
-// Block is a part of 127.0.0.0/8 in which every process has an address to itself, so that its ports can't be another's:
-// not those of a block beside it, not an ephemeral one, and not after a restart either. It is held by a socket that stands
-// open until Free.
+// AddrBlock is a /16 part of 127.0.0.0/8. Every process has its own address in it, so that its ports cannot collide
+// with those of another block or with ephemeral ports, also when the process restarts. A listening socket reserves the
+// block until Release.
 type AddrBlock struct {
 	secondByte byte
 	listener   net.Listener
 }
 
-// HoldBlock takes a block that nobody else holds.
+// ReserveBlock reserves a block that no other process on this machine has reserved.
 func ReserveBlock() (*AddrBlock, error) {
 	var errs []error
 	for second := minSecondByte; second <= maxSecondByte; second++ {
@@ -46,23 +46,23 @@
 		}
 		errs = append(errs, err)
 	}
-	return nil, fmt.Errorf("no part of loopback is free: %w", errors.Join(errs...))
+	return nil, fmt.Errorf("no address block on loopback is free: %w", errors.Join(errs...))
 }
 
-// Free gives the block back.
+// Release releases the block.
 func (b *AddrBlock) Release() error { return b.listener.Close() }
 
-// Own is the address of a party itself.
+// OwnAddr is the address that a party itself uses.
 func (b *AddrBlock) OwnAddr(p relay.Party) netip.Addr { return b.addr(p, 0) }
 
-// Face is where others reach it.
+// FaceAddr is the party's face: the address by which other parties reach it, through the relay.
 func (b *AddrBlock) FaceAddr(p relay.Party) netip.Addr { return b.addr(p, 3*thirdBytesPerKind) }
 
 func (b *AddrBlock) addr(p relay.Party, from int) netip.Addr {
 	return netip.AddrFrom4([4]byte{127, b.secondByte, byte(from + int(p.Kind)*thirdBytesPerKind + p.Index/partiesPerLastByte), byte(1 + p.Index%partiesPerLastByte)})
 }
 
-// Who names the party that connections from an address are of.
+// PartyAt returns the party that an address of the block belongs to. It returns false for other addresses.
 func (b *AddrBlock) PartyAt(a netip.Addr) (relay.Party, bool) {
 	raw := a.As4()
 	kind, n := int(raw[2])/thirdBytesPerKind, int(raw[2])%thirdBytesPerKind*partiesPerLastByte+int(raw[3])-1
@@ -72,5 +72,5 @@
 	return relay.Party{Kind: relay.Kind(kind), Index: n}, true
 }
 
-// At is a port of an address.
+// HostPort joins an address and a port.
 func HostPort(a netip.Addr, port uint16) string { return netip.AddrPortFrom(a, port).String() }
--- a/internal/lab/process/process.go
+++ b/internal/lab/process/process.go
@@ -1,5 +1,5 @@
-// Package process owns what the lab starts: real processes on addresses of loopback of their own, which are paused, killed,
-// emptied and measured, and end with whoever started them.
+// Package process runs the lab's processes on loopback addresses of their own. It starts, pauses, kills and measures
+// them, and clears or corrupts their state. They end when the lab ends.
 package process
 
 import (
@@ -20,16 +20,16 @@
 	"golang.org/x/sys/unix"
 )
 
-const terminateTimeout = 6 * time.Second // for a process to end after SIGTERM, before it is killed
+const terminateTimeout = 6 * time.Second // from SIGTERM until the process is killed
 
-// Starter starts processes from one thread that lives as long as the stage: the kernel ends a child with the thread
-// that has started it, so that no process outlives a stage that is killed.
+// Starter starts processes from one OS thread that lives until Close. Each process has a parent death signal, with
+// which the kernel kills it when the thread that started it ends. So no process outlives a lab that is killed.
 type Starter struct {
 	requests chan func()
 	done     chan struct{}
 }
 
-// NewStarter begins one, and asks for as many descriptors as the system gives.
+// NewStarter starts the thread, and raises this process's limit of open files.
 func NewStarter() *Starter {
 	raiseFileLimit()
 	s := &Starter{make(chan func()), make(chan struct{})}
@@ -50,33 +50,33 @@
 	return <-result
 }
 
-// Close ends the thread; whatever it has started has ended by then, or ends now.
+// Close ends the thread, and with it all processes that are still running.
 func (s *Starter) Close() {
 	close(s.requests)
 	<-s.done
 }
 
-// Process is one real process that may be started many times. Its fields are set before; its methods may be called from
-// many goroutines.
+// Process is an operating system process that may be started many times. The exported fields are set before the first
+// start. Its methods may be called from many goroutines.
 type Process struct {
 	Name     string
 	Starter  *Starter
 	Program  string
 	Args     []string
-	Env      []string               // beside this process's own
-	StateDir string                 // its lasting folder
-	LogPath  string                 // its file
-	OnCrash  func(name, how string) // hears of an end that nobody asked for; nil for nobody
+	Env      []string               // added to this process's environment
+	StateDir string                 // holds the process's persistent state
+	LogPath  string                 // receives standard output and standard error
+	OnCrash  func(name, how string) // called when the process ends without Kill, Stop or Terminate; may be nil
 
 	mu            sync.Mutex
 	cmd           *exec.Cmd
-	exited        chan struct{} // closed when it has ended
-	paused        bool          // by SIGSTOP
-	diskFull      bool          // its disk is
-	exitRequested bool          // to end
+	exited        chan struct{} // closed when the process has ended
+	paused        bool          // stopped by SIGSTOP
+	diskFull      bool          // writes to files fail
+	exitRequested bool          // it was told to end
 }
 
-// Start starts it, if it does not run.
+// Start starts the process unless it is running.
 func (p *Process) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -88,9 +88,10 @@
 		return fmt.Errorf("%s: %w", p.Name, err)
 	}
 	cmd := exec.Command(p.Program, p.Args...)
-	cmd.Env = append(os.Environ(), "ROUTER_CONFIG=", "ROUTER_STATE=", "ROUTER_CONSOLE=", "GOMAXPROCS=2") // what its limits give it is more than a stage of hundreds has
+	cmd.Env = append(os.Environ(), "ROUTER_CONFIG=", "ROUTER_STATE=", "ROUTER_CONSOLE=", "GOMAXPROCS=2") // by its own limits a node would use more threads than a machine with hundreds of nodes has
 	cmd.Env = append(cmd.Env, p.Env...)
-	// By a pipe: a bound on the process's files does not silence it.
+	// The wrapper hides the file from os/exec, which then uses a pipe: the file size limit of SetDiskFull does not
+	// apply to the process's output.
 	output := struct{ io.Writer }{out}
 	cmd.Stdout, cmd.Stderr = output, output
 	if err := p.Starter.start(cmd); err != nil {
@@ -117,14 +118,14 @@
 	return nil
 }
 
-// Runs tells whether the process is there, paused or not.
+// Running returns whether the process exists, including while it is paused.
 func (p *Process) Running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd != nil
 }
 
-// PID is its number, 0 while it does not run.
+// PID returns the process id, or 0 if the process is not running.
 func (p *Process) PID() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -134,7 +135,7 @@
 	return p.cmd.Process.Pid
 }
 
-// Pause stops the process where it is, or lets it go on.
+// SetPaused stops the process with SIGSTOP, or continues it.
 func (p *Process) SetPaused(paused bool) error {
 	s := syscall.SIGCONT
 	if paused {
@@ -144,13 +145,14 @@
 	return err
 }
 
-// Leave tells it to end, and does not wait for that.
+// Terminate sends SIGTERM, and does not wait for the process to end.
 func (p *Process) Terminate() error {
 	_, err := p.signal(syscall.SIGTERM)
 	return err
 }
 
-// signal sends the process a signal, and returns a channel that closes when it has ended; nil if it does not run.
+// signal sends the process a signal. It returns a channel that closes when the process has ended, or nil if it is not
+// running.
 func (p *Process) signal(s syscall.Signal) (<-chan struct{}, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -171,7 +173,7 @@
 	return p.exited, nil
 }
 
-// Kill ends it at once, and returns when it is gone.
+// Kill sends SIGKILL, and returns when the process has ended.
 func (p *Process) Kill() error {
 	exited, err := p.signal(syscall.SIGKILL)
 	if exited != nil {
@@ -180,7 +182,7 @@
 	return err
 }
 
-// End tells it to end, and kills it if it takes too long.
+// Stop sends SIGTERM, and SIGKILL if the process has not ended within 6 s. It kills a paused process at once.
 func (p *Process) Stop() error {
 	p.mu.Lock()
 	paused := p.paused
@@ -196,12 +198,12 @@
 	case <-exited:
 		return nil
 	case <-time.After(terminateTimeout):
-		return errors.Join(fmt.Errorf("%s: it did not end within %v", p.Name, terminateTimeout), p.Kill())
+		return errors.Join(fmt.Errorf("%s: process did not end within %v after SIGTERM", p.Name, terminateTimeout), p.Kill())
 	}
 }
 
-// Fill makes the process's disk full, or gives it room again. It is a bound on the length of every file that it
-// writes, which it meets as an error of the write.
+// SetDiskFull makes the process's writes to files fail as on a full disk, or lets them succeed again. It sets the
+// process's file size limit to 0, so that each write that would extend a file returns an error.
 func (p *Process) SetDiskFull(full bool) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -215,7 +217,7 @@
 	return p.setFileSizeLimit(unix.RLIM_INFINITY)
 }
 
-// bound is the most bytes that a file may have. The lock is held.
+// setFileSizeLimit sets the maximum size of files that the process writes. The caller holds mu.
 func (p *Process) setFileSizeLimit(bytes uint64) error {
 	limit := unix.Rlimit{Cur: bytes, Max: unix.RLIM_INFINITY}
 	if err := unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, &limit, nil); err != nil {
@@ -224,30 +226,30 @@
 	return nil
 }
 
-// Usage is what a process has cost so far.
+// Usage is the resources that a process has used so far.
 type Usage struct {
 	CPU        time.Duration
-	PeakMemory int64 // bytes that stood in memory at once
+	PeakMemory int64 // highest resident set size, in bytes
 }
 
-const ticksPerSecond = 100 // of the times in /proc, on every machine that this runs on
+const ticksPerSecond = 100 // unit of the CPU times in /proc; USER_HZ is 100 on every machine that this runs on
 
-// Cost reads what the running process has cost.
+// Usage reads the resource usage of the running process.
 func (p *Process) Usage() (u Usage, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
-		return u, fmt.Errorf("%s: it does not run", p.Name)
+		return u, fmt.Errorf("%s: process is not running", p.Name)
 	}
 	dir := fmt.Sprintf("/proc/%d/", p.cmd.Process.Pid)
 	stat, err := os.ReadFile(dir + "stat")
 	if err != nil {
 		return u, fmt.Errorf("%s: %w", p.Name, err)
 	}
-	_, after, _ := strings.Cut(string(stat), ") ") // the name may hold anything
+	_, after, _ := strings.Cut(string(stat), ") ") // the command name before it may contain any character
 	fields := strings.Fields(after)
 	if len(fields) < 13 {
-		return u, fmt.Errorf("%s: %d fields in its stat", p.Name, len(fields))
+		return u, fmt.Errorf("%s: /proc stat has only %d fields after the name", p.Name, len(fields))
 	}
 	for _, text := range fields[11:13] {
 		ticks, err := strconv.ParseInt(text, 10, 64)
@@ -270,18 +272,19 @@
 	return u, nil
 }
 
-// Empty takes away what the process has kept. It must not run.
+// ClearState deletes the contents of the state folder. The process must not be running.
 func (p *Process) ClearState() error {
 	if p.Running() {
-		return fmt.Errorf("%s: it runs, and its folder is not taken away", p.Name)
+		return fmt.Errorf("%s: cannot clear the state of a running process", p.Name)
 	}
 	return errors.Join(os.RemoveAll(p.StateDir), os.MkdirAll(p.StateDir, 0o700))
 }
 
-// Damage flips one byte of one of its files, or cuts it there. It must not run.
+// CorruptFile flips one bit of a file in the state folder, or truncates the file, at a random offset. The process must
+// not be running.
 func (p *Process) CorruptFile(file string, rng *rand.Rand) error {
 	if p.Running() {
-		return fmt.Errorf("%s: it runs, and its files are not damaged", p.Name)
+		return fmt.Errorf("%s: cannot corrupt a file of a running process", p.Name)
 	}
 	path := filepath.Join(p.StateDir, filepath.Base(file))
 	data, err := os.ReadFile(path)
@@ -297,17 +300,17 @@
 	return os.WriteFile(path, data, 0o600)
 }
 
-const wantedOpenFiles = 1 << 17 // each connection on the stage takes up to four descriptors here
+const wantedOpenFiles = 1 << 17 // each relayed connection takes up to four descriptors in this process
 
-// roomForFiles asks for as many descriptors as the system gives this process.
+// raiseFileLimit raises the limit of open files to wantedOpenFiles, or as far as the system permits.
 func raiseFileLimit() {
 	var limit unix.Rlimit
 	if unix.Getrlimit(unix.RLIMIT_NOFILE, &limit) != nil || limit.Cur >= wantedOpenFiles {
 		return
 	}
 	wanted := unix.Rlimit{Cur: wantedOpenFiles, Max: max(limit.Max, wantedOpenFiles)}
-	if unix.Setrlimit(unix.RLIMIT_NOFILE, &wanted) != nil { // only root may have more than it was given
+	if unix.Setrlimit(unix.RLIMIT_NOFILE, &wanted) != nil { // only a privileged process may exceed its hard limit
 		limit.Cur = limit.Max
-		unix.Setrlimit(unix.RLIMIT_NOFILE, &limit) // no more can be had then
+		unix.Setrlimit(unix.RLIMIT_NOFILE, &limit) // best effort: this is the most that is permitted
 	}
 }
--- a/internal/lab/relay/fault.go
+++ b/internal/lab/relay/fault.go
@@ -1,8 +1,9 @@
-// Package relay owns the ways between processes on loopback: every connection and datagram between two parties goes
-// through a socket of a Net, which can delay, hold, cut, thin or spoil what passes, each way by itself.
+// Package relay forwards all traffic between processes on loopback and injects network faults. Every connection and
+// datagram between two parties passes a socket of a Network, which can delay, hold, drop, duplicate, reorder or
+// throttle the traffic and reset connections. Faults apply to each direction separately.
 //
-// A party is known by the address that its connections come from, and a relay goes on from that same address, so that
-// whoever is reached sees who asks. Addresses outside 127.0.0.0/8 are refused.
+// A party is identified by the source address of its connections. The relay connects to the target from that same
+// address, so that the target sees who is connecting. Addresses outside 127.0.0.0/8 are rejected.
 package relay
 
 import (
@@ -14,7 +15,7 @@
 	"time"
 )
 
-// Kind is what a party is.
+// Kind is the kind of a party.
 type Kind uint8
 
 // The kinds of parties.
@@ -26,7 +27,7 @@
 
 var kindNames = []string{"node", "server", "partner"}
 
-// Party is one process, or what stands for one.
+// Party is a process, or a stand-in for one, such as a partner.
 type Party struct {
 	Kind  Kind
 	Index int
@@ -34,30 +35,31 @@
 
 func (p Party) String() string { return fmt.Sprintf("%s-%d", kindNames[p.Kind], p.Index) }
 
-// Set are some parties.
+// PartySet is a set of parties.
 type PartySet map[Party]bool
 
-// Fault is what is wrong with one way from one party to another. The zero value passes everything.
+// Fault describes the faults of the path from one party to another. The zero value forwards everything.
 type Fault struct {
-	// Cut passes nothing, without a word: connections stay open, and what is sent on them arrives once it is healed.
-	// Datagrams are lost.
+	// Cut forwards nothing and reports no error: connections stay open, and data sent on them arrives when the fault
+	// ends. Datagrams are lost.
 	Cut bool
-	// Vanish is a Cut at whose end the connections that were held in it are reset: the machine is back, and knows nothing
-	// of them.
+	// ResetOnHeal is a Cut that resets the connections with held data when it ends, as a machine does that has
+	// restarted and does not know them.
 	ResetOnHeal bool
-	// Refuse closes new connections at once. It counts on the way from who connects.
+	// Refuse resets new connections at once. It applies to the path from the connecting party.
 	Refuse bool
-	// Reset is the share of new connections, from 0 to 1, that are reset at a moment within ResetWithin. It counts on
-	// the way from who connects.
+	// ResetShare is the share of new connections, from 0 to 1, that are reset at a random time within ResetWithin. It
+	// applies to the path from the connecting party.
 	ResetShare  float64
 	ResetWithin time.Duration
-	// Delay is added to everything, and up to Jitter more by chance. The order on a connection stays.
+	// Delay, and a random time below Jitter, are added to all traffic. The order on a connection is kept.
 	Delay, Jitter time.Duration
-	// Rate is the most bytes a second on one connection; 0 for any number.
+	// BytesPerSecond is the maximum rate of one connection; 0 for no limit.
 	BytesPerSecond int
-	// StopAfter holds a connection after so many bytes of its own on this way, as Cut does; 0 for never.
+	// StallAfter holds a connection, as Cut does, after it has sent this many bytes on this path; 0 for never.
 	StallAfter int
-	// Lose, Repeat and Reorder are shares of datagrams, from 0 to 1. One that is reordered comes up to 50 ms late.
+	// LossShare, DuplicateShare and ReorderShare are shares of datagrams, from 0 to 1. A reordered datagram is delayed
+	// by up to 50 ms.
 	LossShare, DuplicateShare, ReorderShare float64
 }
 
@@ -66,25 +68,25 @@
 	maxDelay        = 10 * time.Minute
 )
 
-// Check tells what is impossible in a fault.
+// Check returns an error if a value of the fault is out of range.
 func (f Fault) Check() error {
 	for name, v := range map[string]float64{"reset": f.ResetShare, "lose": f.LossShare, "repeat": f.DuplicateShare, "reorder": f.ReorderShare} {
 		if !(v >= 0 && v <= 1) {
-			return fmt.Errorf("%s is %v: a share from 0 to 1", name, v)
+			return fmt.Errorf("%s is %v: must be a share from 0 to 1", name, v)
 		}
 	}
 	for name, v := range map[string]time.Duration{"delay": f.Delay, "jitter": f.Jitter, "reset_within": f.ResetWithin} {
 		if v < 0 || v > maxDelay {
-			return fmt.Errorf("%s is %v: from 0 to %v", name, v, maxDelay)
+			return fmt.Errorf("%s is %v: must be from 0 to %v", name, v, maxDelay)
 		}
 	}
 	if f.BytesPerSecond < 0 || f.StallAfter < 0 {
-		return fmt.Errorf("rate %d and stop_after %d: from 0 on", f.BytesPerSecond, f.StallAfter)
+		return fmt.Errorf("rate %d and stop_after %d: must not be negative", f.BytesPerSecond, f.StallAfter)
 	}
 	return nil
 }
 
-// with is both faults together: the worse of each.
+// combine returns the effect of both faults together: delays add up, and of other values the more severe one applies.
 func (f Fault) combine(other Fault) Fault {
 	stricter := func(a, b int) int {
 		if a == 0 || b == 0 {
@@ -101,20 +103,20 @@
 	}
 }
 
-// What tells what an Event is.
+// EventType is the type of an Event.
 type EventType uint8
 
-// What a Net sees.
+// The types of events.
 const (
-	ConnOpened        EventType = iota // a connection: From has reached To
-	ConnFailed                         // a connection that found nobody, or was refused by a fault
-	ConnReset                          // a connection that a fault has reset
-	DataForwarded                      // Bytes on a connection
-	DatagramForwarded                  // one passed, of Bytes
-	DatagramLost                       // one did not
+	ConnOpened        EventType = iota // From has connected to To
+	ConnFailed                         // a connection could not be made, or was refused by a fault
+	ConnReset                          // a fault has reset a connection
+	DataForwarded                      // Bytes were forwarded on a connection
+	DatagramForwarded                  // a datagram of Bytes was forwarded
+	DatagramLost                       // a datagram of Bytes was lost
 )
 
-// Event is one thing that a Net sees. Text is the beginning of what passed, for Passed only; it must not be kept.
+// Event is one event of a Network. Data is the forwarded data, for DataForwarded only. The callback must not retain it.
 type Event struct {
 	Type     EventType
 	From, To Party
@@ -122,7 +124,7 @@
 	Data     []byte
 }
 
-// Net owns the relays and what is wrong with them. Its methods may be called from many goroutines.
+// Network owns the relays and the faults that are in force. Its methods may be called from many goroutines.
 type Network struct {
 	partyAt func(netip.Addr) (Party, bool)
 	onEvent func(Event)
@@ -132,26 +134,26 @@
 	rules            []*FaultRule
 	rulesChanged     chan struct{} // closed when the rules change
 	closers          []func()
-	delayedDatagrams int // datagrams on their way
+	delayedDatagrams int // datagrams that wait to be sent
 	faces            map[Party]*face
 	closed           bool
-	done             chan struct{} // closed with the Net
+	done             chan struct{} // closed by Close
 	wg               sync.WaitGroup
 }
 
-// Rule is a fault that holds between two sets of parties until it is lifted.
+// FaultRule is a fault on the paths from one set of parties to another, in force until RemoveFault.
 type FaultRule struct {
 	from, to PartySet
 	fault    Fault
 }
 
-// New makes a Net without a socket. who names the party of an address; tell hears what passes, from many goroutines,
-// and must not wait. Chance is drawn from the seed.
+// New creates a Network without sockets. partyAt returns the party of an address. onEvent is called for each event,
+// from many goroutines, and must not block. All random decisions use the seed.
 func New(seed uint64, partyAt func(netip.Addr) (Party, bool), onEvent func(Event)) *Network {
 	return &Network{partyAt: partyAt, onEvent: onEvent, rng: rand.New(rand.NewPCG(seed, 0x57a6e)), rulesChanged: make(chan struct{}), done: make(chan struct{}), faces: map[Party]*face{}}
 }
 
-// Impair puts a fault on the ways from each of the one set to each of the other, until Lift.
+// AddFault applies a fault to the paths from each party in from to each party in to, until RemoveFault.
 func (n *Network) AddFault(from, to PartySet, f Fault) *FaultRule {
 	r := &FaultRule{from, to, f}
 	n.mu.Lock()
@@ -161,7 +163,7 @@
 	return r
 }
 
-// Lift ends a fault. What was held goes on.
+// RemoveFault ends a fault. Traffic that it held is forwarded.
 func (n *Network) RemoveFault(r *FaultRule) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -174,10 +176,10 @@
 	n.rulesChanged = make(chan struct{})
 }
 
-// holds tells that nothing passes.
+// blocks returns whether the fault stops all traffic.
 func (f Fault) blocks() bool { return f.Cut || f.ResetOnHeal }
 
-// fault is what is wrong with a way now, and a channel that closes when that may have changed.
+// currentFault returns the combined fault of a path, and a channel that closes when the rules change.
 func (n *Network) currentFault(from, to Party) (Fault, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -190,7 +192,7 @@
 	return f, n.rulesChanged
 }
 
-// chance tells whether something of this share happens, and draws a time below a bound.
+// happens returns true with the given probability. It draws no random number if that is not positive.
 func (n *Network) happens(share float64) bool {
 	if share <= 0 {
 		return false
@@ -200,6 +202,7 @@
 	return n.rng.Float64() < share
 }
 
+// randomDuration returns a random duration below a bound, or 0 if the bound is not positive.
 func (n *Network) randomDuration(bound time.Duration) time.Duration {
 	if bound <= 0 {
 		return 0
@@ -209,7 +212,7 @@
 	return time.Duration(n.rng.Int64N(int64(bound)))
 }
 
-// keep has Close call end, or calls it now if the Net is closed already.
+// addCloser registers a function that Close calls. If the Network is closed already, it calls it now and returns false.
 func (n *Network) addCloser(closer func()) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -221,7 +224,7 @@
 	return true
 }
 
-// Close ends all relays, and every connection on them.
+// Close closes all relays and connections, and waits for their goroutines.
 func (n *Network) Close() {
 	n.mu.Lock()
 	if !n.closed {
@@ -237,13 +240,13 @@
 	n.wg.Wait()
 }
 
-// OnLoopback refuses every address that is not on this machine.
+// CheckLoopback returns an error unless addr is an IPv4 loopback address with a port.
 func CheckLoopback(addr string) error {
 	_, err := parseLoopback(addr)
 	return err
 }
 
-// loopback refuses every address that is not on this machine.
+// parseLoopback parses an IPv4 loopback address with a port, and rejects all other addresses.
 func parseLoopback(addr string) (netip.AddrPort, error) {
 	a, err := netip.ParseAddrPort(addr)
 	if err != nil {
--- a/internal/lab/stage/audit.go
+++ b/internal/lab/stage/audit.go
@@ -14,10 +14,11 @@
 	"harrierramp/internal/lab/relay"
 )
 
-// auditSlack is what a relay and a busy machine may add between a node's write and a partner's look at the clock.
+// auditSlack bounds the delay that a relay and a busy machine add between a node's write of a call and the time that
+// the partner records for it.
 const auditSlack = 300 * time.Millisecond
 
-// Audit holds the nodes' own records of acts, as they stand in their folders, against what the list servers remember.
+// Audit checks the audit logs in the nodes' state folders against the list history that the list servers keep.
 func (st *Stage) Audit() (auditlog.Report, error) {
 	var history auditlog.History
 	var errs []error
@@ -34,7 +35,7 @@
 		history = auditlog.MoreComplete(history, h)
 	}
 	if len(errs) == len(st.servers) {
-		return auditlog.Report{}, fmt.Errorf("stage: no list server tells what it remembers: %w", errors.Join(errs...))
+		return auditlog.Report{}, fmt.Errorf("stage: no list server returned its list history: %w", errors.Join(errs...))
 	}
 	a := auditlog.Auditor{History: history, Grace: st.ledger.day.Settings.DrainTimeout + lateSlack, Slack: auditSlack}
 	for i := range st.nodes {
@@ -48,7 +49,7 @@
 	return a.Report(), nil
 }
 
-// auditEntry is what an audit and the ledger are held against each other by.
+// auditKey identifies a group of calls when the audit's findings are compared with the ledger.
 type auditKey struct {
 	node        string
 	incarnation uint32
@@ -56,9 +57,10 @@
 	revision    int64
 }
 
-// compare holds what an audit has found against what partners have seen. Missed are late calls that it neither found nor
-// told as unsure; false ones it found that were not so. Nodes' records that it told as unreadable, or lives without a clock,
-// are excused: it says that it does not know.
+// compareAudit compares the findings of an audit with the late calls that partners recorded. missed counts late calls
+// that the audit reported neither as late nor as unsure; wrong counts calls that it reported as late but that were not.
+// Nodes and incarnations that the audit reports as unknown, because their log is unreadable or has no clock reading,
+// are skipped.
 func compareAudit(late []LateCalls, r auditlog.Report) (missed, wrong int, differences []string) {
 	unknown := map[string]bool{}
 	for _, u := range r.Unknown {
@@ -80,24 +82,24 @@
 		}
 		if l.Count > f.LateCalls+f.UnsureCalls {
 			missed += l.Count - f.LateCalls - f.UnsureCalls
-			differences = append(differences, fmt.Sprintf("%+v: %d calls are late, the audit has %d, and %d that it is unsure of", k, l.Count, f.LateCalls, f.UnsureCalls))
+			differences = append(differences, fmt.Sprintf("%+v: %d calls were late, the audit reports %d late and %d unsure", k, l.Count, f.LateCalls, f.UnsureCalls))
 		}
 		if f.LateCalls > l.Count {
 			wrong += f.LateCalls - l.Count
-			differences = append(differences, fmt.Sprintf("%+v: %d calls are late, the audit has %d", k, l.Count, f.LateCalls))
+			differences = append(differences, fmt.Sprintf("%+v: %d calls were late, the audit reports %d", k, l.Count, f.LateCalls))
 		}
 	}
 	for k, f := range found {
 		if f.LateCalls > 0 {
 			wrong += f.LateCalls
-			differences = append(differences, fmt.Sprintf("%+v: no call is late, the audit has %d", k, f.LateCalls))
+			differences = append(differences, fmt.Sprintf("%+v: no call was late, the audit reports %d", k, f.LateCalls))
 		}
 	}
 	slices.Sort(differences)
 	return missed, wrong, differences
 }
 
-// holdAudit puts into a report how the nodes' records stand against the ledger.
+// reportAudit adds the result of the nodes' audit logs to a report, with the differences from the ledger.
 func (st *Stage) reportAudit(r *Report) {
 	found, err := st.Audit()
 	if err != nil {
--- a/internal/lab/stage/audit_test.go
+++ b/internal/lab/stage/audit_test.go
@@ -17,9 +17,9 @@
 	"harrierramp/internal/testkit"
 )
 
-// Half of a fleet goes on calling an endpoint that is withdrawn, since neither list server reaches it, one of it is killed
-// meanwhile and one paused. What the nodes have on record of that equals what partners saw, entry by entry, and the
-// command finds the same by the nodes' doors as the stage in their folders.
+// Half of the nodes are cut off from both list servers and go on calling a withdrawn endpoint. One of them is killed
+// and one is paused meanwhile. The nodes' audit logs agree with what the partners saw, entry by entry, and "fleet
+// audit" finds the same through the nodes' admin endpoints as the stage finds in their state folders.
 func TestAuditMatchesLedger(t *testing.T) {
 	s := loadScript(t, `
 name = "audited"
@@ -61,7 +61,7 @@
 	s.Node.Audit, s.Node.ListHeartbeat, s.Node.Admin, s.Node.AuditLogKB = true, 250, true, 128
 	st, _, done := openStage(t, s)
 	r := done()
-	var servers []string // a node tells one of them
+	var servers []string // each node reports to one of them
 	for i := range s.Servers {
 		servers = append(servers, process.HostPort(st.addrs.OwnAddr(relay.Party{Kind: relay.Server, Index: i}), process.ListPort))
 	}
@@ -72,7 +72,7 @@
 		t.Fatalf("status %d, %v, %s", code, err, errs.String())
 	}
 	if _, wrong, text := compareAudit(r.LateCalls, fromAdmin); wrong > 0 || len(fromAdmin.Findings) != len(r.Audit.Findings) {
-		t.Errorf("by the doors %d findings, in the folders %d: %v, unknown %v", len(fromAdmin.Findings), len(r.Audit.Findings), text, fromAdmin.Unknown)
+		t.Errorf("%d findings through the admin endpoints, %d in the state folders: %v, unknown %v", len(fromAdmin.Findings), len(r.Audit.Findings), text, fromAdmin.Unknown)
 	}
 	for _, f := range fromAdmin.Findings {
 		if f.Endpoint != "p0-0" || strings.Contains("node-4 node-5 node-6 node-7", f.Node) || f.WithdrawnRevision <= f.Revision || f.Reason == "not told" {
@@ -81,8 +81,9 @@
 	}
 }
 
-// Both list servers fall silent towards some nodes while an endpoint is withdrawn: they hear from the others that the list
-// has moved on, and stop calling before the grace is over by half a second; with all of it mended they deliver again.
+// Two nodes receive nothing from both list servers while an endpoint is withdrawn. They learn from other nodes that the
+// list has a newer revision, fence themselves, and stop calling at most 0.5 s after the drain timeout. After the fault
+// they deliver again.
 func TestNodesBehindTheListAreFenced(t *testing.T) {
 	s := loadScript(t, `
 name = "shut out"
@@ -116,13 +117,14 @@
 	done()
 	for n := range s.Nodes {
 		if outs := fetchFigure("http://"+st.AdminAddr(n)+"/ops/stats", "router.shut_outs:"); (outs > 0) != (n < 2) {
-			t.Errorf("node %d was shut out %d times", n, outs)
+			t.Errorf("node %d was fenced %d times", n, outs)
 		}
 	}
 }
 
-// A floor that nobody reaches is refused, and named, unless it is forced; then all are shut out, and back once it is
-// released. One that all reach shuts nobody out. The list service keeps it over a restart.
+// "fleet require" rejects a minimum version that no node reaches and names the nodes, unless it is forced. A forced
+// minimum fences all nodes until it is released. A minimum that all nodes reach fences none. The list server keeps the
+// minimum over a restart.
 func TestMinimumVersionIsEnforced(t *testing.T) {
 	s := loadScript(t, `
 name = "floor"
@@ -154,7 +156,7 @@
 	}
 	awaitFenced := func(want int) {
 		t.Helper()
-		testkit.Eventually(t, fmt.Sprint(want, " are shut out"), func() bool {
+		testkit.Eventually(t, fmt.Sprint(want, " nodes are fenced"), func() bool {
 			out := 0
 			for _, r := range st.RolloutStatus().Nodes {
 				if r.Fenced {
@@ -178,16 +180,16 @@
 	if err := errors.Join(st.Kill(serverParty), st.Start(serverParty)); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Eventually(t, "it serves again", func() bool { return st.RolloutStatus().Head > 0 })
+	testkit.Eventually(t, "the list server serves again", func() bool { return st.RolloutStatus().Head > 0 })
 	awaitFenced(3)
-	testkit.Eventually(t, "it takes writes", func() bool {
+	testkit.Eventually(t, "the list server accepts writes", func() bool {
 		return cli.Main([]string{"fleet", "release", "--servers", server}, io.Discard, io.Discard) == 0
 	})
 	awaitFenced(0)
 	done()
 }
 
-// Each way in which an audit and the ledger can differ is told.
+// Each way in which an audit and the ledger can differ is reported.
 func TestAuditDifferencesAreReported(t *testing.T) {
 	late := []LateCalls{{Endpoint: "p0-0", Node: 1, Incarnation: 2, Revision: 7, Count: 5}}
 	finding := func(calls, unsure int) auditlog.Report {
--- a/internal/lab/stage/judge_test.go
+++ b/internal/lab/stage/judge_test.go
@@ -21,8 +21,8 @@
 
 const faultEnv = "TEST_FAULTY_NODE"
 
-// faultyNode is a node that takes messages and gets one thing wrong. It reads where it is from the configuration that
-// the stage writes, and the list from the list server.
+// faultyNode stands in for a node and makes one kind of mistake, which TEST_FAULTY_NODE names. It reads its addresses
+// from the configuration that the stage writes, and the list from the list server.
 func faultyNode(args []string) int {
 	raw, err := os.ReadFile(args[2]) // serve --config FILE
 	if err != nil {
@@ -50,7 +50,7 @@
 				Addr string `json:"host_port"`
 			}
 		}
-		json.NewDecoder(resp.Body).Decode(&l) // no list is an empty one
+		json.NewDecoder(resp.Body).Decode(&l) // a response that cannot be read counts as an empty list
 		for _, m := range l.Members {
 			addrs = append(addrs, m.Addr)
 		}
@@ -95,7 +95,7 @@
 		case "ends late":
 			time.Sleep(1800 * time.Millisecond)
 			sendNotice(id, "returned")
-		case "goes on": // at an endpoint that it has known from the start
+		case "goes on": // at the endpoint that it read at the start
 			call(addr, id)
 			for range 20 {
 				time.Sleep(200 * time.Millisecond)
@@ -151,7 +151,7 @@
 	}
 }
 
-// A partner that gets one thing wrong is named as well, whatever the nodes do.
+// A partner that executes a call twice, after a refusal or without a call is reported as a violation.
 func TestPartnerFaultsAreReported(t *testing.T) {
 	s := loadScript(t, "name = \"partner\"\nnodes = 1\n[[destination]]\nendpoints = 2\n")
 	day, err := s.judgeDay()
@@ -162,13 +162,13 @@
 		does []partner.Event
 		want string
 	}{
-		"as it should": {[]partner.Event{{Type: partner.CallReceived, MessageID: "m"}, {Type: partner.CallExecuted, MessageID: "m"}}, ""},
+		"executes each call once": {[]partner.Event{{Type: partner.CallReceived, MessageID: "m"}, {Type: partner.CallExecuted, MessageID: "m"}}, ""},
 		"refuses, then is called again": {[]partner.Event{
 			{Type: partner.CallReceived, MessageID: "m"}, {Type: partner.CallRefused, MessageID: "m"}, {Type: partner.CallReceived, MessageID: "m"}, {Type: partner.CallExecuted, MessageID: "m"}}, ""},
-		"runs one call twice":        {[]partner.Event{{Type: partner.CallReceived, MessageID: "m"}, {Type: partner.CallExecuted, MessageID: "m"}, {Type: partner.CallExecuted, MessageID: "m"}}, "without a call"},
-		"runs what it has refused":   {[]partner.Event{{Type: partner.CallReceived, MessageID: "m"}, {Type: partner.CallRefused, MessageID: "m"}, {Type: partner.CallExecuted, MessageID: "m"}}, "without a call"},
-		"runs what nobody handed in": {[]partner.Event{{Type: partner.CallExecuted, MessageID: "x"}}, "nobody has handed in"},
-		"runs what was not called":   {[]partner.Event{{Type: partner.CallExecuted, MessageID: "m"}}, "without a call"},
+		"executes one call twice":           {[]partner.Event{{Type: partner.CallReceived, MessageID: "m"}, {Type: partner.CallExecuted, MessageID: "m"}, {Type: partner.CallExecuted, MessageID: "m"}}, "without a call"},
+		"executes a call it has refused":    {[]partner.Event{{Type: partner.CallReceived, MessageID: "m"}, {Type: partner.CallRefused, MessageID: "m"}, {Type: partner.CallExecuted, MessageID: "m"}}, "without a call"},
+		"executes what was never submitted": {[]partner.Event{{Type: partner.CallExecuted, MessageID: "x"}}, "was never submitted"},
+		"executes without a call":           {[]partner.Event{{Type: partner.CallExecuted, MessageID: "m"}}, "without a call"},
 	} {
 		l := newLedger(&s, day, time.Now())
 		l.nodeStarted(0)
@@ -186,8 +186,7 @@
 	}
 }
 
-// The stage judges truly: each rule that a faulty node breaks on purpose is named, and a node that breaks none is not
-// accused.
+// Each rule that a faulty node breaks on purpose is reported, and a node that breaks no rule is not accused.
 func TestNodeFaultsAreReported(t *testing.T) {
 	const text = `
 name = "judged"
@@ -204,7 +203,7 @@
 latency = "300ms"
 `
 	for fault, want := range map[string]string{
-		"": "", "loses": "no final answer", "copies": "copies", "repeats": "repeat", "invents": "nobody has handed in",
+		"": "", "loses": "no final answer", "copies": "copies", "repeats": "repeat", "invents": "was never submitted",
 		"ends late": "late", "crashes": "crash", "goes on": "",
 	} {
 		t.Run(fault, func(t *testing.T) {
@@ -220,13 +219,13 @@
 			}
 			rules := strings.Join(r.Broken, "\n")
 			if (want == "") != (r.Figures["broken"] == 0) && fault != "goes on" || !strings.Contains(rules, want) {
-				t.Errorf("it says %q, and %q is broken", rules, want)
+				t.Errorf("report %q, want a violation of %q", rules, want)
 			}
 			if late := r.Figures["late_calls"]; (late > 0) != (fault == "goes on") {
-				t.Errorf("%v calls at an endpoint after it was withdrawn", late)
+				t.Errorf("%v calls at a withdrawn endpoint", late)
 			}
 			if fault == "goes on" && (len(r.LateCalls) != 1 || r.LateCalls[0].Node != 0 || r.Figures["last_late_call"] < 1) {
-				t.Errorf("%+v, the last after %v s", r.LateCalls, r.Figures["last_late_call"])
+				t.Errorf("late calls %+v, the last one %v s after the withdrawal", r.LateCalls, r.Figures["last_late_call"])
 			}
 		})
 	}
--- a/internal/lab/stage/ledger.go
+++ b/internal/lab/stage/ledger.go
@@ -19,30 +19,31 @@
 const (
 	binWidth    = 100 * time.Millisecond
 	maxBins     = int((2*MaxLength + 5*time.Minute) / binWidth)
-	copySlack   = 100 * time.Millisecond // the end of a call that its node has given up may reach a partner so late
-	startWindow = 5 * time.Second        // a start
-	lateSlack   = 50 * time.Millisecond
+	copySlack   = 100 * time.Millisecond // a partner may see the end of a call this long after its node has abandoned it
+	startWindow = 5 * time.Second        // from the script's start of the nodes
+	lateSlack   = 50 * time.Millisecond  // added to the drain timeout before a call counts as late
 )
 
-// Bin is what happened in a tenth of a second.
+// Bin counts the events of one tenth of a second.
 type Bin struct {
-	ListRequests         int `json:"asks"`      // for the list, also those that found nobody
-	ListsServed          int `json:"served"`    // lists that servers began to tell
-	ListRequestsDeferred int `json:"told"`      // asks that were answered with when to come
-	ListBytes            int `json:"listBytes"` // from servers to nodes
-	Conns                int `json:"conns"`     // at endpoints
+	ListRequests         int `json:"asks"`      // requests for the list, including those that failed to connect
+	ListsServed          int `json:"served"`    // responses of servers that contain a list or a part of it
+	ListRequestsDeferred int `json:"told"`      // requests answered with a time to come again (503)
+	ListBytes            int `json:"listBytes"` // bytes from list servers to nodes
+	Conns                int `json:"conns"`     // connections opened at endpoints
 	ConnsRejected        int `json:"hungUp"`
 	Calls                int `json:"calls"`
-	CallsRefused         int `json:"refused"` // of the calls
+	CallsRefused         int `json:"refused"` // calls refused by endpoints
 	CallsExecuted        int `json:"ran"`
 	Datagrams            int `json:"datagrams"`
-	DatagramsLost        int `json:"lost"` // of the datagrams
+	DatagramsLost        int `json:"lost"` // datagrams that were dropped
 	Submitted            int `json:"handedIn"`
 	Busy                 int `json:"busy"`
 	Failed               int `json:"failed"`
 }
 
-// message is a message as a client first hands it in, with all later tries at it.
+// message is one message of a client, with all its submissions. A client submits it again under a new id after -BUSY,
+// and under the same id after no answer.
 type message struct {
 	id, submissionID     string
 	node                 int
@@ -53,18 +54,18 @@
 	submissions          int
 	accepted             bool
 	ended                bool
-	calls                []*call // of this try
-	executions           int     // of all tries
-	submissionExecutions int     // of this try
+	calls                []*call // of the current submission
+	executions           int     // of all submissions
+	submissionExecutions int     // of the current submission
 	firstExecutedAt      time.Duration
 	outcome              string
-	newSubmission        bool // the hand-in that comes is a new try
+	newSubmission        bool // the next request is a new submission, with a new id
 	trace                []string
 }
 
-const maxTraceEntries = 24 // words of a message's story
+const maxTraceEntries = 24 // entries in a message's trace
 
-// tell adds to the message's story, which is printed if it ends badly. The ledger's lock is held.
+// tracef adds an entry to the message's trace, which is printed if the message ends badly. The caller holds ledger.mu.
 func (m *message) tracef(at time.Duration, format string, args ...any) {
 	if len(m.trace) < maxTraceEntries {
 		m.trace = append(m.trace, fmt.Sprintf("%.3f ", at.Seconds())+fmt.Sprintf(format, args...))
@@ -79,30 +80,31 @@
 	attempt   int
 }
 
-// ledger is what the stage has seen: at clients, partners, relays and list servers, never what a node says of itself.
-// Its methods may be called from many goroutines.
+// ledger records what the stage observes at clients, partners, relays and list servers. It does not use what nodes
+// report about themselves. Its methods may be called from many goroutines.
 type ledger struct {
 	script           *Script
 	day              model.Day
 	startTime        atomic.Pointer[time.Time]
-	noticesMayBeLate bool // faults keep nodes from list servers, so that notices may come late
+	noticesMayBeLate bool // faults affect the paths to list servers, so that notices may arrive late
 
 	mu               sync.Mutex
 	bins             []Bin
-	bySubmissionID   map[string]*message // every try
+	bySubmissionID   map[string]*message // all submissions of all messages
 	messages         []*message
 	judge            *judge.Judge
 	nodes            []nodeStats
 	endpoints        []endpointStats
-	endpointIndex    map[string]int // of endpoints, by id
-	violations       []string       // rules of the stage's own
+	endpointIndex    map[string]int // index into endpoints by endpoint id
+	violations       []string       // rules that the ledger itself checks; the first 20 violations
 	violationCount   int
 	unexpectedEvents int
 	crashes          int
-	unmarkedCalls    int // calls without a mark, where nodes are to mark them
+	unmarkedCalls    int // calls without a decision basis, where nodes are configured to send it
 }
 
-// nodeSeen is a node as the stage sees it. Times are since its start; -1 for never.
+// nodeStats is what the stage has observed of a node. started is a time of the run, the other times are relative to it;
+// all are -1 until they happen.
 type nodeStats struct {
 	started, ready, listed, called, delivered time.Duration
 	lateCalls                                 int
@@ -115,8 +117,8 @@
 	conns            int
 	openConns        int
 	maxOpenConns     int
-	maxOpenAtStart   int // of those, in the first earlySpan of the play,
-	maxOpenLastThird int // and in the last third of it
+	maxOpenAtStart   int // highest openConns until startWindow after the nodes' start
+	maxOpenLastThird int // highest openConns in the last third of the traffic
 	calls            int
 	connsRejected    int
 	callsRefused     int
@@ -124,7 +126,7 @@
 	maxLoad          float64
 	withdrawnAt      time.Duration // -1 while it is in the list
 	lateCalls        int
-	lastLateCall     time.Duration // after the withdrawal
+	lastLateCall     time.Duration // time from the withdrawal to the last late call
 	lateCallsByBasis map[decisionBasis]int
 }
 
@@ -146,20 +148,21 @@
 
 func (l *ledger) now() time.Duration { return time.Since(*l.startTime.Load()) }
 
-// restart begins the play's clock anew, before anything has happened.
+// resetClock restarts the clock of the run. It is called before any event.
 func (l *ledger) resetClock() {
 	now := time.Now()
 	l.startTime.Store(&now)
 }
 
-// excuse notes that nodes may be kept from list servers, or these be out: notices may come late from now on.
+// allowLateNotices records that list servers are down or cut off from nodes, so that notices may arrive late from now
+// on.
 func (l *ledger) allowLateNotices() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.noticesMayBeLate = true
 }
 
-// bin is the one of a moment. The lock is held.
+// bin returns the bin of a time, and adds bins as needed. The caller holds mu.
 func (l *ledger) bin(at time.Duration) *Bin {
 	i := min(max(int(at/binWidth), 0), maxBins-1)
 	for len(l.bins) <= i {
@@ -168,7 +171,7 @@
 	return &l.bins[i]
 }
 
-// observe tells the judge. The lock is held.
+// observe passes an event to the judge. The caller holds mu.
 func (l *ledger) observe(e model.Event) {
 	e.At += model.StartTime()
 	e.WrittenAt += model.StartTime()
@@ -176,14 +179,14 @@
 	l.judge.Observe(&e)
 }
 
-// breaks notes a broken rule of the stage's own. The lock is held.
+// recordViolation records the violation of a rule that the ledger itself checks. The caller holds mu.
 func (l *ledger) recordViolation(rule, format string, args ...any) {
 	if l.violationCount++; len(l.violations) < 20 {
 		l.violations = append(l.violations, fmt.Sprintf("%9.3f s  %s: ", l.now().Seconds(), rule)+fmt.Sprintf(format, args...))
 	}
 }
 
-// passed takes what the relays see. (relay.New)
+// relayEvent records an event of the relays. It is the callback of relay.New.
 func (l *ledger) relayEvent(e relay.Event) {
 	at := l.now()
 	l.mu.Lock()
@@ -219,7 +222,7 @@
 	return &l.nodes[n]
 }
 
-// began and died tell of a node's process. Times of a start count for the first one.
+// nodeStarted records the start of a node's process. The node's times are measured from its first start.
 func (l *ledger) nodeStarted(n int) {
 	at := l.now()
 	l.mu.Lock()
@@ -239,15 +242,15 @@
 	l.observe(model.Event{At: at, Kind: model.NodeStopped, Node: n})
 }
 
-// crash notes a process that has ended by itself.
+// processCrashed records that a process has ended unexpectedly.
 func (l *ledger) processCrashed(name, reason string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.crashes++
-	l.recordViolation("crash", "%s ends by itself: %s", name, reason)
+	l.recordViolation("crash", "%s ended unexpectedly: %s", name, reason)
 }
 
-// pong notes that a node takes clients.
+// nodeReady records that a node accepts clients.
 func (l *ledger) nodeReady(n int) {
 	at := l.now()
 	l.mu.Lock()
@@ -257,7 +260,7 @@
 	}
 }
 
-// hand notes a hand-in, before it is made, and returns the id to hand it in under.
+// submitting records a submission before it is sent, and sets the id to submit the message under.
 func (l *ledger) submitting(m *message) {
 	at := l.now()
 	l.mu.Lock()
@@ -271,18 +274,19 @@
 	}
 	m.calls, m.accepted, m.submissionExecutions = nil, false, 0
 	l.bySubmissionID[m.submissionID] = m
-	m.tracef(at, "handed in as %s until %.3f", m.submissionID, m.deadline.Seconds())
+	m.tracef(at, "submitted as %s with deadline %.3f", m.submissionID, m.deadline.Seconds())
 	l.observe(model.Event{
 		At: at, Kind: model.Submitted, Node: m.node, Msg: m.submissionID, FirstID: m.id, Class: m.class, Dest: m.dest, Deadline: m.deadline, InQuota: true,
 	})
 }
 
-// answered notes what a node says to a hand-in. end is whether the client leaves it at that.
+// submissionAnswered records a node's answer to a submission. final says that the client does not submit the message
+// again.
 func (l *ledger) submissionAnswered(m *message, answer model.SubmitResult, final bool) {
 	at := l.now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	m.tracef(at, "told %d, end %v", answer, final)
+	m.tracef(at, "answer %d, final %v", answer, final)
 	switch answer {
 	case model.SubmitAccepted:
 		if m.accepted || m.ended {
@@ -297,7 +301,7 @@
 		l.bin(at).Busy++
 		if final {
 			l.endMessage(m, at, choice.Rejected, "refused")
-		} else { // the try is over, the message goes on
+		} else { // the submission has ended, the message is submitted again
 			l.observe(l.answerEvent(m, at, choice.Rejected))
 		}
 	case model.SubmitFailed:
@@ -314,17 +318,17 @@
 	return model.Event{At: at, Kind: model.Answered, Node: m.node, Msg: m.submissionID, FirstID: m.id, Class: m.class, Dest: m.dest, Outcome: o, Deadline: m.deadline}
 }
 
-// over gives a message its end. The lock is held.
+// endMessage records the outcome of a message unless it has one already. The caller holds mu.
 func (l *ledger) endMessage(m *message, at time.Duration, o choice.Outcome, outcome string) {
 	if m.ended {
 		return
 	}
 	m.ended, m.outcome = true, outcome
-	m.tracef(at, "over: %s", outcome)
+	m.tracef(at, "ended: %s", outcome)
 	l.observe(l.answerEvent(m, at, o))
 }
 
-// notice takes what a list server says that a node has told it.
+// notice records a notice of a node that was read from a list server.
 func (l *ledger) notice(id, state string, when time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -337,10 +341,10 @@
 		return
 	}
 	at := when.Sub(*l.startTime.Load())
-	if l.noticesMayBeLate { // the way to the servers is part of what is played
+	if l.noticesMayBeLate { // the fault between node and server may have delayed the notice
 		at = min(at, m.deadline)
 	}
-	if !m.accepted { // the answer to the hand-in got lost
+	if !m.accepted { // the answer to the submission was lost
 		m.accepted = true
 		l.observe(model.Event{At: at, Kind: model.Accepted, Node: m.node, Msg: m.submissionID, FirstID: m.id, Class: m.class, Dest: m.dest, Deadline: m.deadline})
 	}
@@ -351,7 +355,8 @@
 	}
 }
 
-// partner takes what partners see. (partner.Config.Seen)
+// partnerEvent records an event of a partner that concerns a node; node is -1 if it is unknown.
+// (partner.Config.OnEvent)
 func (l *ledger) partnerEvent(node int, s partner.Event) {
 	at := l.now()
 	l.mu.Lock()
@@ -416,14 +421,15 @@
 	}
 }
 
-// rests is whose a call is, and on which list it rests, as the call itself says.
+// decisionBasis is the node, its incarnation and the list revision that a call is based on, from the call's header.
 type decisionBasis struct {
 	node        int
 	incarnation uint32
 	revision    int64
 }
 
-// readRests reads the mark of a call of a node; false if there is none.
+// parseDecisionBasis parses the decision basis header of a node's call. It returns false if the header is missing or
+// invalid.
 func parseDecisionBasis(node int, text string) (decisionBasis, bool) {
 	r := decisionBasis{node: node}
 	n, err := fmt.Sscanf(text, "%d.%d", &r.revision, &r.incarnation)
@@ -433,20 +439,20 @@
 	return r, true
 }
 
-// called notes the beginning of a call. The lock is held.
+// callReceived records the start of a call at a partner. The caller holds mu.
 func (l *ledger) callReceived(node int, e *endpointStats, s partner.Event, at time.Duration) {
 	m := l.bySubmissionID[s.MessageID]
 	if m == nil {
-		l.recordViolation("strange", "%s is called by node %d for %q, which nobody has handed in", e.id, node, s.MessageID)
+		l.recordViolation("strange", "%s received a call from node %d for %q, which was never submitted", e.id, node, s.MessageID)
 		return
 	}
-	m.tracef(at, "%s called for %s", e.id, s.MessageID)
+	m.tracef(at, "%s received a call for %s", e.id, s.MessageID)
 	if m.submissionID != s.MessageID {
-		return // an earlier try, which its client has been told is over
+		return // an earlier submission, whose end its client has been told
 	}
 	for _, o := range m.calls {
 		if !o.ended && at-o.startedAt > copySlack {
-			l.recordViolation("copies", "%s is called for %s while its call at %s is out since %v", e.id, s.MessageID, o.endpoint, at-o.startedAt)
+			l.recordViolation("copies", "%s received a call for %s while the call at %s is in progress since %v", e.id, s.MessageID, o.endpoint, at-o.startedAt)
 		}
 	}
 	c := &call{endpoint: e.id, peerAddr: s.PeerAddr, startedAt: at, attempt: len(m.calls)}
@@ -458,20 +464,20 @@
 	l.observe(ev)
 }
 
-// ended notes the end of a call at its partner. The lock is held.
+// callEnded records the end of a call at a partner. The caller holds mu.
 func (l *ledger) callEnded(node int, e *endpointStats, s partner.Event, at time.Duration, o choice.Outcome) {
 	m := l.bySubmissionID[s.MessageID]
 	if m == nil {
 		if o == choice.Success {
-			l.recordViolation("strange", "%s runs %q, which nobody has handed in", e.id, s.MessageID)
+			l.recordViolation("strange", "%s executed %q, which was never submitted", e.id, s.MessageID)
 		}
 		return
 	}
-	m.tracef(at, "%s ends %s with %d", e.id, s.MessageID, o)
+	m.tracef(at, "%s ended the call for %s with outcome %d", e.id, s.MessageID, o)
 	i := slices.IndexFunc(m.calls, func(c *call) bool { return c.peerAddr == s.PeerAddr && c.endpoint == e.id && !c.ended })
 	ev := model.Event{At: at, Node: node, Msg: s.MessageID, FirstID: m.id, Class: m.class, Dest: e.dest, Endpoint: e.id, Outcome: o}
 	if i < 0 && s.MessageID == m.submissionID && o == choice.Success {
-		l.recordViolation("strange", "%s runs %s without a call of it", e.id, s.MessageID)
+		l.recordViolation("strange", "%s executed %s without a call for it", e.id, s.MessageID)
 	}
 	if i >= 0 {
 		m.calls[i].ended = true
@@ -500,7 +506,7 @@
 	}
 }
 
-// withdrew notes that the list leaves an endpoint out, or has it again.
+// setWithdrawn records that an endpoint was withdrawn from the list, or registered again.
 func (l *ledger) setWithdrawn(endpoint string, withdrawn bool) {
 	at := l.now()
 	l.mu.Lock()
@@ -511,7 +517,7 @@
 	}
 }
 
-// open is how many messages that are taken on have no end yet.
+// openMessages returns how many submitted messages have no outcome yet.
 func (l *ledger) openMessages() (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/stage/play.go
+++ b/internal/lab/stage/play.go
@@ -23,15 +23,16 @@
 )
 
 const (
-	pingInterval       = 40 * time.Millisecond // between tries at a node that does not take clients
+	pingInterval       = 40 * time.Millisecond // between PINGs to a node that does not accept clients yet
 	clientsPerNode     = 8                     // connections to one node
-	minRetryDelay      = 50 * time.Millisecond // before a client comes again
+	minRetryDelay      = 50 * time.Millisecond // before a client submits again
 	noticePollInterval = 300 * time.Millisecond
-	settleTime         = 5 * time.Second // after the last message's time
+	settleTime         = 5 * time.Second // after the last message's deadline
 	maxPageBytes       = 4 << 20
 )
 
-// Play sets a stage up, plays its script, and returns what came of it. A broken rule is no error of Play.
+// Play opens a stage, runs the script, and returns the report. Broken rules are in the report; they are not errors of
+// Play.
 func Play(ctx context.Context, s Script, options Options) (r *Report, err error) {
 	st, err := Open(ctx, s, options)
 	if err != nil {
@@ -48,7 +49,7 @@
 	return st.Report(), nil
 }
 
-// Report closes the ledger and holds it against the script.
+// Report collects the figures of the run and checks them against the script's expectations.
 func (st *Stage) Report() *Report {
 	st.mu.Lock()
 	marks := slices.Clone(st.marks)
@@ -57,7 +58,7 @@
 	if st.script.Node.Admin {
 		r.Figures["stale_nodes"] = float64(st.countStaleNodes())
 		for name, figure := range map[string]string{"shut_outs": "router.shut_outs:", "gaps": "router.gaps:"} {
-			for i := range st.nodes { // of the processes that run now
+			for i := range st.nodes { // counts only the processes that run now
 				r.Figures[name] += float64(max(fetchFigure("http://"+st.AdminAddr(i)+"/ops/stats", figure), 0))
 			}
 		}
@@ -65,12 +66,12 @@
 	for i, p := range st.servers {
 		cost, err := p.Usage()
 		if err != nil {
-			continue // it does not run
+			continue // it is not running
 		}
 		name := fmt.Sprintf("server%d_", i)
 		r.Figures[name+"cpu_s"], r.Figures[name+"mb"] = cost.CPU.Seconds(), float64(cost.PeakMemory)/(1<<20)
 	}
-	for _, p := range st.nodes { // processes that run now
+	for _, p := range st.nodes { // only the processes that run now
 		if cost, err := p.Usage(); err == nil {
 			r.Figures["nodes_cpu_s"] += cost.CPU.Seconds()
 			r.Figures["node_most_mb"] = max(r.Figures["node_most_mb"], float64(cost.PeakMemory)/(1<<20))
@@ -83,7 +84,7 @@
 	return r
 }
 
-// Roster is what the list servers know of the nodes' versions.
+// RolloutStatus returns the nodes' builds and list revisions as the list servers know them.
 func (st *Stage) RolloutStatus() rollout.Snapshot {
 	var views []rollout.Snapshot
 	for i := range st.servers {
@@ -96,9 +97,9 @@
 	return rollout.Merge(views)
 }
 
-const staleTimeout = 10 * time.Second // after the traffic, for every node to have the newest list
+const staleTimeout = 10 * time.Second // after the run, for every node to have the newest list
 
-// stale is how many nodes don't have the newest revision of the list some time after all is over.
+// countStaleNodes returns how many nodes still lack the newest revision of the list staleTimeout after the run.
 func (st *Stage) countStaleNodes() (behind int) {
 	for deadline := time.Now().Add(staleTimeout); ; time.Sleep(50 * time.Millisecond) {
 		var newest int64
@@ -117,12 +118,12 @@
 	}
 }
 
-// ops is the operators' door of a list server.
+// serverAdminAddr is the address of a list server's admin endpoint.
 func (st *Stage) serverAdminAddr(i int) string {
 	return process.HostPort(st.addrs.OwnAddr(relay.Party{Kind: relay.Server, Index: i}), process.ListAdminPort)
 }
 
-// get reads what a process says at one of its own addresses.
+// httpGet returns the body of an HTTP response from a process of the stage.
 func httpGet(url string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -139,7 +140,7 @@
 	return io.ReadAll(io.LimitReader(resp.Body, maxPageBytes))
 }
 
-// figureAt reads one figure of a door; -1 if it can't be had.
+// fetchFigure reads one figure from an admin endpoint's statistics. It returns -1 if the figure is not available.
 func fetchFigure(url, name string) int64 {
 	text, err := httpGet(url)
 	_, after, found := strings.Cut(string(text), name)
@@ -154,13 +155,14 @@
 	return v
 }
 
-// moment is something that is due.
+// plannedEvent is a start, fault or action with its time since the start of the run.
 type plannedEvent struct {
 	at  time.Duration
 	run func()
 }
 
-// Run plays the script: starts, traffic, faults; and waits until every message has its end, or is past it.
+// Run runs the script's starts, traffic, faults and actions. It returns when every message has ended, or settleTime
+// after the last deadline.
 func (st *Stage) Run() error {
 	var plan []plannedEvent
 	add := func(at time.Duration, do func()) { plan = append(plan, plannedEvent{at, do}) }
@@ -185,7 +187,7 @@
 		if !st.sleepUntil(m.at) {
 			break
 		}
-		running.Go(m.run) // one that waits must not delay the next
+		running.Go(m.run) // an event that waits must not delay the next one
 	}
 	st.sleepUntil(trafficEnd)
 	clients.Wait()
@@ -200,7 +202,7 @@
 	return st.ctx.Err()
 }
 
-// sleepTo waits for a moment of the play, and tells whether the play still goes on.
+// sleepUntil waits until a time of the run. It returns false if the run was cancelled.
 func (st *Stage) sleepUntil(at time.Duration) bool {
 	t := time.NewTimer(at - st.ledger.now())
 	defer t.Stop()
@@ -236,12 +238,12 @@
 	}
 }
 
-// planFaults draws who is meant, once for each time that something comes.
+// planFaultsAndActions plans all occurrences of faults and actions. Random groups are drawn anew for each occurrence.
 func (st *Stage) planFaultsAndActions(add func(time.Duration, func())) {
 	rng := rand.New(rand.NewPCG(st.script.Seed, 3))
 	for _, f := range st.script.Faults {
 		for at := f.At.Duration(); ; at += f.Every.Duration() {
-			from, _ := st.script.Group(f.From, rng) // checked by Check
+			from, _ := st.script.Group(f.From, rng) // Check has parsed it already
 			to, _ := st.script.Group(f.To, rng)
 			add(at, func() { st.runFault(f, from, to) })
 			if f.Every <= 0 || at+f.Every.Duration() >= st.script.Length.Duration() {
@@ -267,7 +269,7 @@
 	}
 }
 
-// named tells a group in few words.
+// describeGroup returns a short text that names a group.
 func describeGroup(group []relay.Party) string {
 	if len(group) > 3 {
 		return fmt.Sprintf("%s and %d more", group[0], len(group)-1)
@@ -279,7 +281,7 @@
 	return strings.Join(names, ", ")
 }
 
-// impair holds a fault for its time.
+// runFault applies a fault, and removes it after its length.
 func (st *Stage) runFault(f FaultSpec, from, to []relay.Party) {
 	removers := []func(){st.AddFault(from, to, f.relayFault())}
 	if f.BothWays {
@@ -293,10 +295,10 @@
 	for _, remove := range removers {
 		remove()
 	}
-	st.recordMark(fmt.Sprintf("fault from %s to %s is over", describeGroup(from), describeGroup(to)))
+	st.recordMark(fmt.Sprintf("fault from %s to %s ends", describeGroup(from), describeGroup(to)))
 }
 
-// act does something to one party, and undoes it after its time.
+// runAction applies an action to one party, and reverses it after the action's length.
 func (st *Stage) runAction(a ActionSpec, p relay.Party) {
 	var undo func() error
 	err := error(nil)
@@ -337,7 +339,7 @@
 	}
 }
 
-// traffic is what the clients of one node hand in.
+// runClients waits until a node accepts clients, and then submits the script's traffic to it.
 func (st *Stage) runClients(n int, end time.Duration) {
 	rng := rand.New(rand.NewPCG(st.script.Seed, uint64(n)+100))
 	clients := make(chan *client.Client, clientsPerNode)
@@ -389,7 +391,8 @@
 	}
 }
 
-// hand hands one message in, and again while the node asks for that or says nothing, until its time is over.
+// submit submits one message. It retries after -BUSY, and after no answer if the message is idempotent, until the
+// message's deadline.
 func (st *Stage) submit(m *message, clients chan *client.Client, rng *rand.Rand) {
 	m.newSubmission = true
 	for retry := true; retry; {
@@ -427,7 +430,7 @@
 			m.newSubmission = true
 			st.ledger.submissionAnswered(m, model.SubmitRejected, !retry)
 		case client.NoAnswer:
-			retry = m.class == classIdempotent // the other kind may have been taken on
+			retry = m.class == classIdempotent // an at-most-once message may have been accepted
 			st.ledger.submissionAnswered(m, model.SubmitUnanswered, !retry)
 		}
 		if retry && !st.sleepUntil(st.ledger.now()+wait) {
@@ -436,7 +439,7 @@
 	}
 }
 
-// pollNotices reads what nodes tell the list servers.
+// pollNotices reads the notices that nodes send to the list servers, at intervals until the context ends.
 func (st *Stage) pollNotices(ctx context.Context) {
 	for {
 		select {
@@ -448,7 +451,7 @@
 	}
 }
 
-// readNotices reads all servers once. One that is out or paused is read later.
+// readNotices reads the new notices of all running servers once. A server that is down or paused is read later.
 func (st *Stage) readNotices() {
 	for i := range st.servers {
 		if !st.servers[i].Running() {
@@ -459,7 +462,7 @@
 	}
 }
 
-// readPage reads one page, and tells whether there may be more.
+// readNoticePage reads one page of notices from a server, and returns whether there may be more.
 func (st *Stage) readNoticePage(server int) bool {
 	ctx, cancel := context.WithTimeout(st.ctx, time.Second)
 	defer cancel()
--- a/internal/lab/stage/report.go
+++ b/internal/lab/stage/report.go
@@ -23,47 +23,48 @@
 	"harrierramp/internal/lab/judge"
 )
 
-// Mark is something that was done to the fleet.
+// Mark is an action or fault of the run, with its time.
 type Mark struct {
 	At   time.Duration `json:"at"`
 	Text string        `json:"text"`
 }
 
-// Report is what came of a play.
+// Report is the result of a run.
 type Report struct {
 	Name      string             `json:"name"`
 	Seed      uint64             `json:"seed"`
 	Nodes     int                `json:"nodes"`
-	Figures   map[string]float64 `json:"figures"` // by name; times are in seconds
-	Broken    []string           `json:"broken"`  // rules, 40 at most
-	Missed    []string           `json:"missed"`  // what the script expects and did not see
+	Figures   map[string]float64 `json:"figures"` // by name; times are in seconds, memory in MiB
+	Broken    []string           `json:"broken"`  // violations of rules, at most 40
+	Missed    []string           `json:"missed"`  // expectations of the script that were not met
 	LateCalls []LateCalls        `json:"late"`
-	Traces    []string           `json:"stories"` // of messages that ended badly, 10 at most
+	Traces    []string           `json:"stories"` // traces of messages that ended badly, at most 10
 	Marks     []Mark             `json:"marks"`
-	Bins      []Bin              `json:"bins"` // of 100 ms each
+	Bins      []Bin              `json:"bins"` // each of binWidth
 	Result    *judge.Result      `json:"result"`
-	// Audit is what the nodes' own records of acts say, where they keep them, and AuditText where the ledger differs.
+	// Audit is the result of the nodes' audit logs, if they keep them. AuditDifferences are its differences from the
+	// ledger.
 	Audit            *auditlog.Report `json:"audit,omitempty"`
 	AuditDifferences []string         `json:"audit_text,omitempty"`
 }
 
-// LateCalls are the calls of a node at an endpoint after that was withdrawn and the grace was over.
+// LateCalls counts the calls of a node to an endpoint after the endpoint's withdrawal and the drain timeout.
 type LateCalls struct {
 	Endpoint    string `json:"endpoint"`
 	Node        int    `json:"node"`
-	Incarnation uint32 `json:"life,omitempty"`     // of the node's process, and
-	Revision    int64  `json:"revision,omitempty"` // the list that the calls rest on, where calls are marked
+	Incarnation uint32 `json:"life,omitempty"`     // of the node's process; 0 if calls carry no decision basis
+	Revision    int64  `json:"revision,omitempty"` // of the list that the calls are based on; 0 if calls carry no decision basis
 	Count       int    `json:"count"`
 }
 
-// tell adds a message's story.
+// addTrace adds a message's trace, up to 10 of them.
 func (r *Report) addTrace(m *message) {
 	if len(r.Traces) < 10 {
 		r.Traces = append(r.Traces, m.id+": "+strings.Join(m.trace, "; "))
 	}
 }
 
-// busiest is the most of a count in so many bins in a row.
+// maxWindowSum returns the highest sum of a count over width consecutive bins.
 func maxWindowSum(bins []Bin, width int, count func(Bin) int) float64 {
 	most, sum := 0, 0
 	for i, b := range bins {
@@ -75,7 +76,8 @@
 	return float64(most)
 }
 
-// times are quantiles of spans in seconds: the median, 99 of 100, and the last, with how many there were not.
+// durationStats collects durations, and yields their median, 99th percentile and maximum in seconds, and how many
+// events never happened.
 type durationStats struct {
 	histogram *hdrhistogram.Histogram
 	never     int
@@ -92,7 +94,7 @@
 		return
 	}
 	t.max = max(t.max, d)
-	t.histogram.RecordValue(max(d.Microseconds(), 1)) // bounded by the play's length
+	t.histogram.RecordValue(max(d.Microseconds(), 1)) // a run is shorter than the histogram's bound, so that this does not fail
 }
 
 func (t *durationStats) writeFigures(figures map[string]float64, name string) {
@@ -105,7 +107,7 @@
 	figures[name+"_last"] = t.max.Seconds()
 }
 
-// report closes the ledger.
+// report computes the report from what the ledger has recorded.
 func (l *ledger) report(marks []Mark) *Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -206,18 +208,18 @@
 	return a / b
 }
 
-// hold notes what the script expects and the figures don't show.
+// checkExpectations adds to Missed each expectation of the script that the figures do not meet.
 func (r *Report) checkExpectations(s *Script) {
 	check := func(bounds map[string]float64, upper bool) {
 		for _, name := range slices.Sorted(maps.Keys(bounds)) {
 			v, known := r.Figures[name]
 			switch {
 			case !known:
-				r.Missed = append(r.Missed, fmt.Sprintf("%s is expected, and there is no such figure", name))
+				r.Missed = append(r.Missed, fmt.Sprintf("%s is expected, but there is no such figure", name))
 			case upper && v > bounds[name]:
-				r.Missed = append(r.Missed, fmt.Sprintf("%s is %v, at most %v is expected", name, roundToThousandths(v), bounds[name]))
+				r.Missed = append(r.Missed, fmt.Sprintf("%s is %v, expected at most %v", name, roundToThousandths(v), bounds[name]))
 			case !upper && v < bounds[name]:
-				r.Missed = append(r.Missed, fmt.Sprintf("%s is %v, at least %v is expected", name, roundToThousandths(v), bounds[name]))
+				r.Missed = append(r.Missed, fmt.Sprintf("%s is %v, expected at least %v", name, roundToThousandths(v), bounds[name]))
 			}
 		}
 	}
@@ -227,10 +229,10 @@
 
 func roundToThousandths(v float64) float64 { return math.Round(v*1000) / 1000 }
 
-// Failed tells whether a rule is broken or an expectation missed.
+// Failed returns whether a rule was broken or an expectation was not met.
 func (r *Report) Failed() bool { return r.Figures["broken"] > 0 || len(r.Missed) > 0 }
 
-// Print writes the figures for people.
+// Print writes the figures, late calls, traces and failures as text.
 func (r *Report) Print(w io.Writer) error {
 	fmt.Fprintf(w, "%s: %d nodes, seed %d\n", r.Name, r.Nodes, r.Seed)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -249,7 +251,7 @@
 		return err
 	}
 	for _, x := range r.LateCalls {
-		fmt.Fprintf(w, "late: node %d made %d calls at %s after it was withdrawn\n", x.Node, x.Count, x.Endpoint)
+		fmt.Fprintf(w, "late: node %d made %d calls to %s after its withdrawal\n", x.Node, x.Count, x.Endpoint)
 	}
 	for _, x := range r.Traces {
 		fmt.Fprintf(w, "story: %s\n", x)
@@ -271,15 +273,15 @@
 body{font:15px/1.45 system-ui,sans-serif;margin:2em auto;max-width:1100px;padding:0 1em;color:#222}
 table{border-collapse:collapse;margin:1em 0;columns:3}td{padding:.15em .8em;text-align:right;border-bottom:1px solid #ddd}
 td:first-child{text-align:left}figure{margin:1em 0}figcaption{font-weight:600}.bad{color:#b00}</style></head><body>
-<h1>{{.Report.Name}}</h1><p>{{.Report.Nodes}} nodes, seed {{.Report.Seed}}. Each bar of grey is something done to the fleet.</p>
+<h1>{{.Report.Name}}</h1><p>{{.Report.Nodes}} nodes, seed {{.Report.Seed}}. Each dashed line is an action or fault.</p>
 {{range .Report.Broken}}<p class="bad">Rule broken: {{.}}</p>{{end}}{{range .Report.Missed}}<p class="bad">{{.}}</p>{{end}}
 {{range .Figures}}<figure><figcaption>{{.Title}}</figcaption>{{.SVG}}</figure>{{end}}
-<h2>What was done</h2><table>{{range .Report.Marks}}<tr><td>{{printf "%.1f s" .At.Seconds}}</td><td>{{.Text}}</td></tr>{{end}}</table>
+<h2>Actions and faults</h2><table>{{range .Report.Marks}}<tr><td>{{printf "%.1f s" .At.Seconds}}</td><td>{{.Text}}</td></tr>{{end}}</table>
 <h2>Figures</h2><table>{{range $k, $v := .Report.Figures}}<tr><td>{{$k}}</td><td>{{printf "%.3f" $v}}</td></tr>{{end}}</table>
 </body></html>
 `))
 
-// HTML writes one self-contained page: what happened over time with the faults marked, and the figures.
+// HTML writes one self-contained page: charts over time with the actions and faults marked, and the figures.
 func (r *Report) HTML(w io.Writer) error {
 	type figure struct {
 		Title string
@@ -293,10 +295,10 @@
 		title string
 		lines []string
 	}{
-		{"The list: asks, lists told, asks told to come later, in 100 ms", []string{"asks", "lists", "told"}},
-		{"Endpoints: connections, calls, calls refused, in 100 ms", []string{"conns", "calls", "calls_refused", "hung_up"}},
-		{"Messages: run, answered with -BUSY, in 100 ms", []string{"ran", "busy"}},
-		{"Datagrams between nodes, and those lost, in 100 ms", []string{"datagrams", "datagrams_lost"}},
+		{"List service: requests, lists served, requests deferred, per 100 ms", []string{"asks", "lists", "told"}},
+		{"Endpoints: connections, calls, refused calls, rejected connections, per 100 ms", []string{"conns", "calls", "calls_refused", "hung_up"}},
+		{"Messages: executed, answered with -BUSY, per 100 ms", []string{"ran", "busy"}},
+		{"Datagrams between nodes, and those lost, per 100 ms", []string{"datagrams", "datagrams_lost"}},
 	} {
 		svg, err := r.plotSeries(chart.lines)
 		if err != nil {
--- a/internal/lab/stage/script.go
+++ b/internal/lab/stage/script.go
@@ -16,79 +16,82 @@
 	"harrierramp/internal/units"
 )
 
-// Bounds of a play.
+// Limits of a script.
 const (
 	MaxNodes             = 300
 	MaxServers           = 7
 	MaxEndpoints         = 500
 	MaxLength            = 10 * time.Minute
-	maxMessagesPerSecond = 200 // messages a second at one node
+	maxMessagesPerSecond = 200 // at one node
 	maxBurstMessages     = 1000
 )
 
-// Script says what is played. The same script with the same seed means the same faults for the same parties.
+// Script describes one run: the fleet, its traffic, the faults and actions, and the expected figures. The same script
+// with the same seed applies the same faults to the same parties.
 type Script struct {
 	Name    string       `toml:"name"`
 	Seed    uint64       `toml:"seed"`
 	Nodes   int          `toml:"nodes"`
-	Servers int          `toml:"servers"` // of the list
-	Length  units.Millis `toml:"for"`     // of traffic; a play goes on until all is answered
+	Servers int          `toml:"servers"` // number of list servers
+	Length  units.Millis `toml:"for"`     // duration of traffic; the run goes on until every message has ended or timed out
 	Start   StartTimes   `toml:"start"`
 	Dests   []DestSpec   `toml:"destination"`
 	Traffic TrafficSpec  `toml:"traffic"`
 	Node    NodeSpec     `toml:"node"`
 	Faults  []FaultSpec  `toml:"fault"`
 	Actions []ActionSpec `toml:"act"`
-	// Expect holds figures of the report to bounds: at most Expect, at least ExpectLeast.
+	// Expect gives upper bounds, and ExpectLeast lower bounds, of figures in the report.
 	Expect      map[string]float64 `toml:"expect"`
 	ExpectLeast map[string]float64 `toml:"expect_least"`
 }
 
-// Start is when processes are started.
+// StartTimes says when processes are started, relative to the start of the run.
 type StartTimes struct {
-	Servers []units.Millis `toml:"servers"` // each; at once if left out
+	Servers []units.Millis `toml:"servers"` // one for each server; 0 if left out
 	Nodes   units.Millis   `toml:"nodes"`
-	Spread  units.Millis   `toml:"spread"` // over which the nodes are started, by chance
+	Spread  units.Millis   `toml:"spread"` // nodes are started at random times within this span after Nodes
 }
 
-// Dest is a destination.
+// DestSpec is a destination and its endpoints.
 type DestSpec struct {
 	Endpoints   int          `toml:"endpoints"`
-	Rate        float64      `toml:"rate"` // calls a second of each endpoint, 0 for any number
+	Rate        float64      `toml:"rate"` // calls a second that each endpoint accepts; 0 for no limit
 	Burst       float64      `toml:"burst"`
 	Latency     units.Millis `toml:"latency"`
 	Connections int          `toml:"connections"`
-	Cold        bool         `toml:"cold"` // they begin cold, and are after an outage, as the contract says
+	Cold        bool         `toml:"cold"` // endpoints have reduced capacity at first and after an outage, as the contract defines
 }
 
-// Traffic is what clients hand in at each node.
+// TrafficSpec is the traffic that clients submit to each node.
 type TrafficSpec struct {
-	Burst           int          `toml:"burst"`  // as soon as the node says PONG for the first time
-	Rate            float64      `toml:"rate"`   // messages a second
-	TTL             units.Millis `toml:"life"`   // of a message
-	AtMostOnceShare float64      `toml:"unsafe"` // share of messages that must not run twice
+	Burst           int          `toml:"burst"`  // messages submitted at once when the node first answers PING
+	Rate            float64      `toml:"rate"`   // messages a second, with exponential gaps
+	TTL             units.Millis `toml:"life"`   // time from submission to a message's deadline
+	AtMostOnceShare float64      `toml:"unsafe"` // share of messages of the at-most-once class
 }
 
-// NodeSpec is how nodes are configured.
+// NodeSpec is the configuration that all nodes share.
 type NodeSpec struct {
-	PeerDatagrams bool         `toml:"notes"`
-	Membership    bool         `toml:"membership"`
-	CacheList     bool         `toml:"keep"`
-	Admin         bool         `toml:"door"`
-	Audit         bool         `toml:"audit"` // nodes tell what they act on, and mark their calls with it
-	Fencing       bool         `toml:"shut_out"`
-	AuditLogKB    int          `toml:"record_kb"` // of the record of acts; with Audit
-	Slots         int          `toml:"slots"`
-	ListHeartbeat units.Millis `toml:"beat"` // that list servers are asked for
-	// Weights says whether the list tells what an endpoint takes, in calls a second: none, nominal or rough.
+	PeerDatagrams bool         `toml:"notes"`      // nodes send each other datagrams
+	Membership    bool         `toml:"membership"` // nodes run the membership protocol
+	CacheList     bool         `toml:"keep"`       // nodes keep the list on disk over a restart
+	Admin         bool         `toml:"door"`       // nodes serve their admin endpoint
+	Audit         bool         `toml:"audit"`      // nodes record the list revision that they act on, and send it with each call
+	Fencing       bool         `toml:"shut_out"`   // nodes exchange list revisions; one that can't get the newest list stops calling; needs Audit
+	AuditLogKB    int          `toml:"record_kb"`  // size of the audit log on disk; needs Audit
+	Slots         int          `toml:"slots"`      // calls that a node may have in progress
+	ListHeartbeat units.Millis `toml:"beat"`       // heartbeat interval that nodes request from list servers
+	// Weights says how the list states an endpoint's capacity in calls a second: none (not at all), nominal (exactly)
+	// or rough (approximately).
 	Weights string `toml:"weights"`
 }
 
-// FaultAt is a fault on the ways between two groups, for a time. Groups are as Group reads them.
+// FaultSpec is a fault on the paths between two groups of parties for a time. Script.Group defines how groups are
+// written.
 type FaultSpec struct {
 	At             units.Millis `toml:"at"`
-	Length         units.Millis `toml:"for"`   // 0 for the rest of the play
-	Every          units.Millis `toml:"every"` // it comes again so often, until the traffic ends; 0 for once
+	Length         units.Millis `toml:"for"`   // 0 for the rest of the run
+	Every          units.Millis `toml:"every"` // repetition interval until the traffic ends; 0 for once
 	From           string       `toml:"from"`
 	To             string       `toml:"to"`
 	BothWays       bool         `toml:"both"`
@@ -112,14 +115,24 @@
 	}
 }
 
-// Act is something that is done to processes. Of nodes and servers: pause (resumed after For), kill and end (started
-// again after For, if that is given), start, empty, damage (a File; both of one that is started again after For), fill
-// (the disk, for For). Of partners: withdraw and return from the list, shut (for For).
+// ActionSpec is an action on nodes, list servers or partners. The key "for" (Length) says how long it lasts.
+//
+// Nodes and list servers:
+//   - pause stops the process with SIGSTOP, and resumes it after Length.
+//   - kill and end send SIGKILL and SIGTERM. The process is started again after Length, if that is given.
+//   - start starts the process.
+//   - empty and damage kill the process and delete its state, or corrupt File in it. The process is started again after
+//     Length, if that is given.
+//   - fill makes writes fail as on a full disk, for Length.
+//
+// Partners:
+//   - withdraw and return deregister the partner at the list service, and register it again.
+//   - shut makes the partner refuse all calls, for Length.
 type ActionSpec struct {
 	At      units.Millis `toml:"at"`
 	Length  units.Millis `toml:"for"`
 	Every   units.Millis `toml:"every"`
-	Spread  units.Millis `toml:"spread"` // over which the parties are taken, by chance
+	Spread  units.Millis `toml:"spread"` // each target is acted on at a random time within this span after At
 	Targets string       `toml:"who"`
 	Type    string       `toml:"do"`
 	File    string       `toml:"file"`
@@ -131,7 +144,7 @@
 	"fill": {relay.Node, relay.Server}, "withdraw": {relay.Partner}, "return": {relay.Partner}, "shut": {relay.Partner},
 }
 
-// Load reads a script. Unknown keys are faults.
+// Load reads and checks a script. Unknown keys are errors.
 func Load(path string) (Script, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -151,7 +164,7 @@
 	return s, nil
 }
 
-// Check tells what is wrong with a script, and fills in what was left out.
+// Check fills in defaults, and returns an error if the script is invalid.
 func (s *Script) Check() error {
 	if s.Servers == 0 {
 		s.Servers = 1
@@ -173,29 +186,29 @@
 		d := &s.Dests[i]
 		d.Endpoints = max(d.Endpoints, 1)
 		if endpoints += d.Endpoints; d.Rate < 0 || d.Burst < 0 || d.Latency < 0 || d.Connections < 0 {
-			return fmt.Errorf("destination %d: nothing below 0", i)
+			return fmt.Errorf("destination %d: rate, burst, latency and connections must not be negative", i)
 		}
 		if d.Cold && d.Rate == 0 {
-			return fmt.Errorf("destination %d: one that begins cold needs a rate", i)
+			return fmt.Errorf("destination %d: cold needs a rate", i)
 		}
 	}
 	switch {
 	case s.Nodes < 1 || s.Nodes > MaxNodes:
-		return fmt.Errorf("%d nodes: from 1 to %d", s.Nodes, MaxNodes)
+		return fmt.Errorf("%d nodes: must be from 1 to %d", s.Nodes, MaxNodes)
 	case s.Servers < 1 || s.Servers > MaxServers || len(s.Start.Servers) > s.Servers:
-		return fmt.Errorf("%d list servers: from 1 to %d, and as many starts at most", s.Servers, MaxServers)
+		return fmt.Errorf("%d list servers: must be from 1 to %d, with no more start times than servers", s.Servers, MaxServers)
 	case endpoints < 1 || endpoints > MaxEndpoints:
-		return fmt.Errorf("%d endpoints: from 1 to %d", endpoints, MaxEndpoints)
+		return fmt.Errorf("%d endpoints: must be from 1 to %d", endpoints, MaxEndpoints)
 	case s.Length.Duration() < 0 || s.Length.Duration() > MaxLength || s.Traffic.TTL.Duration() <= 0 || s.Traffic.TTL.Duration() > MaxLength:
-		return fmt.Errorf("traffic for %v of messages that live %v: up to %v", s.Length.Duration(), s.Traffic.TTL.Duration(), MaxLength)
+		return fmt.Errorf("traffic for %v with a message life of %v: both are at most %v", s.Length.Duration(), s.Traffic.TTL.Duration(), MaxLength)
 	case !(s.Traffic.Rate >= 0 && s.Traffic.Rate <= maxMessagesPerSecond) || s.Traffic.Burst < 0 || s.Traffic.Burst > maxBurstMessages:
-		return fmt.Errorf("traffic of %v a second and %d at once: up to %d and %d at a node", s.Traffic.Rate, s.Traffic.Burst, maxMessagesPerSecond, maxBurstMessages)
+		return fmt.Errorf("traffic of %v messages a second and a burst of %d: at most %d and %d for each node", s.Traffic.Rate, s.Traffic.Burst, maxMessagesPerSecond, maxBurstMessages)
 	case !slices.Contains([]string{"none", "nominal", "rough"}, s.Node.Weights):
-		return fmt.Errorf("node.weights is %q: none, nominal or rough", s.Node.Weights)
+		return fmt.Errorf("node.weights is %q: must be none, nominal or rough", s.Node.Weights)
 	case s.Node.AuditLogKB < 0 || s.Node.AuditLogKB > 1024 || s.Node.AuditLogKB > 0 && !s.Node.Audit:
-		return fmt.Errorf("node.record_kb is %d: up to 1024, and with node.audit", s.Node.AuditLogKB)
+		return fmt.Errorf("node.record_kb is %d: must be from 0 to 1024, and needs node.audit", s.Node.AuditLogKB)
 	case !(s.Traffic.AtMostOnceShare >= 0 && s.Traffic.AtMostOnceShare <= 1):
-		return fmt.Errorf("traffic.unsafe is %v: a share from 0 to 1", s.Traffic.AtMostOnceShare)
+		return fmt.Errorf("traffic.unsafe is %v: must be a share from 0 to 1", s.Traffic.AtMostOnceShare)
 	}
 	rng := rand.New(rand.NewPCG(s.Seed, 0))
 	for i, f := range s.Faults {
@@ -209,11 +222,11 @@
 		kinds, known := actionTargetKinds[a.Type]
 		targets, err := s.Group(a.Targets, rng)
 		if err == nil && !known {
-			err = fmt.Errorf("%q is nothing that can be done", a.Type)
+			err = fmt.Errorf("unknown action %q", a.Type)
 		}
 		for _, p := range targets {
 			if err == nil && p.Kind != kinds[0] && p.Kind != kinds[len(kinds)-1] {
-				err = fmt.Errorf("%s can't be done to %s", a.Type, p)
+				err = fmt.Errorf("action %s does not apply to %s", a.Type, p)
 			}
 		}
 		if err := errors.Join(err, checkTimes(a.At, a.Length, a.Every, a.Spread)); err != nil {
@@ -226,14 +239,15 @@
 func checkTimes(durations ...units.Millis) error {
 	for _, t := range durations {
 		if t < 0 || t.Duration() > MaxLength {
-			return fmt.Errorf("a time of %v: from 0 to %v", t.Duration(), MaxLength)
+			return fmt.Errorf("a time of %v: must be from 0 to %v", t.Duration(), MaxLength)
 		}
 	}
 	return nil
 }
 
-// Group reads who is meant: "nodes", "nodes:3", "nodes:0-9,12", "nodes:30%" (drawn), and so for servers and partners;
-// several with spaces between them. Partners are numbered through all destinations.
+// Group parses a group of parties: "nodes" (all), "nodes:3", "nodes:0-9,12" or "nodes:30%" (chosen with rng), and
+// likewise for servers and partners. Several such words are separated by spaces. Partners are numbered across all
+// destinations.
 func (s *Script) Group(text string, rng *rand.Rand) ([]relay.Party, error) {
 	var out []relay.Party
 	for _, word := range strings.Fields(text) {
@@ -246,7 +260,7 @@
 		case "partners":
 			kind, total = relay.Partner, s.partnerCount()
 		default:
-			return nil, fmt.Errorf("%q: nodes, servers or partners", word)
+			return nil, fmt.Errorf("%q: must begin with nodes, servers or partners", word)
 		}
 		numbers, err := selectIndexes(selector, selected, total, rng)
 		if err != nil {
@@ -257,7 +271,7 @@
 		}
 	}
 	if len(out) == 0 {
-		return nil, fmt.Errorf("%q names nobody", text)
+		return nil, fmt.Errorf("%q selects no party", text)
 	}
 	return out, nil
 }
@@ -269,7 +283,7 @@
 	if text, ok := strings.CutSuffix(selector, "%"); ok {
 		share, err := strconv.ParseFloat(text, 64)
 		if err != nil || !(share > 0 && share <= 100) {
-			return nil, fmt.Errorf("%s%% is no share", text)
+			return nil, fmt.Errorf("%s%% is not a share: must be above 0 and at most 100", text)
 		}
 		return rng.Perm(total)[:max(1, int(share/100*float64(total)+0.5))], nil
 	}
@@ -281,7 +295,7 @@
 		a, errA := strconv.Atoi(from)
 		b, errB := strconv.Atoi(to)
 		if errA != nil || errB != nil || a < 0 || b < a || b >= total {
-			return nil, fmt.Errorf("%q: numbers from 0 to %d", part, total-1)
+			return nil, fmt.Errorf("%q: must be numbers from 0 to %d", part, total-1)
 		}
 		for n := a; n <= b; n++ {
 			out = append(out, n)
--- a/internal/lab/stage/settings.go
+++ b/internal/lab/stage/settings.go
@@ -12,7 +12,7 @@
 	"harrierramp/internal/wire"
 )
 
-// The classes of messages on a stage.
+// Indexes of the message classes that a stage uses.
 const (
 	classIdempotent = iota
 	classAtMostOnce
@@ -20,9 +20,9 @@
 
 var classNames = []string{"notice", "once"}
 
-const connIdle = 15 * time.Second // of partners
+const connIdle = 15 * time.Second // idle timeout of partners' connections
 
-// settings are the facts of the deployment, in the platform's words.
+// settings returns the deployment settings of one node, in the platform's configuration format.
 func (s *Script) settings(nodeNumber int) map[string]any {
 	life := float64(s.Traffic.TTL)
 	class := func(name, effect string) map[string]any {
@@ -44,7 +44,8 @@
 	}
 }
 
-// nodeConfig is a node's configuration in the platform's form: it knows the others by their faces only.
+// nodeConfig returns the configuration of node n in the platform's format. It contains only the faces of other parties,
+// so that all traffic passes the relays.
 func (st *Stage) nodeConfig(n int) ([]byte, error) {
 	self := relay.Party{Kind: relay.Node, Index: n}
 	var peers, servers []string
@@ -76,7 +77,7 @@
 	return json.Marshal(c)
 }
 
-// day is the script as the judge knows days.
+// judgeDay converts the script to the model.Day that the judge needs.
 func (s *Script) judgeDay() (model.Day, error) {
 	raw, err := json.Marshal(s.settings(0))
 	if err != nil {
@@ -86,7 +87,8 @@
 	if d.Settings, err = wire.Settings(raw); err != nil {
 		return d, err
 	}
-	// Whether two copies are out is the ledger's to judge: it sees calls where they come, not where they are made.
+	// The ledger checks for concurrent copies of a call itself, since it sees calls when they arrive at partners, not
+	// when nodes send them. The judge's check is disabled.
 	d.Settings.MayDuplicate = true
 	for i, spec := range s.Dests {
 		dest := model.DestSpec{Limit: spec.Rate}
@@ -100,7 +102,7 @@
 
 func endpointID(dest, n int) string { return fmt.Sprintf("p%d-%d", dest, n) }
 
-// serverArgs is the command line of a list server, which reaches the others by their faces.
+// serverArgs returns the arguments of list server n, which reaches the other servers by their faces.
 func (st *Stage) serverArgs(n int) []string {
 	self := relay.Party{Kind: relay.Server, Index: n}
 	args := []string{
--- a/internal/lab/stage/stage.go
+++ b/internal/lab/stage/stage.go
@@ -1,9 +1,10 @@
-// Package stage plays what many processes do together when some break, stall or lose contact: real list servers and
-// real nodes on loopback, stand-in partners, clients, and a relay on every way between them, with faults by a script or
-// by a test.
+// Package stage runs a whole fleet on one machine and tests it under faults. It starts real list servers and real nodes
+// on loopback, stand-in partners and clients, and puts a relay on every path between them. A script or a test says
+// which processes crash or pause and which paths fail. One run of a script is called a play.
 //
-// The stage judges from outside, by what clients, partners and relays have seen. It talks to 127.0.0.0/8 only, is
-// bounded in processes and time, and ends what it has started and nothing else, also when it is killed itself.
+// The stage judges the fleet from outside, by what clients, partners and relays observe. It connects only to
+// 127.0.0.0/8 and bounds the number of processes and the duration. It ends the processes that it started and no others,
+// even if the stage itself is killed.
 package stage
 
 import (
@@ -25,17 +26,18 @@
 	"harrierramp/internal/partner"
 )
 
-// Options are what a stage needs beside its script.
+// Options are the settings of a stage that are not part of its script.
 type Options struct {
-	Program    string    // harrierramp
-	Env        []string  // of its processes, beside this one's
-	Dir        string    // where folders and logs stand, and stay; empty for a folder that goes with the stage
-	Output     io.Writer // told what is done; nil for nobody
-	ServerArgs []string  // more arguments of list servers
-	NodeArgs   []string  // and of nodes
+	Program    string    // path of the harrierramp binary
+	Env        []string  // added to this process's environment for all processes of the stage
+	Dir        string    // holds state folders and logs, and is kept; if empty, a temporary folder is used and removed
+	Output     io.Writer // receives a line for each action and fault; may be nil
+	ServerArgs []string  // additional arguments of each list server
+	NodeArgs   []string  // additional arguments of each node
 }
 
-// Stage is a fleet that is set up. One goroutine opens and closes it; the rest may be called from many.
+// Stage is a fleet of processes on loopback, with relays between them. Open and Close are called from one goroutine;
+// the other methods may be called from many.
 type Stage struct {
 	script  Script
 	options Options
@@ -55,19 +57,20 @@
 	marks      []Mark
 	errs       []error
 	rng        *rand.Rand
-	noticeSeqs []int64 // of the notices read at each list server
+	noticeSeqs []int64 // sequence number of the last notice read from each list server
 }
 
-// listedPartner is a partner with its lease at the list service.
+// registeredPartner is a stand-in partner that renews its lease at the list service.
 type registeredPartner struct {
 	partner      *partner.Partner
 	instance     partner.Instance
 	client       *http.Client
-	deregister   context.CancelFunc // nil while it is not in the list
-	deregistered chan struct{}      // closed when it has left
+	deregister   context.CancelFunc // nil while the partner is not to be in the list
+	deregistered chan struct{}      // closed when the deregistration is finished
 }
 
-// Open sets a stage up: all addresses are held and all faces open, and nothing is started yet but partners.
+// Open sets up a stage: it reserves the addresses, opens the faces and starts the partners. A face is the address by
+// which other parties reach a party, through the relay. Nodes and list servers are not started yet.
 func Open(ctx context.Context, s Script, options Options) (st *Stage, err error) {
 	if err := s.Check(); err != nil {
 		return nil, fmt.Errorf("stage: %w", err)
@@ -98,7 +101,7 @@
 	return st, nil
 }
 
-// build opens the faces, and prepares the processes.
+// prepareFleet opens the faces, prepares the processes of nodes and list servers, and starts the partners.
 func (st *Stage) prepareFleet() error {
 	var parties []relay.Party
 	var faces, ownAddrs []string
@@ -158,7 +161,7 @@
 	}, nil
 }
 
-// openPartner starts a partner on its own address, and opens its face.
+// startPartner starts partner n of a destination on its own address, and opens its face.
 func (st *Stage) startPartner(dest, n int, spec DestSpec, executions *partner.Ledger) error {
 	p := relay.Party{Kind: relay.Partner, Index: len(st.partners)}
 	ownAddr := process.HostPort(st.addrs.OwnAddr(p), process.PartnerPort)
@@ -183,7 +186,7 @@
 	return st.net.ListenTCP(face, p, ownAddr)
 }
 
-// nodeOf is the number of the node that an address is of, -1 for none.
+// nodeAt returns the number of the node that an address belongs to, or -1 if it is not a node's address.
 func (st *Stage) nodeAt(hostPort string) int {
 	if a, err := net.ResolveTCPAddr("tcp4", hostPort); err == nil {
 		if p, ok := st.addrs.PartyAt(a.AddrPort().Addr().Unmap()); ok && p.Kind == relay.Node {
@@ -193,7 +196,7 @@
 	return -1
 }
 
-// List puts a partner into the list, or takes it out. It returns at once.
+// SetListed registers a partner at the list service, or deregisters it. It does not wait for the result.
 func (st *Stage) SetListed(n int, listed bool) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -225,7 +228,7 @@
 	})
 }
 
-// of is the process of a party; nil for partners, which are none.
+// process returns the process of a node or list server. It returns nil for partners, which run inside the stage.
 func (st *Stage) process(p relay.Party) *process.Process {
 	switch p.Kind {
 	case relay.Node:
@@ -236,7 +239,7 @@
 	return nil
 }
 
-// Impair puts a fault on the ways between two groups until the function that it returns is called.
+// AddFault applies a fault to the paths from one group to another until the returned function is called.
 func (st *Stage) AddFault(from, to []relay.Party, f relay.Fault) (remove func()) {
 	hasServer := func(group []relay.Party) bool {
 		return slices.ContainsFunc(group, func(p relay.Party) bool { return p.Kind == relay.Server })
@@ -256,7 +259,7 @@
 	return out
 }
 
-// Start starts a process, if it does not run.
+// Start starts a process unless it is running.
 func (st *Stage) Start(p relay.Party) error {
 	proc := st.process(p)
 	if p.Kind == relay.Node && !proc.Running() {
@@ -265,21 +268,22 @@
 	return proc.Start()
 }
 
-// Kill ends a process at once.
+// Kill sends SIGKILL to a process and waits until it has ended.
 func (st *Stage) Kill(p relay.Party) error {
 	err := st.process(p).Kill()
 	st.recordExit(p)
 	return err
 }
 
-// End tells a process to end, and waits until it has.
+// Stop asks a process to terminate, and waits until it has ended.
 func (st *Stage) Stop(p relay.Party) error {
 	err := st.process(p).Stop()
 	st.recordExit(p)
 	return err
 }
 
-// over notes that a process has ended. The face of a list server stays, so that asks which find nobody are counted.
+// recordExit records that a process has ended. The face of a list server stays open, so that requests sent while the
+// server is down are still counted.
 func (st *Stage) recordExit(p relay.Party) {
 	if p.Kind == relay.Node {
 		st.ledger.nodeDied(p.Index)
@@ -288,7 +292,7 @@
 	}
 }
 
-// Pause stops a process where it is, or lets it go on.
+// SetPaused pauses a process with SIGSTOP, or resumes it.
 func (st *Stage) SetPaused(p relay.Party, paused bool) error {
 	if paused && p.Kind == relay.Server {
 		st.ledger.allowLateNotices()
@@ -296,33 +300,33 @@
 	return st.process(p).SetPaused(paused)
 }
 
-// Fill makes the disk of a process full, or gives it room again.
+// SetDiskFull makes writes of a process fail as on a full disk, or lets them succeed again.
 func (st *Stage) SetDiskFull(p relay.Party, full bool) error { return st.process(p).SetDiskFull(full) }
 
-// Empty takes away what a process that does not run has kept.
+// ClearState deletes the state folder's contents of a process that is not running.
 func (st *Stage) ClearState(p relay.Party) error { return st.process(p).ClearState() }
 
-// Damage spoils a file of a process that does not run, by chance from the script's seed.
+// CorruptFile corrupts a state file of a process that is not running, at an offset drawn from the script's seed.
 func (st *Stage) CorruptFile(p relay.Party, file string) error {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return st.process(p).CorruptFile(file, st.rng)
 }
 
-// Shut makes a partner refuse every call, or take them again, cold.
+// SetRefusing makes a partner refuse every call, or accept calls again with cold capacity.
 func (st *Stage) SetRefusing(n int, refusing bool) { st.partners[n].partner.SetRefusing(refusing) }
 
-// Addr is where clients reach a node, and Door where operators do.
+// ClientAddr is the address where a node accepts clients.
 func (st *Stage) ClientAddr(n int) string {
 	return process.HostPort(st.addrs.OwnAddr(relay.Party{Kind: relay.Node, Index: n}), process.ClientPort)
 }
 
-// Door is the operators' door of a node, where the script gives it one.
+// AdminAddr is the address of a node's admin endpoint. It is served only if the script sets node.door.
 func (st *Stage) AdminAddr(n int) string {
 	return process.HostPort(st.addrs.OwnAddr(relay.Party{Kind: relay.Node, Index: n}), process.NodeAdminPort)
 }
 
-// mark notes something that is done.
+// recordMark records an action or fault at the current time, and prints it to Options.Output.
 func (st *Stage) recordMark(text string) {
 	m := Mark{st.ledger.now(), text}
 	st.mu.Lock()
@@ -342,7 +346,7 @@
 	st.errs = append(st.errs, err)
 }
 
-// Close ends everything that was started, and returns what went wrong with it.
+// Close ends everything that the stage started, and returns the errors of actions and of closing.
 func (st *Stage) Close() error {
 	st.cancel()
 	st.wg.Wait()
--- a/internal/lab/stage/stage_test.go
+++ b/internal/lab/stage/stage_test.go
@@ -20,7 +20,7 @@
 
 const childEnv = "TEST_CHILD_OF_THE_STAGE"
 
-// TestMain is a node or a list server when the stage starts this binary as one.
+// TestMain runs as a node or a list server when the stage starts the test binary as one.
 func TestMain(m *testing.M) {
 	if _, faulty := os.LookupEnv(faultEnv); faulty && len(os.Args) > 3 && os.Args[1] == "serve" {
 		os.Exit(faultyNode(os.Args[1:]))
@@ -31,7 +31,7 @@
 	os.Exit(m.Run())
 }
 
-// script reads a script from text.
+// loadScript loads a script from text.
 func loadScript(t *testing.T, text string) Script {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "script.toml")
@@ -45,8 +45,8 @@
 	return s
 }
 
-// playing opens a stage. done plays it to its end and fails the test for whatever the script does not expect; run may
-// begin that before.
+// openStage opens a stage. run starts the script in the background. done runs it to its end, starts it if run was not
+// called, and fails the test for broken rules and expectations that are not met.
 func openStage(t *testing.T, s Script) (st *Stage, run func(), done func() *Report) {
 	t.Helper()
 	t.Setenv(childEnv, "1")
@@ -78,7 +78,7 @@
 	}
 }
 
-// play plays a script and fails the test for whatever the script does not expect.
+// playScript runs a script, and fails the test for broken rules and expectations that are not met.
 func playScript(t *testing.T, text string) *Report {
 	t.Helper()
 	t.Setenv(childEnv, "1")
@@ -109,7 +109,8 @@
 latency = "10ms"
 `
 
-// The list service comes seconds after its fleet: nobody is failed for want of a list, and all have it soon after.
+// The list server starts two seconds after the nodes. No message fails for lack of a list, and all nodes have the list
+// soon after.
 func TestFleetWaitsForLateListServer(t *testing.T) {
 	playScript(t, `
 name = "late"
@@ -133,8 +134,9 @@
 `+smallFleet)
 }
 
-// Power is lost in the middle of a start, a node is paused, another's way to the list is cut: every message taken on has
-// one end, and none runs twice beyond its class.
+// During the start half of the nodes are killed, one node is paused and others are cut off from a list server, which is
+// killed as well. Every accepted message still gets exactly one outcome, and no message is executed more often than its
+// class allows.
 func TestDisruptedStartKeepsDeliveryRules(t *testing.T) {
 	playScript(t, `
 name = "broken"
@@ -185,7 +187,7 @@
 `+smallFleet)
 }
 
-// An endpoint that is withdrawn gets no calls after the grace from nodes whose ways are whole.
+// Nodes whose connections work stop calling a withdrawn endpoint within the drain timeout.
 func TestWithdrawnEndpointsGetNoCalls(t *testing.T) {
 	r := playScript(t, `
 name = "withdrawn"
@@ -215,7 +217,7 @@
 	}
 }
 
-// A full disk is met as an error of the write, and not as the end of the process.
+// A full disk makes writes fail, and does not end the process.
 func TestFullDiskDoesNotEndProcesses(t *testing.T) {
 	playScript(t, `
 name = "full"
@@ -240,8 +242,8 @@
 `+smallFleet)
 }
 
-// The list service knows who acts on what: a node that is cut off from it is behind a change that the others have, and
-// current again when it is healed; each call says on which list it rests.
+// The list servers' rollout status shows which list each node acts on: a node that is cut off is behind after a change,
+// and is current again after the fault. Each call carries the list revision that it is based on.
 func TestRolloutStatusShowsNodeCutOffFromList(t *testing.T) {
 	s := loadScript(t, `
 name = "versions"
@@ -282,19 +284,19 @@
 				return
 			}
 			if time.Now().After(end) {
-				t.Fatalf("never: %s: %+v", what, v)
+				t.Fatalf("timed out waiting until %s: %+v", what, v)
 			}
 		}
 	}
-	eventually("all are current", func(current, behind int, _ []rollout.NodeStatus) bool { return current == 6 && behind == 0 })
-	eventually("the one that is cut off is behind alone", func(current, behind int, rows []rollout.NodeStatus) bool {
+	eventually("all nodes are current", func(current, behind int, _ []rollout.NodeStatus) bool { return current == 6 && behind == 0 })
+	eventually("only the node that is cut off is behind", func(current, behind int, rows []rollout.NodeStatus) bool {
 		return current == 5 && behind == 1 && rows[0].Name == "node-2"
 	})
-	eventually("it is brought up", func(current, behind int, _ []rollout.NodeStatus) bool { return current == 6 && behind == 0 })
+	eventually("the node is current again", func(current, behind int, _ []rollout.NodeStatus) bool { return current == 6 && behind == 0 })
 	done()
 }
 
-// A node that was paused notices, looks before it acts, and goes on.
+// A node that was paused for 2 s detects the gap, checks its list before it acts on it, and continues to deliver.
 func TestPausedNodeDetectsGap(t *testing.T) {
 	s := loadScript(t, `
 name = "paused"
@@ -324,7 +326,7 @@
 	}
 }
 
-// A stage that is opened holds its addresses; closed, it leaves no process behind, and a second one stands beside it.
+// Two stages can be open at the same time, on separate addresses. A closed stage leaves no process behind.
 func TestTwoStagesRunSideBySide(t *testing.T) {
 	t.Setenv(childEnv, "1")
 	s := loadScript(t, "nodes = 2\nfor = \"1s\"\n"+smallFleet+"\n")
@@ -345,7 +347,7 @@
 		}
 		x := st.process(p)
 		pids = append(pids, x.PID())
-		// Its list server is not there: the node says so, and takes no messages.
+		// The list server is not started. The node reports that, and accepts no messages.
 		var reason string
 		for end := time.Now().Add(20 * time.Second); reason == "" && time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 			if resp, err := http.Get("http://" + st.AdminAddr(1) + "/ops/readiness"); err == nil {
@@ -366,12 +368,12 @@
 	}
 	for _, pid := range pids {
 		if err := syscall.Kill(pid, 0); err == nil {
-			t.Errorf("process %d is still there", pid)
+			t.Errorf("process %d still exists", pid)
 		}
 	}
 }
 
-// The same seed means the same parties.
+// The same seed selects the same parties, and another seed selects others.
 func TestGroupSelectionIsSeeded(t *testing.T) {
 	s := Script{Nodes: 100, Servers: 1, Dests: []DestSpec{{Endpoints: 10}}}
 	draw := func(seed uint64) string {
@@ -392,19 +394,19 @@
 		"nodes = 301":                          "301 nodes",
 		"nodes = 2\nservers = 9":               "9 list servers",
 		"nodes = 2\nfor = \"1h\"":              "traffic for",
-		"nodes = 2\n[traffic]\nrate = 1e9":     "up to 200",
+		"nodes = 2\n[traffic]\nrate = 1e9":     "at most 200",
 		"nodes = 2\n[traffic]\nunsafe = 2":     "traffic.unsafe",
 		"nodes = 2\nknots = 3":                 "knots",
 		"nodes = 2\n[node]\nweights = \"odd\"": "weights",
-		"nodes = 2\n[[fault]]\nfrom = \"nodes:2\"\nto = \"servers\"":                "numbers from 0 to 1",
-		"nodes = 2\n[[fault]]\nfrom = \"nodes\"\nto = \"\"":                         "names nobody",
+		"nodes = 2\n[[fault]]\nfrom = \"nodes:2\"\nto = \"servers\"":                "must be numbers from 0 to 1",
+		"nodes = 2\n[[fault]]\nfrom = \"nodes\"\nto = \"\"":                         "selects no party",
 		"nodes = 2\n[[fault]]\nfrom = \"nodes\"\nto = \"servers\"\nlose = 1.5":      "share from 0 to 1",
-		"nodes = 2\n[[fault]]\nfrom = \"nodes:200%\"\nto = \"servers\"":             "no share",
-		"nodes = 2\n[[act]]\nwho = \"nodes\"\ndo = \"dance\"":                       "nothing that can be done",
-		"nodes = 2\n[[act]]\nwho = \"partners\"\ndo = \"kill\"":                     "can't be done to partner-0",
+		"nodes = 2\n[[fault]]\nfrom = \"nodes:200%\"\nto = \"servers\"":             "is not a share",
+		"nodes = 2\n[[act]]\nwho = \"nodes\"\ndo = \"dance\"":                       "unknown action",
+		"nodes = 2\n[[act]]\nwho = \"partners\"\ndo = \"kill\"":                     "does not apply to partner-0",
 		"nodes = 2\n[[act]]\nwho = \"nodes\"\ndo = \"kill\"\nat = \"-1s\"":          "from 0 to",
-		"nodes = 2\n[[destination]]\ncold = true":                                   "needs a rate",
-		"nodes = 2\n[[destination]]\nendpoints = 501\n[[destination]]\nrate = -1.0": "nothing below 0",
+		"nodes = 2\n[[destination]]\ncold = true":                                   "cold needs a rate",
+		"nodes = 2\n[[destination]]\nendpoints = 501\n[[destination]]\nrate = -1.0": "must not be negative",
 	} {
 		path := filepath.Join(t.TempDir(), "script.toml")
 		dest := "\n[[destination]]\nrate = 1\n"
@@ -426,7 +428,7 @@
 			t.Fatal(err)
 		}
 		if s, err := Load(path); err == nil && (s.Nodes < 1 || s.Nodes > MaxNodes || s.partnerCount() > MaxEndpoints || s.Length.Duration() > MaxLength) {
-			t.Errorf("%+v is taken", s)
+			t.Errorf("invalid script accepted: %+v", s)
 		}
 	})
 }
--- a/internal/lab/sysfault/injector.go
+++ b/internal/lab/sysfault/injector.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// control makes one request of the listener. A signal may interrupt it; an answer that was not sent would hold the thread
-// that waits for it for good.
+// control makes one request of the listener. A signal may interrupt it; an answer that was not sent would hold the
+// thread that waits for it for good.
 func (in *Injector) ioctl(request uint, argument unsafe.Pointer) bool {
 	for {
 		_, _, errno := unix.Syscall(unix.SYS_IOCTL, uintptr(in.listener), uintptr(request), uintptr(argument))
@@ -97,7 +97,8 @@
 // Interrupted is how many requests of the listener were interrupted by a signal, and made again.
 func (in *Injector) Interrupted() int64 { return in.interrupted.Load() }
 
-// answer decides on a call and carries out what the kernel can't: a transfer of fewer bytes, and the end of the process.
+// answer decides on a call and carries out what the kernel can't: a transfer of fewer bytes, and the end of the
+// process.
 func (in *Injector) respond(n *notification) response {
 	r := response{id: n.id, flags: unix.SECCOMP_USER_NOTIF_FLAG_CONTINUE}
 	c := in.decodeCall(n)
--- a/internal/lab/sysfault/sysfault.go
+++ b/internal/lab/sysfault/sysfault.go
@@ -1,7 +1,7 @@
-// Package sysfault makes chosen system calls of one process fail, transfer fewer bytes than asked for, or tear what they
-// write. The process installs a seccomp filter on itself before it runs its program, and hands the filter's listener to
-// whoever started it: each filtered call waits until an Injector has said what becomes of it. It needs no special rights
-// and touches no other process.
+// Package sysfault makes chosen system calls of one process fail, transfer fewer bytes than asked for, or tear what
+// they write. The process installs a seccomp filter on itself before it runs its program, and hands the filter's
+// listener to whoever started it: each filtered call waits until an Injector has said what becomes of it. It needs no
+// special rights and touches no other process.
 package sysfault
 
 import (
@@ -29,8 +29,8 @@
 // Requested tells whether this process was started by an Injector and has to call Exec.
 func ExecRequired() bool { return os.Getenv(socketEnv) != "" }
 
-// Exec filters this process's system calls, hands the listener to the Injector, and runs program in this process's place.
-// It returns only if that fails.
+// Exec filters this process's system calls, hands the listener to the Injector, and runs program in this process's
+// place. It returns only if that fails.
 func Exec(program string, args []string) error {
 	socket, err := strconv.Atoi(os.Getenv(socketEnv))
 	if err != nil {
@@ -74,8 +74,8 @@
 	return int(fd), nil
 }
 
-// Start starts a command whose program calls Exec, and has decide say what becomes of each filtered call. decide runs on
-// one goroutine. The Injector ends with the process.
+// Start starts a command whose program calls Exec, and has decide say what becomes of each filtered call. decide runs
+// on one goroutine. The Injector ends with the process.
 func Start(cmd *exec.Cmd, decide func(Call) Verdict) (*Injector, error) {
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_SEQPACKET|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
