--- a/internal/lab/process/process.go
+++ b/internal/lab/process/process.go
@@ -182,7 +182,8 @@
 	return err
 }
 
-// Stop sends SIGTERM, and SIGKILL if the process has not ended within 6 s. It kills a paused process at once.
+// Stop sends SIGTERM, and SIGKILL if the process has not ended within terminateTimeout. It kills a paused process at
+// once.
 func (p *Process) Stop() error {
 	p.mu.Lock()
 	paused := p.paused
--- a/internal/lab/relay/relay_test.go
+++ b/internal/lab/relay/relay_test.go
@@ -24,7 +24,8 @@
 	serverParty = Party{Server, 0}
 )
 
-// bench is a Net between a near party at 127.0.0.2 and a far one that echoes lines at 127.0.0.3.
+// fixture is a Network between a client party at 127.0.0.2 and a server party at 127.0.0.3 that echoes what it
+// receives.
 type fixture struct {
 	t    *testing.T
 	net  *Network
@@ -32,7 +33,7 @@
 
 	mu     sync.Mutex
 	events map[EventType]int
-	peerIP string // of the last connection, as the far party sees it
+	peerIP string // source of the last connection, as the server sees it
 }
 
 func newFixture(t *testing.T, seed uint64) *fixture {
@@ -86,7 +87,7 @@
 	return ln.Addr().String()
 }
 
-// dial connects as the near party.
+// dial connects as the client party.
 func (b *fixture) dial() *net.TCPConn {
 	b.t.Helper()
 	nc, err := b.tryDial()
@@ -106,7 +107,7 @@
 	return nc.(*net.TCPConn), nil
 }
 
-// say sends a line and waits so long for it to come back.
+// echo sends a line and waits for it to come back, at most for wait.
 func echo(nc net.Conn, line string, wait time.Duration) (string, error) {
 	if _, err := io.WriteString(nc, line+"\n"); err != nil {
 		return "", err
@@ -130,16 +131,16 @@
 	if got, err := echo(nc, "hello", testTimeout); got != "hello\n" || err != nil {
 		t.Fatalf("%q, %v", got, err)
 	}
-	// What has passed is told after it was written, so that the other side may have it first.
-	testkit.Eventually(t, "what passes is told, both ways, and who it is", func() bool {
+	// The relay reports data after it has written it, so that the client may receive the echo before the event.
+	testkit.Eventually(t, "events of both directions and the source address are recorded", func() bool {
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		return b.peerIP == "127.0.0.2" && b.events[ConnOpened] == 1 && b.events[DataForwarded] == 2
 	})
 }
 
-// A cut says nothing and loses nothing: connections stay open, and what was sent arrives once it is healed; one way may
-// be cut by itself.
+// A cut path loses nothing and reports no error: connections stay open, and data sent meanwhile arrives when the cut
+// ends. Each direction can be cut by itself.
 func TestCutHoldsDataUntilHealed(t *testing.T) {
 	for name, ways := range map[string][2]PartySet{"there": {{clientParty: true}, {serverParty: true}}, "back": {{serverParty: true}, {clientParty: true}}} {
 		t.Run(name, func(t *testing.T) {
@@ -150,18 +151,19 @@
 			}
 			r := b.net.AddFault(ways[0], ways[1], Fault{Cut: true})
 			if got, err := echo(nc, "in it", 100*time.Millisecond); err == nil {
-				t.Fatalf("%q comes through", got)
+				t.Fatalf("received %q through a cut path", got)
 			}
 			b.net.RemoveFault(r)
 			nc.SetReadDeadline(time.Now().Add(testTimeout))
 			if got, err := bufio.NewReader(nc).ReadString('\n'); got != "in it\n" {
-				t.Errorf("%q after it, %v", got, err)
+				t.Errorf("after the cut: %q, %v", got, err)
 			}
 		})
 	}
 }
 
-// A machine that was away knows nothing of what was sent to it meanwhile; one whose process is gone refuses.
+// After ResetOnHeal a connection with held data is reset. A party that is down refuses connections until it is up
+// again.
 func TestMachineLossResetsConnections(t *testing.T) {
 	b := newFixture(t, 1)
 	nc := b.dial()
@@ -170,33 +172,33 @@
 	}
 	remove := addFaultBothWays(b, Fault{ResetOnHeal: true})
 	if got, err := echo(nc, "in it", 100*time.Millisecond); err == nil {
-		t.Fatalf("%q comes through", got)
+		t.Fatalf("received %q through a blocked path", got)
 	}
 	remove()
 	nc.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := nc.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("after it: %v", err)
+		t.Errorf("after the fault: %v, want a reset", err)
 	}
 	if err := b.net.SetDown(serverParty, true); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := net.Dial("tcp4", b.face); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("while it is down: %v", err)
+		t.Errorf("while the party is down: %v, want a refused connection", err)
 	}
 	if err := b.net.SetDown(serverParty, false); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := echo(b.dial(), "x", testTimeout); err != nil {
-		t.Errorf("when it is up again: %v", err)
+		t.Errorf("after the party is up again: %v", err)
 	}
 }
 
-// Who gives a connection up while it is cut is never connected.
+// A connection that its client closes during a cut is not opened to the target when the cut ends.
 func TestConnAbandonedDuringCutIsNeverOpened(t *testing.T) {
 	b := newFixture(t, 1)
 	remove := addFaultBothWays(b, Fault{Cut: true})
 	b.dial().Close()
-	time.Sleep(150 * time.Millisecond) // longer than the relay takes to look
+	time.Sleep(150 * time.Millisecond) // longer than the relay's polling interval
 	remove()
 	if got, err := echo(b.dial(), "x", testTimeout); err != nil {
 		t.Fatalf("%q, %v", got, err)
@@ -212,7 +214,7 @@
 	for name, c := range map[string]struct {
 		fault       Fault
 		text        string
-		least, most time.Duration // until the answer
+		least, most time.Duration // time until the echo
 		fails       error
 	}{
 		"delay":      {Fault{Delay: 100 * time.Millisecond}, "x", 200 * time.Millisecond, testTimeout, nil},
@@ -233,7 +235,7 @@
 				wait = 150 * time.Millisecond
 			}
 			got := ""
-			nc, err := b.tryDial() // a reset may be there before the dial is over
+			nc, err := b.tryDial() // the reset may arrive before the dial returns
 			if err == nil {
 				got, err = echo(nc, c.text, wait)
 			}
@@ -254,7 +256,7 @@
 	}
 }
 
-// Datagrams carry the face of who sent them, and are lost, doubled or late as the fault says.
+// Datagrams arrive from the sender's face, and are lost, duplicated or delayed by the fault.
 func TestDatagramFaults(t *testing.T) {
 	parties := []Party{{Node, 0}, {Node, 1}}
 	ownAddrs, faces := []string{"127.0.0.2:0", "127.0.0.3:0"}, []string{freeAddr(t), freeAddr(t)}
@@ -292,7 +294,7 @@
 				return got
 			}
 			if got++; from.String() != faces[0] {
-				t.Fatalf("a datagram from %s, and not from %s", from, faces[0])
+				t.Fatalf("a datagram from %s, want %s", from, faces[0])
 			}
 		}
 	}
@@ -304,7 +306,7 @@
 		"twice": {Fault{DuplicateShare: 1}, 160, 160}, "late": {Fault{Delay: 20 * time.Millisecond, ReorderShare: 0.5}, 80, 80},
 	} {
 		if got := count(c.f, 80); got < c.least || got > c.most {
-			t.Errorf("%s: %d of 80 come", name, got)
+			t.Errorf("%s: received %d datagrams of 80 sent", name, got)
 		}
 	}
 }
@@ -314,12 +316,12 @@
 	t.Cleanup(n.Close)
 	for _, addr := range []string{"10.0.0.1:80", "[::1]:80", "0.0.0.0:80", "example:80", ""} {
 		if n.ListenTCP("127.0.0.1:0", serverParty, addr) == nil || n.ListenTCP(addr, serverParty, "127.0.0.1:1") == nil {
-			t.Errorf("%q is taken", addr)
+			t.Errorf("address %q was accepted", addr)
 		}
 	}
 }
 
-// Faults together are at least as bad as each, in any order.
+// The combination of two faults is at least as severe as each of them, and does not depend on the order.
 func TestCombinedFaultIsAtLeastAsSevere(t *testing.T) {
 	fault := rapid.Custom(func(t *rapid.T) Fault {
 		share, span := rapid.Float64Range(0, 1), rapid.Int64Range(0, int64(time.Second))
@@ -333,10 +335,10 @@
 		a, b := fault.Draw(t, "a"), fault.Draw(t, "b")
 		c := a.combine(b)
 		if c != b.combine(a) || c.Check() != nil {
-			t.Fatalf("%+v, and the other way round %+v", c, b.combine(a))
+			t.Fatalf("combined %+v, in the other order %+v", c, b.combine(a))
 		}
 		if (a.Cut && !c.Cut) || c.LossShare < a.LossShare || c.Delay < a.Delay || (a.BytesPerSecond > 0 && (c.BytesPerSecond == 0 || c.BytesPerSecond > a.BytesPerSecond)) {
-			t.Fatalf("%+v is less than %+v", c, a)
+			t.Fatalf("combined %+v is less severe than %+v", c, a)
 		}
 	})
 }
--- a/internal/lab/relay/tcp.go
+++ b/internal/lab/relay/tcp.go
@@ -12,11 +12,11 @@
 
 const (
 	chunkBytes        = 16 << 10
-	maxBufferedChunks = 64 // read and not yet passed on, on one way of a connection
+	maxBufferedChunks = 64 // chunks read but not yet written, for each direction of a connection
 	dialTimeout       = 2 * time.Second
 )
 
-// face is where a party is reached. It is bound while the party is up.
+// face is the address by which other parties reach a party. It listens while the party is up.
 type face struct {
 	addr     *net.TCPAddr
 	party    Party
@@ -24,8 +24,8 @@
 	listener *net.TCPListener // nil while the party is down
 }
 
-// TCP opens a face: who connects there reaches the party at the target, by the faults of the ways between them. The
-// face is bound before TCP returns, and held until Close, or while Down.
+// ListenTCP opens the face of a party: connections to addr are forwarded to target, with the faults of the paths
+// between the two parties. The face listens when ListenTCP returns, until Close or SetDown.
 func (n *Network) ListenTCP(addr string, to Party, target string) error {
 	if _, err := parseLoopback(target); err != nil {
 		return err
@@ -47,7 +47,8 @@
 	return nil
 }
 
-// Down has a party's face refuse connections, as the machine of a process that is gone does, or take them again.
+// SetDown closes a party's face, so that connections are refused as by a machine whose process has ended, or opens it
+// again.
 func (n *Network) SetDown(p Party, down bool) error {
 	n.mu.Lock()
 	f := n.faces[p]
@@ -71,7 +72,7 @@
 	}
 }
 
-// open binds a face, if it is not, and accepts there.
+// openFace listens at a face, unless it does already, and accepts connections.
 func (n *Network) openFace(f *face) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -89,7 +90,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			if err != nil { // out of descriptors, most likely
+			if err != nil { // most likely out of file descriptors
 				time.Sleep(10 * time.Millisecond)
 				continue
 			}
@@ -99,17 +100,19 @@
 	return nil
 }
 
-// link is one connection through a relay.
+// proxiedConn is a connection through a relay. It has two halves: downstream to the connecting party, upstream to the
+// target.
 type proxiedConn struct {
 	downstream *net.TCPConn
-	done       chan struct{} // closed when it is over
+	done       chan struct{} // closed by close
 
 	mu       sync.Mutex
-	upstream *net.TCPConn // nil until the other party is reached
+	upstream *net.TCPConn // nil until the target is connected
 	closed   bool
 }
 
-// reached takes the other half, and tells whether the link is still wanted.
+// setUpstream sets the connection to the target. If the proxied connection is closed already, it closes upstream and
+// returns false.
 func (l *proxiedConn) setUpstream(upstream *net.TCPConn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -121,7 +124,7 @@
 	return true
 }
 
-// end ends both halves; with a reset the other sides read that.
+// close closes both halves. With reset both peers get a connection reset.
 func (l *proxiedConn) close(reset bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -141,6 +144,7 @@
 	}
 }
 
+// proxy forwards one accepted connection to the target until it ends.
 func (n *Network) proxy(downstream *net.TCPConn, to Party, target string) {
 	source := downstream.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap()
 	from, known := n.partyAt(source)
@@ -154,14 +158,14 @@
 	}
 	stop := make(chan struct{})
 	defer close(stop)
-	n.wg.Go(func() { // a closed Net ends its connections
+	n.wg.Go(func() { // Network.Close ends its connections
 		select {
 		case <-stop:
 		case <-n.done:
 			l.close(true)
 		}
 	})
-	if !n.awaitReachable(l, from, to) { // the first packet does not arrive
+	if !n.awaitReachable(l, from, to) { // a fault blocks the path: the SYN does not arrive
 		return
 	}
 	d := net.Dialer{Timeout: dialTimeout, LocalAddr: &net.TCPAddr{IP: net.IP(source.AsSlice())}}
@@ -188,7 +192,8 @@
 	directions.Wait()
 }
 
-// reach waits while the way to the other party is cut, and tells whether the connection is still wanted.
+// awaitReachable waits while a fault blocks the path to the target. It returns false if the connection has ended
+// meanwhile.
 func (n *Network) awaitReachable(l *proxiedConn, from, to Party) bool {
 	for vanished := false; ; {
 		f, changed := n.currentFault(from, to)
@@ -204,8 +209,9 @@
 	}
 }
 
-// gone waits until the faults change or the link is over, and tells the latter. A connection that nobody reads from is
-// looked at now and then: who has given it up is not to be connected later.
+// awaitChange waits until the faults change or the connection ends, and returns true in the latter case. Nothing reads
+// from the connection at this time, so it polls whether the peer has closed it: an abandoned connection must not be
+// opened to the target later.
 func awaitChange(nc *net.TCPConn, done, changed <-chan struct{}) bool {
 	poll := time.NewTicker(50 * time.Millisecond)
 	defer poll.Stop()
@@ -223,7 +229,7 @@
 	}
 }
 
-// hungUp tells whether the other side has closed a connection, without taking anything from it.
+// peerClosed returns whether the peer has closed a connection. It peeks, and consumes no data.
 func peerClosed(nc *net.TCPConn) bool {
 	raw, err := nc.SyscallConn()
 	if err != nil {
@@ -238,14 +244,14 @@
 	return err != nil || peekErr == nil && n == 0 || errors.Is(peekErr, syscall.ECONNRESET)
 }
 
-// chunk is what was read at once, to be passed on when it is due; without text, the end of what there is.
+// chunk is the data of one read, to be written when it is due. A chunk without data is the end of the stream.
 type chunk struct {
 	data  []byte
 	due   time.Time
 	reset bool
 }
 
-// way passes on what comes from one half to the other, until it ends.
+// forward copies data from one half to the other until the stream or the connection ends.
 func (n *Network) forward(l *proxiedConn, src, dst *net.TCPConn, from, to Party) {
 	buffered := make(chan chunk, maxBufferedChunks)
 	var reader sync.WaitGroup
@@ -285,7 +291,7 @@
 	}
 }
 
-// pass writes one chunk when it is due and the way is not cut. It tells whether the connection goes on.
+// writeChunk writes a chunk when it is due and no fault blocks the path. It returns whether the connection goes on.
 func (n *Network) writeChunk(l *proxiedConn, dst *net.TCPConn, c chunk, from, to Party, passed *int) bool {
 	if !sleep(l, time.Until(c.due)) {
 		return false
@@ -309,7 +315,7 @@
 				return false
 			}
 		}
-		if f.BytesPerSecond > 0 { // in pieces of a tenth of a second or so
+		if f.BytesPerSecond > 0 { // in pieces of about a tenth of a second
 			room = min(room, max(f.BytesPerSecond/10, 1))
 			if !sleep(l, time.Duration(room)*time.Second/time.Duration(f.BytesPerSecond)) {
 				return false
@@ -325,7 +331,7 @@
 	if len(c.data) > 0 && !c.reset {
 		return true
 	}
-	// An end is held like anything else.
+	// Faults hold the end of the stream in the same way as data.
 	for {
 		f, changed := n.currentFault(from, to)
 		if !f.blocks() && (f.StallAfter == 0 || *passed < f.StallAfter) {
@@ -344,7 +350,7 @@
 	return dst.CloseWrite() == nil
 }
 
-// rest waits, and tells whether the link is still there.
+// sleep waits, and returns false if the connection ends meanwhile.
 func sleep(l *proxiedConn, d time.Duration) bool {
 	if d <= 0 {
 		return true
--- a/internal/lab/relay/udp.go
+++ b/internal/lab/relay/udp.go
@@ -10,11 +10,11 @@
 
 const (
 	maxDatagramBytes    = 2048
-	maxDelayedDatagrams = 1 << 14 // datagrams on their way at once; more are lost
+	maxDelayedDatagrams = 1 << 14 // datagrams that wait at once; more are dropped
 )
 
-// UDP opens a face for each party: what arrives at the face of one goes on to its own address, from the face of who
-// sent it. So each is known to the others by its face, and no process hears of another's own address.
+// ListenUDP opens a face for each party. A datagram that arrives at a party's face is forwarded to the party's own
+// address, from the face of its sender. So parties know each other only by their faces.
 func (n *Network) ListenUDP(parties []Party, faces, targets []string) error {
 	if len(faces) != len(parties) || len(targets) != len(parties) {
 		return fmt.Errorf("relay: %d parties with %d faces and %d addresses", len(parties), len(faces), len(targets))
@@ -47,7 +47,7 @@
 				if errors.Is(err, net.ErrClosed) {
 					return
 				}
-				if err != nil { // the answer to one that found nobody
+				if err != nil { // an ICMP error for an earlier datagram: its target was not listening
 					continue
 				}
 				from, known := n.partyAt(source.Addr().Unmap())
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// datagram passes one on, or not.
+// forwardDatagram forwards a datagram, or drops, duplicates or delays it by the faults of the path.
 func (n *Network) forwardDatagram(face *net.UDPConn, target netip.AddrPort, from, to Party, data []byte) {
 	f, _ := n.currentFault(from, to)
 	if f.blocks() || n.happens(f.LossShare) {
--- a/internal/lab/sysfault/injector.go
+++ b/internal/lab/sysfault/injector.go
@@ -39,7 +39,7 @@
 	flags uint32
 }
 
-// Injector answers the notifications of one process's filter.
+// Injector responds to the notifications of one process's filter.
 type Injector struct {
 	listener, pidfd, pid int
 	decide               func(Call) Verdict
@@ -48,7 +48,7 @@
 	interrupted          atomic.Int64
 }
 
-// Slowest is the longest time that the Injector has taken to answer one call.
+// MaxResponseTime is the longest time that the Injector has taken to respond to a call.
 func (in *Injector) MaxResponseTime() time.Duration { return time.Duration(in.maxResponseNS.Load()) }
 
 // Done is closed when the process has ended.
@@ -78,12 +78,12 @@
 		if took := int64(time.Since(began)); took > in.maxResponseNS.Load() {
 			in.maxResponseNS.Store(took)
 		}
-		in.ioctl(unix.SECCOMP_IOCTL_NOTIF_SEND, unsafe.Pointer(&r)) // else the thread was killed meanwhile
+		in.ioctl(unix.SECCOMP_IOCTL_NOTIF_SEND, unsafe.Pointer(&r)) // fails only if the thread was killed meanwhile
 	}
 }
 
-// control makes one request of the listener. A signal may interrupt it; an answer that was not sent would hold the
-// thread that waits for it for good.
+// ioctl makes a request on the listener, and repeats it if a signal interrupts it: a response that is not sent would
+// block the waiting thread forever.
 func (in *Injector) ioctl(request uint, argument unsafe.Pointer) bool {
 	for {
 		_, _, errno := unix.Syscall(unix.SYS_IOCTL, uintptr(in.listener), uintptr(request), uintptr(argument))
@@ -94,10 +94,10 @@
 	}
 }
 
-// Interrupted is how many requests of the listener were interrupted by a signal, and made again.
+// Interrupted is the number of requests on the listener that a signal interrupted and that were repeated.
 func (in *Injector) Interrupted() int64 { return in.interrupted.Load() }
 
-// answer decides on a call and carries out what the kernel can't: a transfer of fewer bytes, and the end of the
+// respond gets the verdict on a call and carries out what the kernel cannot: a shorter transfer, and the end of the
 // process.
 func (in *Injector) respond(n *notification) response {
 	r := response{id: n.id, flags: unix.SECCOMP_USER_NOTIF_FLAG_CONTINUE}
@@ -109,7 +109,7 @@
 		}
 	}
 	if v.Kill {
-		unix.PidfdSendSignal(in.pidfd, unix.SIGKILL, nil, 0) // an error means that it has ended
+		unix.PidfdSendSignal(in.pidfd, unix.SIGKILL, nil, 0) // fails only if the process has ended
 		r.flags, r.errno = 0, -int32(unix.EIO)
 	}
 	if v.Errno != 0 {
@@ -118,6 +118,7 @@
 	return r
 }
 
+// decodeCall describes the call of a notification.
 func (in *Injector) decodeCall(n *notification) Call {
 	c := Call{Number: int(n.data.number)}
 	args := n.data.args
@@ -132,7 +133,7 @@
 	case unix.SYS_FTRUNCATE, unix.SYS_FSYNC, unix.SYS_FDATASYNC:
 		path, err := os.Readlink(fmt.Sprintf("/proc/%d/fd/%d", in.pid, int32(args[0])))
 		if err != nil {
-			break // closed meanwhile
+			break // the descriptor was closed meanwhile
 		}
 		if c.Socket = strings.HasPrefix(path, "socket:"); !c.Socket {
 			c.Path = path
@@ -141,12 +142,12 @@
 	return c
 }
 
-// text reads a path from the process's memory.
+// readPath reads a path from the process's memory. It returns "" if the memory cannot be read.
 func (in *Injector) readPath(address uintptr) string {
 	b := make([]byte, maxPathBytes)
 	n, err := unix.ProcessVMReadv(in.pid, iovec(b), []unix.RemoteIovec{{Base: address, Len: len(b)}}, 0)
 	if err != nil {
-		// The page behind the path may not be there.
+		// The page after the path's may not be mapped: read only to the end of this page.
 		rest := os.Getpagesize() - int(address)%os.Getpagesize()
 		n, err = unix.ProcessVMReadv(in.pid, iovec(b), []unix.RemoteIovec{{Base: address, Len: min(rest, len(b))}}, 0)
 	}
@@ -163,7 +164,7 @@
 	return v
 }
 
-// transfer reads or writes at most so many bytes in the process's place; ok is false where that can't be done.
+// transfer executes a read or write of at most maxBytes for the process. ok is false if that is not possible.
 func (in *Injector) transfer(n *notification, maxBytes int) (moved int, errno syscall.Errno, ok bool) {
 	args := n.data.args
 	fd, err := unix.PidfdGetfd(in.pidfd, int(int32(args[0])), 0)
@@ -203,7 +204,7 @@
 	return moved, 0, true
 }
 
-// write puts bytes into the process's memory.
+// writeMemory writes bytes to the process's memory.
 func (in *Injector) writeMemory(b []byte, address uintptr) bool {
 	local, remote := iovec(b), unix.RemoteIovec{Base: address, Len: len(b)}
 	n, _, errno := unix.Syscall6(unix.SYS_PROCESS_VM_WRITEV, uintptr(in.pid), uintptr(unsafe.Pointer(&local[0])), 1,
--- a/internal/lab/sysfault/sysfault.go
+++ b/internal/lab/sysfault/sysfault.go
@@ -1,7 +1,7 @@
-// Package sysfault makes chosen system calls of one process fail, transfer fewer bytes than asked for, or tear what
-// they write. The process installs a seccomp filter on itself before it runs its program, and hands the filter's
-// listener to whoever started it: each filtered call waits until an Injector has said what becomes of it. It needs no
-// special rights and touches no other process.
+// Package sysfault injects faults into system calls of one process: chosen calls fail, transfer fewer bytes than
+// requested, or leave torn writes. The process installs a seccomp filter on itself before it executes its program, and
+// passes the filter's notification descriptor (the listener) to its parent. Each filtered call then waits for the
+// decision of the parent's Injector. This needs no privileges and affects no other process.
 package sysfault
 
 import (
@@ -17,20 +17,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// socketEnv names the descriptor by which a process hands over its listener.
+// socketEnv is the environment variable with the number of the socket over which a process sends its listener.
 const socketEnv = "SYSFAULT_SOCKET"
 
-// filtered are the system calls that an Injector decides on; all others go on undisturbed.
+// filteredCalls are the system calls that an Injector decides on. All others are allowed.
 var filteredCalls = []uint32{
 	unix.SYS_READ, unix.SYS_WRITE, unix.SYS_PREAD64, unix.SYS_PWRITE64, unix.SYS_ACCEPT4, unix.SYS_SOCKET, unix.SYS_CONNECT,
 	unix.SYS_OPENAT, unix.SYS_FTRUNCATE, unix.SYS_RENAMEAT, unix.SYS_UNLINKAT, unix.SYS_FSYNC, unix.SYS_FDATASYNC,
 }
 
-// Requested tells whether this process was started by an Injector and has to call Exec.
+// ExecRequired returns whether this process was started by Start and has to call Exec.
 func ExecRequired() bool { return os.Getenv(socketEnv) != "" }
 
-// Exec filters this process's system calls, hands the listener to the Injector, and runs program in this process's
-// place. It returns only if that fails.
+// Exec installs the filter, sends the listener to the Injector, and replaces this process with program. It returns only
+// if that fails.
 func Exec(program string, args []string) error {
 	socket, err := strconv.Atoi(os.Getenv(socketEnv))
 	if err != nil {
@@ -40,23 +40,23 @@
 		return fmt.Errorf("sysfault: %w", err)
 	}
 	unix.CloseOnExec(socket)
-	runtime.LockOSThread() // the filter is this thread's, and so is the program that takes its place
+	runtime.LockOSThread() // the filter applies to this thread, which must also be the one that calls exec
 	listener, err := installFilter()
 	if err != nil {
 		return err
 	}
 	if err := unix.Sendmsg(socket, []byte{0}, unix.UnixRights(listener), nil, 0); err != nil {
-		return fmt.Errorf("sysfault: the listener was not handed over: %w", err)
+		return fmt.Errorf("sysfault: sending the listener: %w", err)
 	}
 	return fmt.Errorf("sysfault: exec: %w", unix.Exec(program, args, os.Environ()))
 }
 
-// filter has the filtered calls of this thread wait for whoever holds the listener that it returns.
+// installFilter makes the filtered calls of this thread wait for a response on the listener that it returns.
 func installFilter() (listener int, err error) {
 	if err := unix.Prctl(unix.PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0); err != nil {
 		return 0, fmt.Errorf("sysfault: %w", err)
 	}
-	program := []unix.SockFilter{{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS}} // the call's number, at offset 0
+	program := []unix.SockFilter{{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS}} // loads the call's number, at offset 0 of seccomp_data
 	for i, number := range filteredCalls {
 		program = append(program, unix.SockFilter{
 			Code: unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K, Jt: uint8(len(filteredCalls) - i), K: number,
@@ -74,8 +74,8 @@
 	return int(fd), nil
 }
 
-// Start starts a command whose program calls Exec, and has decide say what becomes of each filtered call. decide runs
-// on one goroutine. The Injector ends with the process.
+// Start starts a command whose program calls Exec. decide is called on one goroutine and returns the verdict for each
+// filtered call. The Injector ends with the process.
 func Start(cmd *exec.Cmd, decide func(Call) Verdict) (*Injector, error) {
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_SEQPACKET|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -112,26 +112,26 @@
 	}
 	messages, err := unix.ParseSocketControlMessage(control[:n])
 	if err != nil || len(messages) != 1 {
-		return 0, errors.Join(errors.New("sysfault: the process has not handed over its listener"), err)
+		return 0, errors.Join(errors.New("sysfault: the process did not send its listener"), err)
 	}
 	fds, err := unix.ParseUnixRights(&messages[0])
 	if err != nil || len(fds) != 1 {
-		return 0, errors.Join(errors.New("sysfault: not one listener"), err)
+		return 0, errors.Join(errors.New("sysfault: the process did not send exactly one listener"), err)
 	}
 	return fds[0], nil
 }
 
-// Call is a system call that is about to be made.
+// Call is a system call that waits for a verdict.
 type Call struct {
-	Number int    // unix.SYS_READ and so on
-	Path   string // of the file that it names, reads or writes; empty for a socket
-	Socket bool   // it reads or writes a socket
-	Size   int    // bytes that it asks to read or write
+	Number int    // for example unix.SYS_READ
+	Path   string // path of the file that the call names, reads or writes; empty for a socket
+	Socket bool   // the call reads or writes a socket
+	Size   int    // number of bytes requested to be read or written
 }
 
-// Verdict is what becomes of a call. The zero value lets it go on.
+// Verdict is the decision on a call. The zero value lets the call proceed.
 type Verdict struct {
-	Errno    syscall.Errno // it fails so, after Most bytes have been transferred if that is not 0; 0 for no failure
-	MaxBytes int           // it transfers no more bytes than this; 0 for any number. Only of reads and writes
-	Kill     bool          // the process is killed, after Most bytes have been transferred if that is not 0
+	Errno    syscall.Errno // the call fails with it, after MaxBytes have been transferred if that is not 0; 0 for no failure
+	MaxBytes int           // for reads and writes, the maximum number of bytes transferred; 0 for no limit
+	Kill     bool          // the process is killed, after MaxBytes have been transferred if that is not 0
 }
--- a/internal/lab/sysfault/sysfault_test.go
+++ b/internal/lab/sysfault/sysfault_test.go
@@ -15,7 +15,7 @@
 
 const childEnv = "SYSFAULT_TEST_FILE"
 
-// TestMain is, as a child, a program that writes a file and reads it back.
+// TestMain runs, in a child process, a program that writes a file and reads it back.
 func TestMain(m *testing.M) {
 	path := os.Getenv(childEnv)
 	switch {
@@ -85,10 +85,10 @@
 	} {
 		os.Remove(path)
 		if got := runChild(t, path, c.decide); got != c.says {
-			t.Errorf("%s: the program says %q, want %q", c.name, got, c.says)
+			t.Errorf("%s: the program printed %q, want %q", c.name, got, c.says)
 		}
 		if text, _ := os.ReadFile(path); string(text) != c.file {
-			t.Errorf("%s: the file holds %q, want %q", c.name, text, c.file)
+			t.Errorf("%s: the file contains %q, want %q", c.name, text, c.file)
 		}
 	}
 	if interrupted == 0 {
