--- a/internal/lab/process/process.go
+++ b/internal/lab/process/process.go
@@ -88,7 +88,8 @@
 		return fmt.Errorf("%s: %w", p.Name, err)
 	}
 	cmd := exec.Command(p.Program, p.Args...)
-	cmd.Env = append(os.Environ(), "ROUTER_CONFIG=", "ROUTER_STATE=", "ROUTER_CONSOLE=", "GOMAXPROCS=2") // by its own limits a node would use more threads than a machine with hundreds of nodes has
+	// GOMAXPROCS: by its own limits a node would use more CPUs than there are for one of hundreds on this machine.
+	cmd.Env = append(os.Environ(), "ROUTER_CONFIG=", "ROUTER_STATE=", "ROUTER_CONSOLE=", "GOMAXPROCS=2")
 	cmd.Env = append(cmd.Env, p.Env...)
 	// The wrapper hides the file from os/exec, which then uses a pipe: the file size limit of SetDiskFull does not
 	// apply to the process's output.
--- a/internal/lab/relay/tcp.go
+++ b/internal/lab/relay/tcp.go
@@ -195,13 +195,13 @@
 // awaitReachable waits while a fault blocks the path to the target. It returns false if the connection has ended
 // meanwhile.
 func (n *Network) awaitReachable(l *proxiedConn, from, to Party) bool {
-	for vanished := false; ; {
+	for resetOnHeal := false; ; {
 		f, changed := n.currentFault(from, to)
-		if vanished = vanished || f.ResetOnHeal; !f.blocks() {
-			if vanished {
+		if resetOnHeal = resetOnHeal || f.ResetOnHeal; !f.blocks() {
+			if resetOnHeal {
 				l.close(true)
 			}
-			return !vanished
+			return !resetOnHeal
 		}
 		if awaitChange(l.downstream, l.done, changed) {
 			return false
@@ -258,17 +258,17 @@
 	defer reader.Wait()
 	reader.Go(func() {
 		defer close(buffered)
-		var last time.Time
+		var lastDue time.Time
 		for {
 			b := make([]byte, chunkBytes)
-			k, err := src.Read(b)
+			size, err := src.Read(b)
 			f, _ := n.currentFault(from, to)
 			due := time.Now().Add(f.Delay + n.randomDuration(f.Jitter))
-			if due.Before(last) {
-				due = last
+			if due.Before(lastDue) {
+				due = lastDue
 			}
-			last = due
-			c := chunk{data: b[:k], due: due}
+			lastDue = due
+			c := chunk{data: b[:size], due: due}
 			if err != nil {
 				c.reset = !errors.Is(err, io.EOF)
 			}
@@ -296,18 +296,18 @@
 	if !sleep(l, time.Until(c.due)) {
 		return false
 	}
-	vanished := false
+	resetOnHeal := false
 	for data := c.data; len(data) > 0; {
 		f, changed := n.currentFault(from, to)
-		if vanished && !f.blocks() {
+		if resetOnHeal && !f.blocks() {
 			return false
 		}
-		room := len(data)
+		limit := len(data)
 		if f.StallAfter > 0 {
-			room = min(room, f.StallAfter-*passed)
+			limit = min(limit, f.StallAfter-*passed)
 		}
-		if f.blocks() || room <= 0 {
-			vanished = vanished || f.ResetOnHeal
+		if f.blocks() || limit <= 0 {
+			resetOnHeal = resetOnHeal || f.ResetOnHeal
 			select {
 			case <-changed:
 				continue
@@ -316,17 +316,17 @@
 			}
 		}
 		if f.BytesPerSecond > 0 { // in pieces of about a tenth of a second
-			room = min(room, max(f.BytesPerSecond/10, 1))
-			if !sleep(l, time.Duration(room)*time.Second/time.Duration(f.BytesPerSecond)) {
+			limit = min(limit, max(f.BytesPerSecond/10, 1))
+			if !sleep(l, time.Duration(limit)*time.Second/time.Duration(f.BytesPerSecond)) {
 				return false
 			}
 		}
-		if _, err := dst.Write(data[:room]); err != nil {
+		if _, err := dst.Write(data[:limit]); err != nil {
 			return false
 		}
-		n.onEvent(Event{Type: DataForwarded, From: from, To: to, Bytes: room, Data: data[:room]})
-		*passed += room
-		data = data[room:]
+		n.onEvent(Event{Type: DataForwarded, From: from, To: to, Bytes: limit, Data: data[:limit]})
+		*passed += limit
+		data = data[limit:]
 	}
 	if len(c.data) > 0 && !c.reset {
 		return true
@@ -337,14 +337,14 @@
 		if !f.blocks() && (f.StallAfter == 0 || *passed < f.StallAfter) {
 			break
 		}
-		vanished = vanished || f.ResetOnHeal
+		resetOnHeal = resetOnHeal || f.ResetOnHeal
 		select {
 		case <-changed:
 		case <-l.done:
 			return false
 		}
 	}
-	if c.reset || vanished {
+	if c.reset || resetOnHeal {
 		return false
 	}
 	return dst.CloseWrite() == nil
--- a/internal/lab/relay/udp.go
+++ b/internal/lab/relay/udp.go
@@ -43,7 +43,7 @@
 		n.wg.Go(func() {
 			b := make([]byte, maxDatagramBytes)
 			for {
-				k, source, err := conns[to].ReadFromUDPAddrPort(b)
+				size, source, err := conns[to].ReadFromUDPAddrPort(b)
 				if errors.Is(err, net.ErrClosed) {
 					return
 				}
@@ -54,7 +54,7 @@
 				if !known || conns[from] == nil || source.Port() != ownAddrs[from].Port() {
 					continue
 				}
-				n.forwardDatagram(conns[from], ownAddrs[to], from, to, b[:k])
+				n.forwardDatagram(conns[from], ownAddrs[to], from, to, b[:size])
 			}
 		})
 	}
@@ -91,13 +91,13 @@
 			n.onEvent(Event{Type: DatagramLost, From: from, To: to, Bytes: len(data)})
 			continue
 		}
-		kept := append([]byte(nil), data...)
+		copied := append([]byte(nil), data...)
 		time.AfterFunc(delay, func() {
 			n.mu.Lock()
 			n.delayedDatagrams--
 			n.mu.Unlock()
 			if f, _ := n.currentFault(from, to); !f.blocks() {
-				n.sendDatagram(face, target, from, to, kept)
+				n.sendDatagram(face, target, from, to, copied)
 			}
 		})
 	}
--- a/internal/lab/stage/audit_test.go
+++ b/internal/lab/stage/audit_test.go
@@ -116,8 +116,8 @@
 	st, _, done := openStage(t, s)
 	done()
 	for n := range s.Nodes {
-		if outs := fetchFigure("http://"+st.AdminAddr(n)+"/ops/stats", "router.shut_outs:"); (outs > 0) != (n < 2) {
-			t.Errorf("node %d was fenced %d times", n, outs)
+		if fenced := fetchFigure("http://"+st.AdminAddr(n)+"/ops/stats", "router.shut_outs:"); (fenced > 0) != (n < 2) {
+			t.Errorf("node %d was fenced %d times", n, fenced)
 		}
 	}
 }
@@ -148,22 +148,22 @@
 	server := process.HostPort(st.addrs.OwnAddr(serverParty), process.ListPort)
 	fleet := func(want int, args ...string) string {
 		t.Helper()
-		var out, errs bytes.Buffer
-		if code := cli.Main(append([]string{"fleet"}, append(args, "--servers", server)...), &out, &errs); code != want {
-			t.Errorf("%v: status %d: %s%s", args, code, out.String(), errs.String())
+		var fenced, errs bytes.Buffer
+		if code := cli.Main(append([]string{"fleet"}, append(args, "--servers", server)...), &fenced, &errs); code != want {
+			t.Errorf("%v: status %d: %s%s", args, code, fenced.String(), errs.String())
 		}
-		return out.String()
+		return fenced.String()
 	}
 	awaitFenced := func(want int) {
 		t.Helper()
 		testkit.Eventually(t, fmt.Sprint(want, " nodes are fenced"), func() bool {
-			out := 0
+			fenced := 0
 			for _, r := range st.RolloutStatus().Nodes {
 				if r.Fenced {
-					out++
+					fenced++
 				}
 			}
-			return out == want && len(st.RolloutStatus().Nodes) == s.Nodes
+			return fenced == want && len(st.RolloutStatus().Nodes) == s.Nodes
 		})
 	}
 	awaitFenced(0)
--- a/internal/lab/stage/ledger.go
+++ b/internal/lab/stage/ledger.go
@@ -31,15 +31,15 @@
 	ListRequestsDeferred int `json:"told"`      // requests answered with a time to come again (503)
 	ListBytes            int `json:"listBytes"` // bytes from list servers to nodes
 	Conns                int `json:"conns"`     // connections opened at endpoints
-	ConnsRejected        int `json:"hungUp"`
+	ConnsRejected        int `json:"hungUp"`    // connections that endpoints closed at once, at their limit
 	Calls                int `json:"calls"`
-	CallsRefused         int `json:"refused"` // calls refused by endpoints
-	CallsExecuted        int `json:"ran"`
-	Datagrams            int `json:"datagrams"`
-	DatagramsLost        int `json:"lost"` // datagrams that were dropped
-	Submitted            int `json:"handedIn"`
-	Busy                 int `json:"busy"`
-	Failed               int `json:"failed"`
+	CallsRefused         int `json:"refused"`   // calls refused by endpoints
+	CallsExecuted        int `json:"ran"`       // calls that endpoints executed
+	Datagrams            int `json:"datagrams"` // datagrams forwarded between nodes
+	DatagramsLost        int `json:"lost"`      // datagrams that were dropped
+	Submitted            int `json:"handedIn"`  // messages submitted for the first time
+	Busy                 int `json:"busy"`      // submissions answered with -BUSY
+	Failed               int `json:"failed"`    // submissions answered with an error
 }
 
 // message is one message of a client, with all its submissions. A client submits it again under a new id after -BUSY,
@@ -96,7 +96,7 @@
 	nodes            []nodeStats
 	endpoints        []endpointStats
 	endpointIndex    map[string]int // index into endpoints by endpoint id
-	violations       []string       // rules that the ledger itself checks; the first 20 violations
+	violations       []string       // the first 20 violations of the rules that the ledger itself checks
 	violationCount   int
 	unexpectedEvents int
 	crashes          int
@@ -130,9 +130,9 @@
 	lateCallsByBasis map[decisionBasis]int
 }
 
-func newLedger(s *Script, day model.Day, began time.Time) *ledger {
+func newLedger(s *Script, day model.Day, startTime time.Time) *ledger {
 	l := &ledger{script: s, day: day, bySubmissionID: map[string]*message{}, endpointIndex: map[string]int{}, nodes: make([]nodeStats, s.Nodes)}
-	l.startTime.Store(&began)
+	l.startTime.Store(&startTime)
 	l.judge = judge.New(&l.day)
 	for i := range l.nodes {
 		l.nodes[i] = nodeStats{started: -1, ready: -1, listed: -1, called: -1, delivered: -1}
@@ -227,12 +227,12 @@
 	at := l.now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	x := &l.nodes[n]
-	if x.startCount == 0 {
-		x.started = at
+	stats := &l.nodes[n]
+	if stats.startCount == 0 {
+		stats.started = at
 	}
-	l.observe(model.Event{At: at, Kind: model.NodeStarted, Node: n, Attempt: x.startCount})
-	x.startCount++
+	l.observe(model.Event{At: at, Kind: model.NodeStarted, Node: n, Attempt: stats.startCount})
+	stats.startCount++
 }
 
 func (l *ledger) nodeDied(n int) {
@@ -255,8 +255,8 @@
 	at := l.now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if x := &l.nodes[n]; x.ready < 0 {
-		x.ready = at - x.started
+	if stats := &l.nodes[n]; stats.ready < 0 {
+		stats.ready = at - stats.started
 	}
 }
 
@@ -357,21 +357,21 @@
 
 // partnerEvent records an event of a partner that concerns a node; node is -1 if it is unknown.
 // (partner.Config.OnEvent)
-func (l *ledger) partnerEvent(node int, s partner.Event) {
+func (l *ledger) partnerEvent(node int, ev partner.Event) {
 	at := l.now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	b, i, known := l.bin(at), 0, false
-	if i, known = l.endpointIndex[s.Endpoint]; !known {
+	if i, known = l.endpointIndex[ev.Endpoint]; !known {
 		l.unexpectedEvents++
 		return
 	}
 	e, n := &l.endpoints[i], l.node(node)
-	if n == nil && s.Type != partner.Overloaded {
+	if n == nil && ev.Type != partner.Overloaded {
 		l.unexpectedEvents++
 		return
 	}
-	switch s.Type {
+	switch ev.Type {
 	case partner.ConnectionOpened:
 		b.Conns++
 		e.conns++
@@ -393,8 +393,8 @@
 	case partner.CallReceived:
 		b.Calls++
 		e.calls++
-		e.maxLoad = max(e.maxLoad, s.Load)
-		basis, marked := parseDecisionBasis(node, s.Header.Get(egress.DecisionBasisHeader))
+		e.maxLoad = max(e.maxLoad, ev.Load)
+		basis, marked := parseDecisionBasis(node, ev.Header.Get(egress.DecisionBasisHeader))
 		if l.script.Node.Audit && !marked {
 			l.unmarkedCalls++
 		}
@@ -407,17 +407,17 @@
 			e.lateCallsByBasis[basis]++
 			e.lastLateCall = at - e.withdrawnAt
 		}
-		l.callReceived(node, e, s, at)
+		l.callReceived(node, e, ev, at)
 	case partner.CallRefused:
 		b.CallsRefused++
 		e.callsRefused++
-		l.callEnded(node, e, s, at, choice.Rejected)
+		l.callEnded(node, e, ev, at, choice.Rejected)
 	case partner.CallExecuted:
 		b.CallsExecuted++
 		if n.delivered < 0 {
 			n.delivered = at - n.started
 		}
-		l.callEnded(node, e, s, at, choice.Success)
+		l.callEnded(node, e, ev, at, choice.Success)
 	}
 }
 
@@ -450,9 +450,9 @@
 	if m.submissionID != s.MessageID {
 		return // an earlier submission, whose end its client has been told
 	}
-	for _, o := range m.calls {
-		if !o.ended && at-o.startedAt > copySlack {
-			l.recordViolation("copies", "%s received a call for %s while the call at %s is in progress since %v", e.id, s.MessageID, o.endpoint, at-o.startedAt)
+	for _, other := range m.calls {
+		if !other.ended && at-other.startedAt > copySlack {
+			l.recordViolation("copies", "%s received a call for %s while the call at %s is in progress since %v", e.id, s.MessageID, other.endpoint, at-other.startedAt)
 		}
 	}
 	c := &call{endpoint: e.id, peerAddr: s.PeerAddr, startedAt: at, attempt: len(m.calls)}
--- a/internal/lab/stage/play.go
+++ b/internal/lab/stage/play.go
@@ -64,17 +64,17 @@
 		}
 	}
 	for i, p := range st.servers {
-		cost, err := p.Usage()
+		usage, err := p.Usage()
 		if err != nil {
 			continue // it is not running
 		}
 		name := fmt.Sprintf("server%d_", i)
-		r.Figures[name+"cpu_s"], r.Figures[name+"mb"] = cost.CPU.Seconds(), float64(cost.PeakMemory)/(1<<20)
+		r.Figures[name+"cpu_s"], r.Figures[name+"mb"] = usage.CPU.Seconds(), float64(usage.PeakMemory)/(1<<20)
 	}
 	for _, p := range st.nodes { // only the processes that run now
-		if cost, err := p.Usage(); err == nil {
-			r.Figures["nodes_cpu_s"] += cost.CPU.Seconds()
-			r.Figures["node_most_mb"] = max(r.Figures["node_most_mb"], float64(cost.PeakMemory)/(1<<20))
+		if usage, err := p.Usage(); err == nil {
+			r.Figures["nodes_cpu_s"] += usage.CPU.Seconds()
+			r.Figures["node_most_mb"] = max(r.Figures["node_most_mb"], float64(usage.PeakMemory)/(1<<20))
 		}
 	}
 	if st.script.Node.AuditLogKB > 0 {
@@ -90,7 +90,7 @@
 	for i := range st.servers {
 		addr := process.HostPort(st.addrs.OwnAddr(relay.Party{Kind: relay.Server, Index: i}), process.ListPort)
 		var v rollout.Snapshot
-		if text, err := httpGet("http://" + addr + "/registry/nodes"); err == nil && json.Unmarshal(text, &v) == nil {
+		if body, err := httpGet("http://" + addr + "/registry/nodes"); err == nil && json.Unmarshal(body, &v) == nil {
 			views = append(views, v)
 		}
 	}
@@ -142,8 +142,8 @@
 
 // fetchFigure reads one figure from an admin endpoint's statistics. It returns -1 if the figure is not available.
 func fetchFigure(url, name string) int64 {
-	text, err := httpGet(url)
-	_, after, found := strings.Cut(string(text), name)
+	body, err := httpGet(url)
+	_, after, found := strings.Cut(string(body), name)
 	if err != nil || !found {
 		return -1
 	}
--- a/internal/lab/stage/report.go
+++ b/internal/lab/stage/report.go
@@ -53,7 +53,7 @@
 	Endpoint    string `json:"endpoint"`
 	Node        int    `json:"node"`
 	Incarnation uint32 `json:"life,omitempty"`     // of the node's process; 0 if calls carry no decision basis
-	Revision    int64  `json:"revision,omitempty"` // of the list that the calls are based on; 0 if calls carry no decision basis
+	Revision    int64  `json:"revision,omitempty"` // of the list that the calls are based on; 0 as above
 	Count       int    `json:"count"`
 }
 
@@ -66,14 +66,14 @@
 
 // maxWindowSum returns the highest sum of a count over width consecutive bins.
 func maxWindowSum(bins []Bin, width int, count func(Bin) int) float64 {
-	most, sum := 0, 0
+	highest, sum := 0, 0
 	for i, b := range bins {
 		if sum += count(b); i >= width {
 			sum -= count(bins[i-width])
 		}
-		most = max(most, sum)
+		highest = max(highest, sum)
 	}
-	return float64(most)
+	return float64(highest)
 }
 
 // durationStats collects durations, and yields their median, 99th percentile and maximum in seconds, and how many
@@ -94,7 +94,7 @@
 		return
 	}
 	t.max = max(t.max, d)
-	t.histogram.RecordValue(max(d.Microseconds(), 1)) // a run is shorter than the histogram's bound, so that this does not fail
+	t.histogram.RecordValue(max(d.Microseconds(), 1)) // does not fail: a run is shorter than the histogram's bound
 }
 
 func (t *durationStats) writeFigures(figures map[string]float64, name string) {
@@ -114,7 +114,7 @@
 	r := &Report{Name: l.script.Name, Seed: l.script.Seed, Nodes: l.script.Nodes, Figures: map[string]float64{}, Marks: marks, Bins: l.bins}
 	f := r.Figures
 	outcomes, delays, executedAt := map[string]int{}, newDurationStats(), []time.Duration{}
-	repeats, tries := 0, 0
+	repeats, submissions := 0, 0
 	for _, m := range l.messages {
 		outcome := m.outcome
 		if !m.ended {
@@ -123,7 +123,7 @@
 		if outcomes[outcome]++; outcome == "lost" {
 			r.addTrace(m)
 		}
-		tries += m.submissions
+		submissions += m.submissions
 		repeats += max(m.executions-1, 0)
 		if m.executions > 0 {
 			delays.add(m.firstExecutedAt - m.submittedAt)
@@ -133,7 +133,7 @@
 	for _, outcome := range []string{"delivered", "returned", "refused", "failed", "failed late", "unheard", "lost"} {
 		f[figureName(outcome)] = float64(outcomes[outcome])
 	}
-	f["handed_in"], f["hand_ins"], f["repeated"] = float64(len(l.messages)), float64(tries), float64(repeats)
+	f["handed_in"], f["hand_ins"], f["repeated"] = float64(len(l.messages)), float64(submissions), float64(repeats)
 	delays.writeFigures(f, "delivery")
 	if slices.Sort(executedAt); len(executedAt) > 0 {
 		f["first_delivery"] = executedAt[0].Seconds()
@@ -313,12 +313,12 @@
 	p := plot.New()
 	p.X.Label.Text, p.Y.Min = "seconds", 0
 	p.Legend.Top = true
-	top := 1.0
+	highest := 1.0
 	for i, name := range names {
 		points := make(plotter.XYs, len(r.Bins))
 		for k, b := range r.Bins {
 			points[k] = plotter.XY{X: float64(k) * binWidth.Seconds(), Y: float64(series[name](b))}
-			top = max(top, points[k].Y)
+			highest = max(highest, points[k].Y)
 		}
 		line, err := plotter.NewLine(points)
 		if err != nil {
@@ -329,7 +329,7 @@
 		p.Legend.Add(name, line)
 	}
 	for _, m := range r.Marks {
-		line, err := plotter.NewLine(plotter.XYs{{X: m.At.Seconds(), Y: 0}, {X: m.At.Seconds(), Y: top}})
+		line, err := plotter.NewLine(plotter.XYs{{X: m.At.Seconds(), Y: 0}, {X: m.At.Seconds(), Y: highest}})
 		if err != nil {
 			return "", err
 		}
--- a/internal/lab/stage/script.go
+++ b/internal/lab/stage/script.go
@@ -33,7 +33,7 @@
 	Seed    uint64       `toml:"seed"`
 	Nodes   int          `toml:"nodes"`
 	Servers int          `toml:"servers"` // number of list servers
-	Length  units.Millis `toml:"for"`     // duration of traffic; the run goes on until every message has ended or timed out
+	Length  units.Millis `toml:"for"`     // duration of traffic; the run goes on until all messages have ended
 	Start   StartTimes   `toml:"start"`
 	Dests   []DestSpec   `toml:"destination"`
 	Traffic TrafficSpec  `toml:"traffic"`
@@ -59,7 +59,7 @@
 	Burst       float64      `toml:"burst"`
 	Latency     units.Millis `toml:"latency"`
 	Connections int          `toml:"connections"`
-	Cold        bool         `toml:"cold"` // endpoints have reduced capacity at first and after an outage, as the contract defines
+	Cold        bool         `toml:"cold"` // endpoints are cold at first and after an outage, as the contract says
 }
 
 // TrafficSpec is the traffic that clients submit to each node.
@@ -72,17 +72,19 @@
 
 // NodeSpec is the configuration that all nodes share.
 type NodeSpec struct {
-	PeerDatagrams bool         `toml:"notes"`      // nodes send each other datagrams
-	Membership    bool         `toml:"membership"` // nodes run the membership protocol
-	CacheList     bool         `toml:"keep"`       // nodes keep the list on disk over a restart
-	Admin         bool         `toml:"door"`       // nodes serve their admin endpoint
-	Audit         bool         `toml:"audit"`      // nodes record the list revision that they act on, and send it with each call
-	Fencing       bool         `toml:"shut_out"`   // nodes exchange list revisions; one that can't get the newest list stops calling; needs Audit
-	AuditLogKB    int          `toml:"record_kb"`  // size of the audit log on disk; needs Audit
-	Slots         int          `toml:"slots"`      // calls that a node may have in progress
-	ListHeartbeat units.Millis `toml:"beat"`       // heartbeat interval that nodes request from list servers
-	// Weights says how the list states an endpoint's capacity in calls a second: none (not at all), nominal (exactly)
-	// or rough (approximately).
+	PeerDatagrams bool `toml:"notes"`      // nodes send each other datagrams
+	Membership    bool `toml:"membership"` // nodes run the membership protocol
+	CacheList     bool `toml:"keep"`       // nodes keep the list on disk over a restart
+	Admin         bool `toml:"door"`       // nodes serve their admin endpoint
+	Audit         bool `toml:"audit"`      // nodes publish the list revision that they act on, and send it with each call
+	// Fencing makes nodes tell each other their list revision. One that cannot get the newest list stops calling. It
+	// needs Audit.
+	Fencing       bool         `toml:"shut_out"`
+	AuditLogKB    int          `toml:"record_kb"` // size of the audit log; needs Audit
+	Slots         int          `toml:"slots"`     // calls that a node may have in progress
+	ListHeartbeat units.Millis `toml:"beat"`      // heartbeat interval that nodes request from list servers
+	// Weights says how the list states an endpoint's capacity in calls a second: none, nominal or rough
+	// (approximate).
 	Weights string `toml:"weights"`
 }
 
--- a/internal/lab/stage/settings.go
+++ b/internal/lab/stage/settings.go
@@ -24,9 +24,9 @@
 
 // settings returns the deployment settings of one node, in the platform's configuration format.
 func (s *Script) settings(nodeNumber int) map[string]any {
-	life := float64(s.Traffic.TTL)
+	ttl := float64(s.Traffic.TTL)
 	class := func(name, effect string) map[string]any {
-		return map[string]any{"name": name, "aim": life / 4, "deadline": life, "worth": 1, "lateWorth": 0.3, "effect": effect}
+		return map[string]any{"name": name, "aim": ttl / 4, "deadline": ttl, "worth": 1, "lateWorth": 0.3, "effect": effect}
 	}
 	return map[string]any{
 		"fleetSize": s.Nodes, "myNumber": nodeNumber, "flavors": []string{"partner"}, "failureDomains": []string{"a"},
--- a/internal/lab/sysfault/sysfault.go
+++ b/internal/lab/sysfault/sysfault.go
@@ -56,7 +56,7 @@
 	if err := unix.Prctl(unix.PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0); err != nil {
 		return 0, fmt.Errorf("sysfault: %w", err)
 	}
-	program := []unix.SockFilter{{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS}} // loads the call's number, at offset 0 of seccomp_data
+	program := []unix.SockFilter{{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS}} // loads the call's number, at offset 0
 	for i, number := range filteredCalls {
 		program = append(program, unix.SockFilter{
 			Code: unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K, Jt: uint8(len(filteredCalls) - i), K: number,
@@ -131,7 +131,7 @@
 
 // Verdict is the decision on a call. The zero value lets the call proceed.
 type Verdict struct {
-	Errno    syscall.Errno // the call fails with it, after MaxBytes have been transferred if that is not 0; 0 for no failure
+	Errno    syscall.Errno // the call fails with it, after MaxBytes are transferred if that is not 0; 0 for none
 	MaxBytes int           // for reads and writes, the maximum number of bytes transferred; 0 for no limit
-	Kill     bool          // the process is killed, after MaxBytes have been transferred if that is not 0
+	Kill     bool          // the process is killed, after MaxBytes are transferred if that is not 0
 }
