--- a/internal/lab/relay/relay_test.go
+++ b/internal/lab/relay/relay_test.go
@@ -269,8 +269,8 @@
 		t.Cleanup(func() { conn.Close() })
 		conns, ownAddrs[i] = append(conns, conn), conn.LocalAddr().String()
 	}
-	who := func(a netip.Addr) (Party, bool) { return Party{Node, int(a.As4()[3]) - 2}, true }
-	n := New(3, who, func(Event) {})
+	partyAt := func(a netip.Addr) (Party, bool) { return Party{Node, int(a.As4()[3]) - 2}, true }
+	n := New(3, partyAt, func(Event) {})
 	t.Cleanup(n.Close)
 	if err := n.ListenUDP(parties, faces, ownAddrs); err != nil {
 		t.Fatal(err)
--- a/internal/lab/stage/stage_test.go
+++ b/internal/lab/stage/stage_test.go
@@ -377,11 +377,11 @@
 func TestGroupSelectionIsSeeded(t *testing.T) {
 	s := Script{Nodes: 100, Servers: 1, Dests: []DestSpec{{Endpoints: 10}}}
 	draw := func(seed uint64) string {
-		who, err := s.Group("nodes:30% partners:2-4,7", rand.New(rand.NewPCG(seed, 0)))
-		if err != nil || len(who) != 34 {
-			t.Fatalf("%d parties, %v", len(who), err)
+		group, err := s.Group("nodes:30% partners:2-4,7", rand.New(rand.NewPCG(seed, 0)))
+		if err != nil || len(group) != 34 {
+			t.Fatalf("%d parties, %v", len(group), err)
 		}
-		return describeGroup(who) + who[29].String()
+		return describeGroup(group) + group[29].String()
 	}
 	if draw(1) != draw(1) || draw(1) == draw(2) {
 		t.Error("chance does not come from the seed")
