--- a/internal/lab/relay/relay_test.go
+++ b/internal/lab/relay/relay_test.go
@@ -37,13 +37,13 @@
 }
 
 func newFixture(t *testing.T, seed uint64) *fixture {
-	b := &fixture{t: t, events: map[EventType]int{}}
-	b.net = New(seed, func(a netip.Addr) (Party, bool) {
+	fx := &fixture{t: t, events: map[EventType]int{}}
+	fx.net = New(seed, func(a netip.Addr) (Party, bool) {
 		return clientParty, a == netip.MustParseAddr("127.0.0.2")
 	}, func(e Event) {
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		b.events[e.Type]++
+		fx.mu.Lock()
+		defer fx.mu.Unlock()
+		fx.events[e.Type]++
 	})
 	ln, err := net.Listen("tcp4", "127.0.0.3:0")
 	if err != nil {
@@ -56,25 +56,25 @@
 			if err != nil {
 				return
 			}
-			b.mu.Lock()
-			b.peerIP = nc.RemoteAddr().(*net.TCPAddr).IP.String()
-			b.mu.Unlock()
+			fx.mu.Lock()
+			fx.peerIP = nc.RemoteAddr().(*net.TCPAddr).IP.String()
+			fx.mu.Unlock()
 			serving.Go(func() {
 				io.Copy(nc, nc)
 				nc.Close()
 			})
 		}
 	})
-	b.face = freeAddr(t)
-	if err := b.net.ListenTCP(b.face, serverParty, ln.Addr().String()); err != nil {
+	fx.face = freeAddr(t)
+	if err := fx.net.ListenTCP(fx.face, serverParty, ln.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		b.net.Close()
+		fx.net.Close()
 		ln.Close()
 		serving.Wait()
 	})
-	return b
+	return fx
 }
 
 func freeAddr(t *testing.T) string {
@@ -88,22 +88,22 @@
 }
 
 // dial connects as the client party.
-func (b *fixture) dial() *net.TCPConn {
-	b.t.Helper()
-	nc, err := b.tryDial()
+func (fx *fixture) dial() *net.TCPConn {
+	fx.t.Helper()
+	nc, err := fx.tryDial()
 	if err != nil {
-		b.t.Fatal(err)
+		fx.t.Fatal(err)
 	}
 	return nc
 }
 
-func (b *fixture) tryDial() (*net.TCPConn, error) {
+func (fx *fixture) tryDial() (*net.TCPConn, error) {
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 0, 2)}}
-	nc, err := d.Dial("tcp4", b.face)
+	nc, err := d.Dial("tcp4", fx.face)
 	if err != nil {
 		return nil, err
 	}
-	b.t.Cleanup(func() { nc.Close() })
+	fx.t.Cleanup(func() { nc.Close() })
 	return nc.(*net.TCPConn), nil
 }
 
@@ -116,44 +116,44 @@
 	return bufio.NewReader(nc).ReadString('\n')
 }
 
-func addFaultBothWays(b *fixture, f Fault) (remove func()) {
-	rules := []*FaultRule{b.net.AddFault(PartySet{clientParty: true}, PartySet{serverParty: true}, f), b.net.AddFault(PartySet{serverParty: true}, PartySet{clientParty: true}, f)}
+func addFaultBothWays(fx *fixture, f Fault) (remove func()) {
+	rules := []*FaultRule{fx.net.AddFault(PartySet{clientParty: true}, PartySet{serverParty: true}, f), fx.net.AddFault(PartySet{serverParty: true}, PartySet{clientParty: true}, f)}
 	return func() {
 		for _, r := range rules {
-			b.net.RemoveFault(r)
+			fx.net.RemoveFault(r)
 		}
 	}
 }
 
 func TestRelayedConnKeepsSourceAddress(t *testing.T) {
-	b := newFixture(t, 1)
-	nc := b.dial()
+	fx := newFixture(t, 1)
+	nc := fx.dial()
 	if got, err := echo(nc, "hello", testTimeout); got != "hello\n" || err != nil {
 		t.Fatalf("%q, %v", got, err)
 	}
 	// The relay reports data after it has written it, so that the client may receive the echo before the event.
 	testkit.Eventually(t, "events of both directions and the source address are recorded", func() bool {
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		return b.peerIP == "127.0.0.2" && b.events[ConnOpened] == 1 && b.events[DataForwarded] == 2
+		fx.mu.Lock()
+		defer fx.mu.Unlock()
+		return fx.peerIP == "127.0.0.2" && fx.events[ConnOpened] == 1 && fx.events[DataForwarded] == 2
 	})
 }
 
 // A cut path loses nothing and reports no error: connections stay open, and data sent meanwhile arrives when the cut
 // ends. Each direction can be cut by itself.
 func TestCutHoldsDataUntilHealed(t *testing.T) {
-	for name, ways := range map[string][2]PartySet{"there": {{clientParty: true}, {serverParty: true}}, "back": {{serverParty: true}, {clientParty: true}}} {
+	for name, directions := range map[string][2]PartySet{"there": {{clientParty: true}, {serverParty: true}}, "back": {{serverParty: true}, {clientParty: true}}} {
 		t.Run(name, func(t *testing.T) {
-			b := newFixture(t, 1)
-			nc := b.dial()
+			fx := newFixture(t, 1)
+			nc := fx.dial()
 			if _, err := echo(nc, "before", testTimeout); err != nil {
 				t.Fatal(err)
 			}
-			r := b.net.AddFault(ways[0], ways[1], Fault{Cut: true})
+			r := fx.net.AddFault(directions[0], directions[1], Fault{Cut: true})
 			if got, err := echo(nc, "in it", 100*time.Millisecond); err == nil {
 				t.Fatalf("received %q through a cut path", got)
 			}
-			b.net.RemoveFault(r)
+			fx.net.RemoveFault(r)
 			nc.SetReadDeadline(time.Now().Add(testTimeout))
 			if got, err := bufio.NewReader(nc).ReadString('\n'); got != "in it\n" {
 				t.Errorf("after the cut: %q, %v", got, err)
@@ -165,12 +165,12 @@
 // After ResetOnHeal a connection with held data is reset. A party that is down refuses connections until it is up
 // again.
 func TestMachineLossResetsConnections(t *testing.T) {
-	b := newFixture(t, 1)
-	nc := b.dial()
+	fx := newFixture(t, 1)
+	nc := fx.dial()
 	if _, err := echo(nc, "before", testTimeout); err != nil {
 		t.Fatal(err)
 	}
-	remove := addFaultBothWays(b, Fault{ResetOnHeal: true})
+	remove := addFaultBothWays(fx, Fault{ResetOnHeal: true})
 	if got, err := echo(nc, "in it", 100*time.Millisecond); err == nil {
 		t.Fatalf("received %q through a blocked path", got)
 	}
@@ -179,34 +179,34 @@
 	if _, err := nc.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("after the fault: %v, want a reset", err)
 	}
-	if err := b.net.SetDown(serverParty, true); err != nil {
+	if err := fx.net.SetDown(serverParty, true); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := net.Dial("tcp4", b.face); !errors.Is(err, syscall.ECONNREFUSED) {
+	if _, err := net.Dial("tcp4", fx.face); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("while the party is down: %v, want a refused connection", err)
 	}
-	if err := b.net.SetDown(serverParty, false); err != nil {
+	if err := fx.net.SetDown(serverParty, false); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := echo(b.dial(), "x", testTimeout); err != nil {
+	if _, err := echo(fx.dial(), "x", testTimeout); err != nil {
 		t.Errorf("after the party is up again: %v", err)
 	}
 }
 
 // A connection that its client closes during a cut is not opened to the target when the cut ends.
 func TestConnAbandonedDuringCutIsNeverOpened(t *testing.T) {
-	b := newFixture(t, 1)
-	remove := addFaultBothWays(b, Fault{Cut: true})
-	b.dial().Close()
+	fx := newFixture(t, 1)
+	remove := addFaultBothWays(fx, Fault{Cut: true})
+	fx.dial().Close()
 	time.Sleep(150 * time.Millisecond) // longer than the relay's polling interval
 	remove()
-	if got, err := echo(b.dial(), "x", testTimeout); err != nil {
+	if got, err := echo(fx.dial(), "x", testTimeout); err != nil {
 		t.Fatalf("%q, %v", got, err)
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.events[ConnOpened] != 1 {
-		t.Errorf("%v", b.events)
+	fx.mu.Lock()
+	defer fx.mu.Unlock()
+	if fx.events[ConnOpened] != 1 {
+		t.Errorf("%v", fx.events)
 	}
 }
 
@@ -224,18 +224,18 @@
 		"reset":      {Fault{ResetShare: 1}, "x", 0, testTimeout, syscall.ECONNRESET},
 		"stopped":    {Fault{StallAfter: 3}, "a long line", 0, 0, nil},
 		"untouched":  {Fault{LossShare: 1}, "x", 0, testTimeout, nil},
-		"half reset": {Fault{ResetShare: 0}, "x", 0, testTimeout, nil},
+		"no reset":   {Fault{ResetShare: 0}, "x", 0, testTimeout, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newFixture(t, 1)
-			addFaultBothWays(b, c.fault)
+			fx := newFixture(t, 1)
+			addFaultBothWays(fx, c.fault)
 			began := time.Now()
 			wait := c.most
 			if wait == 0 {
 				wait = 150 * time.Millisecond
 			}
 			got := ""
-			nc, err := b.tryDial() // the reset may arrive before the dial returns
+			nc, err := fx.tryDial() // the reset may arrive before the dial returns
 			if err == nil {
 				got, err = echo(nc, c.text, wait)
 			}
--- a/internal/lab/relay/tcp.go
+++ b/internal/lab/relay/tcp.go
@@ -113,27 +113,27 @@
 
 // setUpstream sets the connection to the target. If the proxied connection is closed already, it closes upstream and
 // returns false.
-func (l *proxiedConn) setUpstream(upstream *net.TCPConn) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.closed {
+func (conn *proxiedConn) setUpstream(upstream *net.TCPConn) bool {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	if conn.closed {
 		upstream.Close()
 		return false
 	}
-	l.upstream = upstream
+	conn.upstream = upstream
 	return true
 }
 
 // close closes both halves. With reset both peers get a connection reset.
-func (l *proxiedConn) close(reset bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.closed {
+func (conn *proxiedConn) close(reset bool) {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	if conn.closed {
 		return
 	}
-	l.closed = true
-	close(l.done)
-	for _, nc := range []*net.TCPConn{l.downstream, l.upstream} {
+	conn.closed = true
+	close(conn.done)
+	for _, nc := range []*net.TCPConn{conn.downstream, conn.upstream} {
 		if nc == nil {
 			continue
 		}
@@ -148,12 +148,12 @@
 func (n *Network) proxy(downstream *net.TCPConn, to Party, target string) {
 	source := downstream.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap()
 	from, known := n.partyAt(source)
-	l := &proxiedConn{downstream: downstream, done: make(chan struct{})}
-	defer l.close(false)
+	conn := &proxiedConn{downstream: downstream, done: make(chan struct{})}
+	defer conn.close(false)
 	f, _ := n.currentFault(from, to)
 	if !known || f.Refuse {
 		n.onEvent(Event{Type: ConnFailed, From: from, To: to})
-		l.close(true)
+		conn.close(true)
 		return
 	}
 	stop := make(chan struct{})
@@ -162,48 +162,48 @@
 		select {
 		case <-stop:
 		case <-n.done:
-			l.close(true)
+			conn.close(true)
 		}
 	})
-	if !n.awaitReachable(l, from, to) { // a fault blocks the path: the SYN does not arrive
+	if !n.awaitReachable(conn, from, to) { // a fault blocks the path: the SYN does not arrive
 		return
 	}
 	d := net.Dialer{Timeout: dialTimeout, LocalAddr: &net.TCPAddr{IP: net.IP(source.AsSlice())}}
 	upstream, err := d.Dial("tcp4", target)
 	if err != nil {
 		n.onEvent(Event{Type: ConnFailed, From: from, To: to})
-		l.close(true)
+		conn.close(true)
 		return
 	}
-	if !l.setUpstream(upstream.(*net.TCPConn)) {
+	if !conn.setUpstream(upstream.(*net.TCPConn)) {
 		return
 	}
 	n.onEvent(Event{Type: ConnOpened, From: from, To: to})
 	if n.happens(f.ResetShare) {
 		t := time.AfterFunc(n.randomDuration(f.ResetWithin), func() {
 			n.onEvent(Event{Type: ConnReset, From: from, To: to})
-			l.close(true)
+			conn.close(true)
 		})
 		defer t.Stop()
 	}
 	var directions sync.WaitGroup
-	directions.Go(func() { n.forward(l, l.downstream, l.upstream, from, to) })
-	directions.Go(func() { n.forward(l, l.upstream, l.downstream, to, from) })
+	directions.Go(func() { n.forward(conn, conn.downstream, conn.upstream, from, to) })
+	directions.Go(func() { n.forward(conn, conn.upstream, conn.downstream, to, from) })
 	directions.Wait()
 }
 
 // awaitReachable waits while a fault blocks the path to the target. It returns false if the connection has ended
 // meanwhile.
-func (n *Network) awaitReachable(l *proxiedConn, from, to Party) bool {
+func (n *Network) awaitReachable(conn *proxiedConn, from, to Party) bool {
 	for resetOnHeal := false; ; {
 		f, changed := n.currentFault(from, to)
 		if resetOnHeal = resetOnHeal || f.ResetOnHeal; !f.blocks() {
 			if resetOnHeal {
-				l.close(true)
+				conn.close(true)
 			}
 			return !resetOnHeal
 		}
-		if awaitChange(l.downstream, l.done, changed) {
+		if awaitChange(conn.downstream, conn.done, changed) {
 			return false
 		}
 	}
@@ -252,7 +252,7 @@
 }
 
 // forward copies data from one half to the other until the stream or the connection ends.
-func (n *Network) forward(l *proxiedConn, src, dst *net.TCPConn, from, to Party) {
+func (n *Network) forward(conn *proxiedConn, src, dst *net.TCPConn, from, to Party) {
 	buffered := make(chan chunk, maxBufferedChunks)
 	var reader sync.WaitGroup
 	defer reader.Wait()
@@ -274,7 +274,7 @@
 			}
 			select {
 			case buffered <- c:
-			case <-l.done:
+			case <-conn.done:
 				return
 			}
 			if err != nil {
@@ -284,16 +284,16 @@
 	})
 	passed := 0
 	for c := range buffered {
-		if !n.writeChunk(l, dst, c, from, to, &passed) {
-			l.close(true)
+		if !n.writeChunk(conn, dst, c, from, to, &passed) {
+			conn.close(true)
 			return
 		}
 	}
 }
 
 // writeChunk writes a chunk when it is due and no fault blocks the path. It returns whether the connection goes on.
-func (n *Network) writeChunk(l *proxiedConn, dst *net.TCPConn, c chunk, from, to Party, passed *int) bool {
-	if !sleep(l, time.Until(c.due)) {
+func (n *Network) writeChunk(conn *proxiedConn, dst *net.TCPConn, c chunk, from, to Party, passed *int) bool {
+	if !sleep(conn, time.Until(c.due)) {
 		return false
 	}
 	resetOnHeal := false
@@ -311,13 +311,13 @@
 			select {
 			case <-changed:
 				continue
-			case <-l.done:
+			case <-conn.done:
 				return false
 			}
 		}
 		if f.BytesPerSecond > 0 { // in pieces of about a tenth of a second
 			limit = min(limit, max(f.BytesPerSecond/10, 1))
-			if !sleep(l, time.Duration(limit)*time.Second/time.Duration(f.BytesPerSecond)) {
+			if !sleep(conn, time.Duration(limit)*time.Second/time.Duration(f.BytesPerSecond)) {
 				return false
 			}
 		}
@@ -340,7 +340,7 @@
 		resetOnHeal = resetOnHeal || f.ResetOnHeal
 		select {
 		case <-changed:
-		case <-l.done:
+		case <-conn.done:
 			return false
 		}
 	}
@@ -351,7 +351,7 @@
 }
 
 // sleep waits, and returns false if the connection ends meanwhile.
-func sleep(l *proxiedConn, d time.Duration) bool {
+func sleep(conn *proxiedConn, d time.Duration) bool {
 	if d <= 0 {
 		return true
 	}
@@ -360,7 +360,7 @@
 	select {
 	case <-t.C:
 		return true
-	case <-l.done:
+	case <-conn.done:
 		return false
 	}
 }
