--- a/internal/lab/cli/cli.go
+++ b/internal/lab/cli/cli.go
@@ -58,25 +58,25 @@
 			if out == "" {
 				out = strings.TrimSuffix(args[0], ".toml") + ".jsonl"
 			}
-			lines, err := e.Run(c.Context(), out, threads, func(done, all int) {
-				fmt.Fprintf(c.ErrOrStderr(), "\r%d of %d runs", done, all)
-				if done == all {
+			results, err := e.Run(c.Context(), out, threads, func(done, summaries int) {
+				fmt.Fprintf(c.ErrOrStderr(), "\r%d of %d runs", done, summaries)
+				if done == summaries {
 					fmt.Fprintln(c.ErrOrStderr())
 				}
 			})
 			if err != nil {
 				return err
 			}
-			all := experiment.Summarize(lines)
-			if err := experiment.WriteTable(c.OutOrStdout(), all); err != nil {
+			summaries := experiment.Summarize(results)
+			if err := experiment.WriteTable(c.OutOrStdout(), summaries); err != nil {
 				return err
 			}
 			if html != "" {
-				if err := writeReport(html, e, lines, all); err != nil {
+				if err := writeReport(html, e, results, summaries); err != nil {
 					return err
 				}
 			}
-			return reportProblems(c, lines)
+			return reportProblems(c, results)
 		},
 	}
 	c.Flags().StringVar(&out, "out", "", "file of results, a JSON line a run (default: beside the experiment)")
@@ -86,27 +86,27 @@
 }
 
 // complain prints the runs that failed or broke a rule. Only those of the project's own sender are a failure.
-func reportProblems(c *cobra.Command, lines []experiment.RunResult) error {
-	bad := 0
-	for _, p := range experiment.Problems(lines) {
+func reportProblems(c *cobra.Command, results []experiment.RunResult) error {
+	failures := 0
+	for _, p := range experiment.Problems(results) {
 		if strings.HasPrefix(p, "ours") {
-			bad++
+			failures++
 		}
 		fmt.Fprintln(c.ErrOrStderr(), p)
 	}
-	if bad > 0 {
-		return fmt.Errorf("%d runs of the project's own sender failed or broke a rule", bad)
+	if failures > 0 {
+		return fmt.Errorf("%d runs of the project's own sender failed or broke a rule", failures)
 	}
 	return nil
 }
 
-func writeReport(path string, e experiment.Experiment, lines []experiment.RunResult, all []experiment.Summary) error {
+func writeReport(path string, e experiment.Experiment, results []experiment.RunResult, summaries []experiment.Summary) error {
 	f, err := os.Create(path)
 	if err != nil {
 		return err
 	}
 	defer f.Close()
-	if err := experiment.WriteReport(f, e, lines, all); err != nil {
+	if err := experiment.WriteReport(f, e, results, summaries); err != nil {
 		return err
 	}
 	return f.Close()
@@ -126,11 +126,11 @@
 		Example: "  harrierlab day split --nodes 60 --seed 3 --policy lrt+bbc60-80",
 		RunE: func(c *cobra.Command, args []string) error {
 			j.Day = args[0]
-			line := (&experiment.Experiment{}).RunJob(c.Context(), j, nil)
-			if line.Error != "" {
-				return fmt.Errorf("%s", line.Error)
+			result := (&experiment.Experiment{}).RunJob(c.Context(), j, nil)
+			if result.Error != "" {
+				return fmt.Errorf("%s", result.Error)
 			}
-			return experiment.WriteRun(c.OutOrStdout(), line)
+			return experiment.WriteRun(c.OutOrStdout(), result)
 		},
 	}
 	addJobFlags(c, &j)
--- a/internal/lab/cli/loopback.go
+++ b/internal/lab/cli/loopback.go
@@ -31,14 +31,14 @@
 			if length > 0 {
 				day.Length = length
 			}
-			o := loopback.Options{Program: program}
-			if o.Program == "" {
-				o.Program = findProgram()
+			options := loopback.Options{Program: program}
+			if options.Program == "" {
+				options.Program = findProgram()
 			}
 			if verbose {
-				o.Log = c.ErrOrStderr()
+				options.Log = c.ErrOrStderr()
 			}
-			r, err := loopback.Play(c.Context(), day, o)
+			r, err := loopback.Play(c.Context(), day, options)
 			if err != nil {
 				return err
 			}
@@ -62,12 +62,12 @@
 // besides is the program that nodes run.
 func findProgram() string {
 	if self, err := os.Executable(); err == nil {
-		if at := filepath.Join(filepath.Dir(self), "harrierramp"); fileExists(at) {
-			return at
+		if path := filepath.Join(filepath.Dir(self), "harrierramp"); fileExists(path) {
+			return path
 		}
 	}
-	if at, err := exec.LookPath("harrierramp"); err == nil {
-		return at
+	if path, err := exec.LookPath("harrierramp"); err == nil {
+		return path
 	}
 	return "harrierramp"
 }
--- a/internal/lab/cli/paper.go
+++ b/internal/lab/cli/paper.go
@@ -15,7 +15,7 @@
 		Use: "paper", Short: "Play the study of the paper that the design comes from: its figures 3 to 15", Args: cobra.NoArgs,
 		Example: "  harrierlab paper --sessions 1000000 --html paper.html",
 		RunE: func(c *cobra.Command, _ []string) error {
-			all, err := s.Run(c.Context())
+			figures, err := s.Run(c.Context())
 			if err != nil {
 				return err
 			}
@@ -25,11 +25,11 @@
 					return err
 				}
 				defer f.Close()
-				if err := paper.WriteReport(f, all); err != nil {
+				if err := paper.WriteReport(f, figures); err != nil {
 					return err
 				}
 			}
-			return paper.WriteTable(c.OutOrStdout(), all)
+			return paper.WriteTable(c.OutOrStdout(), figures)
 		},
 	}
 	f := c.Flags()
--- a/internal/lab/cli/partner.go
+++ b/internal/lab/cli/partner.go
@@ -22,7 +22,7 @@
 	var listen string
 	var dests, endpoints int
 	cfg := partner.Config{}
-	var length time.Duration
+	var duration time.Duration
 	c := &cobra.Command{
 		Use: "partner", Short: "Run stand-in partners, discovery and a sink for notices, for 'harrierlab load'", Args: cobra.NoArgs,
 		Example: "  harrierlab partner --listen 127.0.0.1:8500 --dests 10 --latency 2ms --for 1m",
@@ -34,7 +34,7 @@
 			if dests < 1 || endpoints < 1 || dests*endpoints > 2000 {
 				return errors.New("from 1 to 2000 endpoints altogether")
 			}
-			ctx, cancel := context.WithTimeout(c.Context(), length)
+			ctx, cancel := context.WithTimeout(c.Context(), duration)
 			defer cancel()
 			ledger := partner.NewLedger()
 			var members []map[string]any
@@ -51,14 +51,14 @@
 					})
 				}
 			}
-			whole, err := json.Marshal(map[string]any{"revision": 1, "complete": true, "members": members})
+			completeList, err := json.Marshal(map[string]any{"revision": 1, "complete": true, "members": members})
 			if err != nil {
 				return err
 			}
 			var returned, failed atomic.Int64
 			mux := http.NewServeMux()
 			mux.HandleFunc("GET /registry/instances", func(w http.ResponseWriter, r *http.Request) {
-				for line := whole; ; line = nil {
+				for line := completeList; ; line = nil {
 					if _, err := w.Write(append(line, '\n')); err != nil || r.FormValue("watch") == "" {
 						return
 					}
@@ -97,7 +97,7 @@
 				defer close(done)
 				srv.Serve(ln) // its error says that it was closed
 			}()
-			fmt.Fprintf(c.OutOrStdout(), "discovery and notices at %s, %d endpoints, for %v\n", ln.Addr(), len(members), length)
+			fmt.Fprintf(c.OutOrStdout(), "discovery and notices at %s, %d endpoints, for %v\n", ln.Addr(), len(members), duration)
 			<-ctx.Done()
 			err = srv.Close()
 			<-done
@@ -113,6 +113,6 @@
 	f.Float64Var(&cfg.Rate, "rate", 0, "calls a second that an endpoint takes; 0 for no limit")
 	f.Float64Var(&cfg.Burst, "burst", 1, "calls that it takes at once after a pause")
 	f.DurationVar(&cfg.Latency, "latency", 20*time.Millisecond, "of a call")
-	f.DurationVar(&length, "for", 10*time.Minute, "when to end")
+	f.DurationVar(&duration, "for", 10*time.Minute, "when to end")
 	return c
 }
--- a/internal/lab/cli/stage.go
+++ b/internal/lab/cli/stage.go
@@ -13,8 +13,8 @@
 )
 
 func newStage() *cobra.Command {
-	var o stage.Options
-	var html, raw string
+	var options stage.Options
+	var htmlPath, jsonPath string
 	var seed uint64
 	var nodes int
 	var quiet bool
@@ -35,20 +35,20 @@
 			if nodes > 0 {
 				s.Nodes = nodes
 			}
-			if o.Program == "" {
-				o.Program = findProgram()
+			if options.Program == "" {
+				options.Program = findProgram()
 			}
 			if !quiet {
-				o.Output = c.ErrOrStderr()
+				options.Output = c.ErrOrStderr()
 			}
-			r, err := stage.Play(c.Context(), s, o)
+			r, err := stage.Play(c.Context(), s, options)
 			if err != nil {
 				return err
 			}
 			if err := r.Print(c.OutOrStdout()); err != nil {
 				return err
 			}
-			if err := errors.Join(writeFile(html, r.HTML), writeFile(raw, func(w io.Writer) error { return json.NewEncoder(w).Encode(r) })); err != nil {
+			if err := errors.Join(writeFile(htmlPath, r.HTML), writeFile(jsonPath, func(w io.Writer) error { return json.NewEncoder(w).Encode(r) })); err != nil {
 				return err
 			}
 			if r.Failed() {
@@ -58,12 +58,12 @@
 		},
 	}
 	f := c.Flags()
-	f.StringVar(&o.Program, "program", "", "harrierramp (default: beside this program, else in PATH)")
-	f.StringVar(&o.Dir, "dir", "", "folder for configurations, logs and lasting folders, which stay there (default: one that goes)")
-	f.StringArrayVar(&o.ServerArgs, "server-arg", nil, "one more argument of list servers; may be given often")
-	f.StringArrayVar(&o.NodeArgs, "node-arg", nil, "one more argument of nodes; may be given often")
-	f.StringVar(&html, "html", "", "write a page with what happened over time")
-	f.StringVar(&raw, "json", "", "write figures and bins of 100 ms")
+	f.StringVar(&options.Program, "program", "", "harrierramp (default: beside this program, else in PATH)")
+	f.StringVar(&options.Dir, "dir", "", "folder for configurations, logs and lasting folders, which stay there (default: one that goes)")
+	f.StringArrayVar(&options.ServerArgs, "server-arg", nil, "one more argument of list servers; may be given often")
+	f.StringArrayVar(&options.NodeArgs, "node-arg", nil, "one more argument of nodes; may be given often")
+	f.StringVar(&htmlPath, "html", "", "write a page with what happened over time")
+	f.StringVar(&jsonPath, "json", "", "write figures and bins of 100 ms")
 	f.Uint64Var(&seed, "seed", 1, "in place of the script's")
 	f.IntVar(&nodes, "nodes", 0, "in place of the script's")
 	f.BoolVar(&quiet, "quiet", false, "don't tell what is done")
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -139,83 +139,83 @@
 				return d, fmt.Errorf("trouble %s: no node %d", t.Kind, i)
 			}
 		}
-		one := model.Fault{Kind: t.Kind, At: seconds(t.At), Duration: seconds(t.For), Dests: t.Dests, Nodes: t.Nodes, Zone: -1, Size: t.Size}
+		fault := model.Fault{Kind: t.Kind, At: seconds(t.At), Duration: seconds(t.For), Dests: t.Dests, Nodes: t.Nodes, Zone: -1, Size: t.Size}
 		if t.Zone != nil {
-			one.Zone = *t.Zone
+			fault.Zone = *t.Zone
 		}
-		d.Faults = append(d.Faults, one)
+		d.Faults = append(d.Faults, fault)
 	}
 	return d, nil
 }
 
 // Play plays one run. watch, if it is not nil, hears of everything.
-func (e *Experiment) RunJob(ctx context.Context, j Job, watch model.Observer) RunResult {
-	line := RunResult{Job: j}
+func (e *Experiment) RunJob(ctx context.Context, j Job, observer model.Observer) RunResult {
+	result := RunResult{Job: j}
 	day, err := e.buildDay(j)
 	if err != nil {
-		line.Error = err.Error()
-		return line
+		result.Error = err.Error()
+		return result
 	}
-	maker, err := policy.Named(j.Policy)
+	newPolicy, err := policy.Named(j.Policy)
 	if err != nil {
-		line.Error = err.Error()
-		return line
+		result.Error = err.Error()
+		return result
 	}
 	ledger := judge.New(&day)
-	var obs model.Observer = ledger
-	if watch != nil {
-		obs = model.Observers{ledger, watch}
+	var observers model.Observer = ledger
+	if observer != nil {
+		observers = model.Observers{ledger, observer}
 	}
-	if err := model.New(day, maker, obs).Run(ctx); err != nil {
-		line.Error = err.Error()
-		return line
+	if err := model.New(day, newPolicy, observers).Run(ctx); err != nil {
+		result.Error = err.Error()
+		return result
 	}
-	line.Result = ledger.Result()
-	return line
+	result.Result = ledger.Result()
+	return result
 }
 
 // Run plays what the file of results at path lacks, on so many threads (0 for all cores), and returns all lines in the
 // order of Jobs. Lines are written as they come, so that a run that was cut off goes on where it was.
 func (e *Experiment) Run(ctx context.Context, path string, threads int, progress func(done, all int)) ([]RunResult, error) {
-	had, err := ReadResults(path)
+	previous, err := ReadResults(path)
 	if err != nil {
 		return nil, err
 	}
 	done := map[Job]RunResult{}
-	for _, l := range had {
+	for _, l := range previous {
 		done[l.Job] = l
 	}
 	jobs := e.Jobs()
-	var todo []Job
+	var pending []Job
 	for _, j := range jobs {
 		if _, ok := done[j]; !ok {
-			todo = append(todo, j)
+			pending = append(pending, j)
 		}
 	}
-	out, err := os.OpenFile(path, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
+	file, err := os.OpenFile(path, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, fmt.Errorf("results: %w", err)
 	}
-	defer out.Close()
+	defer file.Close()
 	if threads <= 0 {
 		threads = runtime.NumCPU()
 	}
-	work, lines := make(chan Job), make(chan RunResult)
+	work, results := make(chan Job), make(chan RunResult)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var players sync.WaitGroup
-	for range min(threads, max(len(todo), 1)) {
-		players.Go(func() {
+	var workers sync.WaitGroup
+	for range min(threads, max(len(pending), 1)) {
+		workers.Go(func() {
 			for j := range work {
-				lines <- e.RunJob(ctx, j, nil)
+				results <- e.RunJob(ctx, j, nil)
 			}
 		})
 	}
 	go func() { // ends with the jobs or the context
-		defer close(lines)
-		defer players.Wait()
+		defer close(results)
+		defer workers.Wait()
 		defer close(work)
-		for _, j := range todo {
+		for _, j := range pending {
 			select {
 			case work <- j:
 			case <-ctx.Done():
@@ -223,20 +223,20 @@
 			}
 		}
 	}()
-	var fail error
-	for l := range lines {
-		if ctx.Err() != nil || fail != nil {
+	var writeErr error
+	for l := range results {
+		if ctx.Err() != nil || writeErr != nil {
 			continue // cut off in the middle: it is played again
 		}
 		done[l.Job] = l
-		if fail = json.NewEncoder(out).Encode(l); fail != nil {
+		if writeErr = json.NewEncoder(file).Encode(l); writeErr != nil {
 			cancel()
 		}
 		if progress != nil {
 			progress(len(done), len(jobs))
 		}
 	}
-	if err := errors.Join(fail, ctx.Err()); err != nil {
+	if err := errors.Join(writeErr, ctx.Err()); err != nil {
 		return nil, fmt.Errorf("results: %w", err)
 	}
 	all := make([]RunResult, 0, len(jobs))
@@ -256,28 +256,28 @@
 		return nil, fmt.Errorf("results: %w", err)
 	}
 	defer f.Close()
-	var out []RunResult
+	var results []RunResult
 	r := bufio.NewReader(f)
 	for {
-		text, err := r.ReadBytes('\n')
+		line, err := r.ReadBytes('\n')
 		if errors.Is(err, io.EOF) {
-			return out, nil
+			return results, nil
 		}
 		if err != nil {
 			return nil, fmt.Errorf("results: %w", err)
 		}
-		var l RunResult
-		if err := json.Unmarshal(text, &l); err != nil {
-			return nil, fmt.Errorf("results %s: line %d: %w", path, len(out)+1, err)
+		var result RunResult
+		if err := json.Unmarshal(line, &result); err != nil {
+			return nil, fmt.Errorf("results %s: line %d: %w", path, len(results)+1, err)
 		}
-		out = append(out, l)
+		results = append(results, result)
 	}
 }
 
 // Problems are the runs that failed or broke a rule.
-func Problems(lines []RunResult) []string {
+func Problems(results []RunResult) []string {
 	var out []string
-	for _, l := range lines {
+	for _, l := range results {
 		switch {
 		case l.Error != "":
 			out = append(out, fmt.Sprintf("%s on %s, %d nodes, seed %d: %s", l.Policy, l.Day, l.Nodes, l.Seed, l.Error))
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -67,7 +67,7 @@
 func TestInterruptedRunResumesWithTheSameResults(t *testing.T) {
 	e := Experiment{Policies: []string{"ours", "lrt"}, Days: []string{"split"}, Nodes: []int{5}, Seeds: []uint64{1, 2, 3}}
 	dir := t.TempDir()
-	whole, err := e.Run(t.Context(), filepath.Join(dir, "a"), 1, nil)
+	uninterrupted, err := e.Run(t.Context(), filepath.Join(dir, "a"), 1, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,31 +80,31 @@
 	if err == nil {
 		t.Error("a run that was cut off ends well")
 	}
-	half, err := ReadResults(filepath.Join(dir, "b"))
-	if err != nil || len(half) == 0 || len(half) == len(whole) {
-		t.Fatalf("%d lines, %v", len(half), err)
+	partial, err := ReadResults(filepath.Join(dir, "b"))
+	if err != nil || len(partial) == 0 || len(partial) == len(uninterrupted) {
+		t.Fatalf("%d lines, %v", len(partial), err)
 	}
-	torn, err := os.OpenFile(filepath.Join(dir, "b"), os.O_APPEND|os.O_WRONLY, 0)
+	truncated, err := os.OpenFile(filepath.Join(dir, "b"), os.O_APPEND|os.O_WRONLY, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := torn.WriteString(`{"policy":"ours","day":"spl`); err != nil {
+	if _, err := truncated.WriteString(`{"policy":"ours","day":"spl`); err != nil {
 		t.Fatal(err)
 	}
-	torn.Close()
-	if half, err = ReadResults(filepath.Join(dir, "b")); err != nil {
+	truncated.Close()
+	if partial, err = ReadResults(filepath.Join(dir, "b")); err != nil {
 		t.Fatal(err)
 	}
-	played := 0
-	again, err := e.Run(t.Context(), filepath.Join(dir, "b"), 4, func(int, int) { played++ })
-	if err != nil || played != len(whole)-len(half) {
-		t.Fatalf("%d runs were played again, %v", played, err)
+	rerun := 0
+	resumed, err := e.Run(t.Context(), filepath.Join(dir, "b"), 4, func(int, int) { rerun++ })
+	if err != nil || rerun != len(uninterrupted)-len(partial) {
+		t.Fatalf("%d runs were played again, %v", rerun, err)
 	}
-	a, err := json.Marshal(whole)
+	a, err := json.Marshal(uninterrupted)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if b, err := json.Marshal(again); err != nil || !bytes.Equal(a, b) {
+	if b, err := json.Marshal(resumed); err != nil || !bytes.Equal(a, b) {
 		t.Error("the results differ")
 	}
 }
@@ -112,7 +112,7 @@
 // Odd days end as they should: nobody comes, one destination, one node, a deadline that is met to the instant.
 func TestEdgeCaseDaysKeepTheRules(t *testing.T) {
 	e := Experiment{}
-	for name, spoil := range map[string]func(d *model.Day){
+	for name, change := range map[string]func(d *model.Day){
 		"nobody":          func(d *model.Day) { d.Length = 0 },
 		"one destination": func(d *model.Day) { d.Dests = d.Dests[:1] },
 		"no room":         func(d *model.Day) { d.Dests[0].Limit = 0.01 },
@@ -122,7 +122,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		spoil(&d)
+		change(&d)
 		if r := runDay(t, d); r.ViolationCount > 0 {
 			t.Errorf("%s: %+v", name, r.Violations[0])
 		}
--- a/internal/lab/experiment/helpers_test.go
+++ b/internal/lab/experiment/helpers_test.go
@@ -13,12 +13,12 @@
 
 func runDay(t *testing.T, d model.Day) *judge.Result {
 	t.Helper()
-	j := judge.New(&d)
-	maker := func(_ *model.World, s choice.Settings, seed uint64) model.Policy { return choice.New(s, seed) }
-	if err := model.New(d, maker, j).Run(t.Context()); err != nil {
+	ledger := judge.New(&d)
+	newPolicy := func(_ *model.World, s choice.Settings, seed uint64) model.Policy { return choice.New(s, seed) }
+	if err := model.New(d, newPolicy, ledger).Run(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	return j.Result()
+	return ledger.Result()
 }
 
 type panickingPolicy struct{}
--- a/internal/lab/experiment/report.go
+++ b/internal/lab/experiment/report.go
@@ -42,16 +42,16 @@
 `))
 
 // Report writes one self-contained page: the table, and plots over time of each day and size.
-func WriteReport(w io.Writer, e Experiment, lines []RunResult, all []Summary) error {
+func WriteReport(w io.Writer, e Experiment, results []RunResult, summaries []Summary) error {
 	data := struct {
 		Name, Base string
 		Runs       int
 		Rows       []Summary
 		Figures    []figure
 		Problems   []string
-	}{Name: e.Name, Runs: len(lines), Rows: all, Problems: Problems(lines)}
-	if len(lines) > 0 {
-		data.Base = lines[0].Policy
+	}{Name: e.Name, Runs: len(results), Rows: summaries, Problems: Problems(results)}
+	if len(results) > 0 {
+		data.Base = results[0].Policy
 	}
 	if data.Name == "" {
 		data.Name = "experiment"
@@ -66,7 +66,7 @@
 				{"share refused", func(w judge.Window) float64 { return ratio(float64(w.Refused), float64(w.Offered)) }},
 				{"calls refused over a limit, by call", func(w judge.Window) float64 { return ratio(float64(w.OverLimit), float64(w.Calls)) }},
 			} {
-				f, err := plotOverTime(fmt.Sprintf("%s, %d nodes: %s", d, n, kind.title), lines, d, n, e.Policies, kind.of)
+				f, err := plotOverTime(fmt.Sprintf("%s, %d nodes: %s", d, n, kind.title), results, d, n, e.Policies, kind.of)
 				if err != nil {
 					return fmt.Errorf("report: %w", err)
 				}
@@ -85,23 +85,23 @@
 }
 
 // overTime plots the median over seeds of a value of each window, a line a policy.
-func plotOverTime(title string, lines []RunResult, day string, nodes int, policies []string, of func(judge.Window) float64) (figure, error) {
+func plotOverTime(title string, results []RunResult, day string, nodes int, policies []string, value func(judge.Window) float64) (figure, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Min, p.Y.Max = "seconds", 0, 1
 	p.Legend.Top = true
 	for i, name := range policies {
 		var points plotter.XYs
 		for k := 0; ; k++ {
-			var at []float64
-			for _, l := range lines {
+			var values []float64
+			for _, l := range results {
 				if l.Policy == name && l.Day == day && l.Nodes == nodes && l.Result != nil && k < len(l.Result.Windows) && l.Result.Windows[k].Offered > 0 {
-					at = append(at, of(l.Result.Windows[k]))
+					values = append(values, value(l.Result.Windows[k]))
 				}
 			}
-			if len(at) == 0 {
+			if len(values) == 0 {
 				break
 			}
-			points = append(points, plotter.XY{X: float64(5 * k), Y: quantile(at, 0.5)})
+			points = append(points, plotter.XY{X: float64(5 * k), Y: quantile(values, 0.5)})
 		}
 		if len(points) == 0 {
 			continue
@@ -162,36 +162,36 @@
 
 // Compare tells what moved between two files of results: what both have, by policy, day and size.
 func WriteComparison(w io.Writer, before, after []RunResult) error {
-	had := map[Job]RunResult{}
+	previous := map[Job]RunResult{}
 	for _, l := range before {
-		had[l.Job] = l
+		previous[l.Job] = l
 	}
 	type group struct {
 		policy, day string
 		nodes       int
 	}
-	by := map[group][]float64{}
+	differences := map[group][]float64{}
 	var order []group
-	rules := 0
+	violations := 0
 	for _, l := range after {
-		b, ok := had[l.Job]
+		b, ok := previous[l.Job]
 		if !ok || b.Result == nil || l.Result == nil {
 			continue
 		}
-		rules += l.Result.ViolationCount - b.Result.ViolationCount
+		violations += l.Result.ViolationCount - b.Result.ViolationCount
 		g := group{l.Policy, l.Day, l.Nodes}
-		if by[g] == nil {
+		if differences[g] == nil {
 			order = append(order, g)
 		}
-		by[g] = append(by[g], l.Result.Served-b.Result.Served)
+		differences[g] = append(differences[g], l.Result.Served-b.Result.Served)
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "day\tnodes\tpolicy\tpairs\tserved\t95%\tleast\tmost\t")
 	for _, g := range order {
-		x := by[g]
+		x := differences[g]
 		from, to := bootstrapInterval(x)
 		fmt.Fprintf(t, "%s\t%d\t%s\t%d\t%+.4f\t%+.4f..%+.4f\t%+.4f\t%+.4f\t\n", g.day, g.nodes, g.policy, len(x), quantile(x, 0.5), from, to, slices.Min(x), slices.Max(x))
 	}
-	fmt.Fprintf(t, "rules broken: %+d\t\n", rules)
+	fmt.Fprintf(t, "rules broken: %+d\t\n", violations)
 	return t.Flush()
 }
--- a/internal/lab/experiment/stats.go
+++ b/internal/lab/experiment/stats.go
@@ -31,20 +31,20 @@
 }
 
 // Summarize makes a summary for each policy, day and size, in the order of the lines.
-func Summarize(lines []RunResult) []Summary {
+func Summarize(results []RunResult) []Summary {
 	type group struct {
 		policy, day string
 		nodes       int
 	}
 	var order []group
-	by := map[group]map[uint64]RunResult{}
-	for _, l := range lines {
+	bySeed := map[group]map[uint64]RunResult{}
+	for _, l := range results {
 		g := group{l.Policy, l.Day, l.Nodes}
-		if by[g] == nil {
-			by[g] = map[uint64]RunResult{}
+		if bySeed[g] == nil {
+			bySeed[g] = map[uint64]RunResult{}
 			order = append(order, g)
 		}
-		by[g][l.Seed] = l
+		bySeed[g][l.Seed] = l
 	}
 	slices.SortStableFunc(order, func(a, b group) int {
 		switch {
@@ -58,8 +58,8 @@
 	for _, g := range order {
 		s := Summary{Policy: g.policy, Day: g.day, Nodes: g.nodes}
 		var served, score, diff, inTime, refused, over, peer []float64
-		base := by[group{lines[0].Policy, g.day, g.nodes}]
-		for _, l := range by[g] {
+		base := bySeed[group{results[0].Policy, g.day, g.nodes}]
+		for _, l := range bySeed[g] {
 			if l.Result == nil {
 				s.Broken++
 				continue
@@ -85,36 +85,36 @@
 	return out
 }
 
-func quantile(x []float64, p float64) float64 {
-	if len(x) == 0 {
+func quantile(values []float64, p float64) float64 {
+	if len(values) == 0 {
 		return 0
 	}
-	x = slices.Sorted(slices.Values(x))
-	return stat.Quantile(p, stat.LinInterp, x, nil)
+	values = slices.Sorted(slices.Values(values))
+	return stat.Quantile(p, stat.LinInterp, values, nil)
 }
 
 // interval is a bootstrap interval of the median, the same each time for the same values.
-func bootstrapInterval(x []float64) (from, to float64) {
-	if len(x) == 0 {
+func bootstrapInterval(values []float64) (low, high float64) {
+	if len(values) == 0 {
 		return 0, 0
 	}
-	x = slices.Sorted(slices.Values(x)) // whatever order the runs came in
-	r := rand.New(rand.NewPCG(1, uint64(len(x))))
-	medians, again := make([]float64, bootstrapResamples), make([]float64, len(x))
+	values = slices.Sorted(slices.Values(values)) // whatever order the runs came in
+	r := rand.New(rand.NewPCG(1, uint64(len(values))))
+	medians, resample := make([]float64, bootstrapResamples), make([]float64, len(values))
 	for i := range medians {
-		for k := range again {
-			again[k] = x[r.IntN(len(x))]
+		for k := range resample {
+			resample[k] = values[r.IntN(len(values))]
 		}
-		medians[i] = quantile(again, 0.5)
+		medians[i] = quantile(resample, 0.5)
 	}
 	return quantile(medians, (1-confidenceLevel)/2), quantile(medians, (1+confidenceLevel)/2)
 }
 
 // Table writes summaries for people.
-func WriteTable(w io.Writer, all []Summary) error {
+func WriteTable(w io.Writer, summaries []Summary) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "day\tnodes\tpolicy\truns\tserved\tquartiles\tdifference\t95%\tscore\tin time\trefused\tover limit\tnotes\tbroken\t")
-	for _, s := range all {
+	for _, s := range summaries {
 		fmt.Fprintf(t, "%s\t%d\t%s\t%d\t%.3f\t%.3f-%.3f\t%+.3f\t%+.3f..%+.3f\t%.3f\t%.2f\t%.2f\t%.3f\t%.4f\t%d\t\n",
 			s.Day, s.Nodes, s.Policy, s.Runs, s.Median, s.LowerQuartile, s.UpperQuartile, s.Difference, s.IntervalLow, s.IntervalHigh, s.Score, s.InTime, s.Refused, s.OverLimit, s.PeerCost, s.Broken)
 	}
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -78,14 +78,14 @@
 }
 
 // rateAt is the rate at a share of the run that has passed.
-func (c *Config) rateAt(part float64) float64 {
+func (c *Config) rateAt(elapsed float64) float64 {
 	if c.RampTo <= 0 {
 		return c.Rate
 	}
 	if c.RampSteps > 0 {
-		part = float64(min(int(part*float64(c.RampSteps)), c.RampSteps-1)) / float64(max(c.RampSteps-1, 1))
+		elapsed = float64(min(int(elapsed*float64(c.RampSteps)), c.RampSteps-1)) / float64(max(c.RampSteps-1, 1))
 	}
-	return c.Rate + (c.RampTo-c.Rate)*min(max(part, 0), 1)
+	return c.Rate + (c.RampTo-c.Rate)*min(max(elapsed, 0), 1)
 }
 
 // Result is what nodes said, by class. Latency is in microseconds, from when a message was due to its answer.
@@ -115,10 +115,10 @@
 	}
 	r := rand.New(rand.NewPCG(c.Seed, 3))
 	zipf := rand.NewZipf(r, 1.01, 1, uint64(c.Dests-1))
-	total := 0.0
+	shareTotal := 0.0
 	res := &Result{Classes: map[string]*ClassResult{}}
 	for _, k := range c.Classes {
-		total += k.Share
+		shareTotal += k.Share
 		res.Classes[k.Name] = &ClassResult{Latency: hdrhistogram.New(1, maxLatency.Microseconds(), 3), RetryAfter: hdrhistogram.New(1, maxLatency.Milliseconds(), 3)}
 	}
 	body := []byte(strings.Repeat("x", c.BodyBytes))
@@ -136,11 +136,11 @@
 					if ctx.Err() != nil {
 						continue
 					}
-					a, wait, _ := conn.Enqueue(d.message)
-					took := time.Since(d.dueAt)
+					answer, retryAfter, _ := conn.Enqueue(d.message)
+					latency := time.Since(d.dueAt)
 					mu.Lock()
-					res.Classes[d.class].record(a, wait, took)
-					if a == client.Accepted {
+					res.Classes[d.class].record(answer, retryAfter, latency)
+					if answer == client.Accepted {
 						res.AcceptedIDs = append(res.AcceptedIDs, d.message.ID)
 					}
 					mu.Unlock()
@@ -148,38 +148,38 @@
 			})
 		}
 	}
-	began := time.Now()
-	at, sent, last := began, 0, began
-	for ctx.Err() == nil && (c.Count == 0 || sent < c.Count) && (c.Duration == 0 || at.Sub(began) < c.Duration) {
-		part := 0.0
+	start := time.Now()
+	dueAt, sent, lastProgress := start, 0, start
+	for ctx.Err() == nil && (c.Count == 0 || sent < c.Count) && (c.Duration == 0 || dueAt.Sub(start) < c.Duration) {
+		elapsed := 0.0
 		if c.Duration > 0 {
-			part = at.Sub(began).Seconds() / c.Duration.Seconds()
+			elapsed = dueAt.Sub(start).Seconds() / c.Duration.Seconds()
 		} else {
-			part = float64(sent) / float64(c.Count)
+			elapsed = float64(sent) / float64(c.Count)
 		}
-		rate := c.rateAt(part)
-		gap, clump := 1/rate, 1
+		rate := c.rateAt(elapsed)
+		interval, clumpSize := 1/rate, 1
 		switch c.Pattern {
 		case "poisson":
-			gap = r.ExpFloat64() / rate
+			interval = r.ExpFloat64() / rate
 		case "clumps":
-			gap, clump = 10*r.ExpFloat64()/rate, 10
+			interval, clumpSize = 10*r.ExpFloat64()/rate, 10
 		}
-		at = at.Add(time.Duration(gap * float64(time.Second)))
-		if wait := time.Until(at); wait > 0 {
-			time.Sleep(wait)
+		dueAt = dueAt.Add(time.Duration(interval * float64(time.Second)))
+		if retryAfter := time.Until(dueAt); retryAfter > 0 {
+			time.Sleep(retryAfter)
 		}
 		dest := int(zipf.Uint64())
-		for range clump {
+		for range clumpSize {
 			class := c.Classes[len(c.Classes)-1]
-			for x, i := r.Float64()*total, 0; i < len(c.Classes); i++ {
+			for x, i := r.Float64()*shareTotal, 0; i < len(c.Classes); i++ {
 				if x -= c.Classes[i].Share; x < 0 {
 					class = c.Classes[i]
 					break
 				}
 			}
 			id := fmt.Sprintf("load-%x-%08x", c.Seed, sent)
-			d := submission{at, client.Message{ID: id, Key: id, Class: class.Name, Dest: dest, TTL: class.TTL, Body: body}, class.Name}
+			d := submission{dueAt, client.Message{ID: id, Key: id, Class: class.Name, Dest: dest, TTL: class.TTL, Body: body}, class.Name}
 			select {
 			case queues[r.IntN(len(queues))] <- d:
 			default: // a hundred thousand wait: the nodes are gone
@@ -189,8 +189,8 @@
 			}
 			sent++
 		}
-		if progress != nil && time.Since(last) > time.Second {
-			last = time.Now()
+		if progress != nil && time.Since(lastProgress) > time.Second {
+			lastProgress = time.Now()
 			progress(sent, rate)
 		}
 	}
@@ -198,25 +198,25 @@
 		close(q)
 	}
 	workers.Wait()
-	res.Elapsed = time.Since(began)
+	res.Elapsed = time.Since(start)
 	return res, ctx.Err()
 }
 
-func (r *ClassResult) record(a client.Answer, wait, took time.Duration) {
+func (r *ClassResult) record(answer client.Answer, retryAfter, latency time.Duration) {
 	r.Sent++
-	switch a {
+	switch answer {
 	case client.Accepted:
 		r.Accepted++
 	case client.Busy:
 		r.Busy++
-		r.RetryAfter.RecordValue(min(max(wait.Milliseconds(), 1), maxLatency.Milliseconds())) // within bounds, so no error
+		r.RetryAfter.RecordValue(min(max(retryAfter.Milliseconds(), 1), maxLatency.Milliseconds())) // within bounds, so no error
 	case client.Failed:
 		r.Failed++
 	default:
 		r.Unanswered++
 		return
 	}
-	r.Latency.RecordValue(min(max(took.Microseconds(), 1), maxLatency.Microseconds()))
+	r.Latency.RecordValue(min(max(latency.Microseconds(), 1), maxLatency.Microseconds()))
 }
 
 // Table writes the result for people.
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -68,16 +68,16 @@
 }
 
 func TestConfigLimitsAndRamps(t *testing.T) {
-	good := Config{Nodes: []string{"127.0.0.1:1"}, Rate: 100, RampTo: 300, RampSteps: 3, Pattern: "even", Count: 1, ConnsPerNode: 1, Dests: 1, Classes: []Class{{"a", 1, time.Second}}}
-	if err := good.Check(); err != nil {
+	valid := Config{Nodes: []string{"127.0.0.1:1"}, Rate: 100, RampTo: 300, RampSteps: 3, Pattern: "even", Count: 1, ConnsPerNode: 1, Dests: 1, Classes: []Class{{"a", 1, time.Second}}}
+	if err := valid.Check(); err != nil {
 		t.Fatal(err)
 	}
-	for part, want := range map[float64]float64{0: 100, 0.3: 100, 0.4: 200, 0.9: 300, 2: 300} {
-		if got := good.rateAt(part); got != want {
-			t.Errorf("after %v of the run: %v a second, want %v", part, got, want)
+	for elapsed, want := range map[float64]float64{0: 100, 0.3: 100, 0.4: 200, 0.9: 300, 2: 300} {
+		if got := valid.rateAt(elapsed); got != want {
+			t.Errorf("after %v of the run: %v a second, want %v", elapsed, got, want)
 		}
 	}
-	for name, spoil := range map[string]func(c *Config){
+	for name, change := range map[string]func(c *Config){
 		"another machine": func(c *Config) { c.Nodes = []string{"10.0.0.1:1"} },
 		"a name":          func(c *Config) { c.Nodes = []string{"example.org:1"} },
 		"no end":          func(c *Config) { c.Count = 0 },
@@ -85,8 +85,8 @@
 		"no connection":   func(c *Config) { c.ConnsPerNode = 0 },
 		"a pattern":       func(c *Config) { c.Pattern = "often" },
 	} {
-		c := good
-		spoil(&c)
+		c := valid
+		change(&c)
 		if c.Check() == nil {
 			t.Errorf("%s is taken", name)
 		}
--- a/internal/lab/loopback/endpoint.go
+++ b/internal/lab/loopback/endpoint.go
@@ -127,46 +127,46 @@
 			return
 		}
 		id := req.Header.Get("X-Trace-Id")
-		answers := make(chan callResult, 1)
+		results := make(chan callResult, 1)
 		s.run.world.Do(s.run.ctx, func() {
-			s.run.world.HandleCall(from.Index, s.endpoint, id, func(o choice.Outcome, wait time.Duration) { answers <- callResult{o, wait} })
+			s.run.world.HandleCall(from.Index, s.endpoint, id, func(o choice.Outcome, wait time.Duration) { results <- callResult{o, wait} })
 		})
 		// The node gives a call up by closing its connection.
-		gone := make(chan struct{})
+		connClosed := make(chan struct{})
 		go func() { // ends with the connection, or with the read being called back
-			defer close(gone)
+			defer close(connClosed)
 			if _, err := br.Peek(1); err != nil && s.run.ctx.Err() == nil {
 				return
 			}
 		}()
-		var a callResult
+		var result callResult
 		select {
-		case a = <-answers:
+		case result = <-results:
 			nc.SetReadDeadline(time.Unix(1, 0))
-			<-gone
-		case <-gone:
+			<-connClosed
+		case <-connClosed:
 			s.run.world.Do(s.run.ctx, func() { s.run.world.CallAbandoned(from.Index, id) })
 			return
 		case <-s.run.ctx.Done():
 			return
 		}
-		if !writeResponse(nc, a) {
+		if !writeResponse(nc, result) {
 			return
 		}
 	}
 }
 
 // answer writes the protocol's answer and tells whether the connection goes on.
-func writeResponse(nc net.Conn, a callResult) bool {
-	text := ""
-	switch a.outcome {
+func writeResponse(nc net.Conn, result callResult) bool {
+	response := ""
+	switch result.outcome {
 	case choice.Success:
-		text = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+		response = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	case choice.ServerError:
-		text = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
+		response = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
 	case choice.Rejected:
-		if text = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"; a.retryAfter > 0 {
-			text = "HTTP/1.1 429 Too Many Requests\r\nRetry-After: " + strconv.FormatFloat(a.retryAfter.Seconds(), 'f', 3, 64) + "\r\nContent-Length: 0\r\n\r\n"
+		if response = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"; result.retryAfter > 0 {
+			response = "HTTP/1.1 429 Too Many Requests\r\nRetry-After: " + strconv.FormatFloat(result.retryAfter.Seconds(), 'f', 3, 64) + "\r\nContent-Length: 0\r\n\r\n"
 		}
 	default:
 		if t, ok := nc.(*net.TCPConn); ok {
@@ -174,7 +174,7 @@
 		}
 		return false
 	}
-	_, err := io.WriteString(nc, text)
+	_, err := io.WriteString(nc, response)
 	return err == nil
 }
 
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -117,14 +117,14 @@
 // serve: only then the day begins.
 func (r *run) start() error {
 	var parties []relay.Party
-	var faces, owns []string
+	var faceAddrs, ownAddrs []string
 	for _, n := range r.nodes {
 		parties = append(parties, n.party)
 		r.zones[n.party] = r.day.Nodes[n.index].Zone
-		faces = append(faces, process.HostPort(r.block.FaceAddr(n.party), process.PeerPort))
-		owns = append(owns, process.HostPort(r.block.OwnAddr(n.party), process.PeerPort))
+		faceAddrs = append(faceAddrs, process.HostPort(r.block.FaceAddr(n.party), process.PeerPort))
+		ownAddrs = append(ownAddrs, process.HostPort(r.block.OwnAddr(n.party), process.PeerPort))
 	}
-	if err := r.network.ListenUDP(parties, faces, owns); err != nil {
+	if err := r.network.ListenUDP(parties, faceAddrs, ownAddrs); err != nil {
 		return err
 	}
 	for _, e := range r.world.List() {
@@ -133,14 +133,14 @@
 		}
 	}
 	for _, n := range r.nodes {
-		if err := n.writeConfig(faces); err != nil {
+		if err := n.writeConfig(faceAddrs); err != nil {
 			return err
 		}
 		n.Start()
 	}
 	for _, n := range r.nodes {
-		for end := time.Now().Add(readyTimeout); !n.isServing(); time.Sleep(10 * time.Millisecond) {
-			if time.Now().After(end) || r.ctx.Err() != nil {
+		for deadline := time.Now().Add(readyTimeout); !n.isServing(); time.Sleep(10 * time.Millisecond) {
+			if time.Now().After(deadline) || r.ctx.Err() != nil {
 				return fmt.Errorf("node %d does not serve", n.index)
 			}
 		}
@@ -151,20 +151,20 @@
 // open opens the socket of an endpoint and its face, and tells all nodes of it.
 func (r *run) addEndpoint(e model.ListEntry) error {
 	r.mu.Lock()
-	p := relay.Party{Kind: relay.Partner, Index: len(r.parties)}
-	r.parties = append(r.parties, p)
-	r.zones[p] = e.Zone
+	party := relay.Party{Kind: relay.Partner, Index: len(r.parties)}
+	r.parties = append(r.parties, party)
+	r.zones[party] = e.Zone
 	r.mu.Unlock()
-	own, face := process.HostPort(r.block.OwnAddr(p), process.PartnerPort), process.HostPort(r.block.FaceAddr(p), process.PartnerPort)
-	s, err := newEndpointServer(r, p, e.Endpoint, own)
+	ownAddr, faceAddr := process.HostPort(r.block.OwnAddr(party), process.PartnerPort), process.HostPort(r.block.FaceAddr(party), process.PartnerPort)
+	s, err := newEndpointServer(r, party, e.Endpoint, ownAddr)
 	if err != nil {
 		return err
 	}
-	s.faceAddr = face
+	s.faceAddr = faceAddr
 	r.mu.Lock()
 	r.servers[e.Endpoint] = s
 	r.mu.Unlock()
-	if err := r.network.ListenTCP(face, p, own); err != nil {
+	if err := r.network.ListenTCP(faceAddr, party, ownAddr); err != nil {
 		return err
 	}
 	for _, n := range r.nodes {
@@ -193,29 +193,29 @@
 }
 
 // impair plays the troubles of the network that the model leaves to the ways.
-func (r *run) injectNetworkFault(t model.Fault) {
-	if t.Kind != model.ZonePartition && t.Kind != model.DatagramsBlocked || !backoff.Sleep(r.ctx, t.At) {
+func (r *run) injectNetworkFault(fault model.Fault) {
+	if fault.Kind != model.ZonePartition && fault.Kind != model.DatagramsBlocked || !backoff.Sleep(r.ctx, fault.At) {
 		return
 	}
 	from, to := relay.PartySet{}, relay.PartySet{}
 	var rules []*relay.FaultRule
 	r.mu.Lock()
 	for p, zone := range r.zones {
-		if t.Kind == model.ZonePartition && zone == t.Zone {
+		if fault.Kind == model.ZonePartition && zone == fault.Zone {
 			from[p] = true
-		} else if t.Kind == model.ZonePartition {
+		} else if fault.Kind == model.ZonePartition {
 			to[p] = true
 		} else if p.Kind == relay.Node {
 			from[p] = true
-			to[p] = len(t.Nodes) == 0 || slices.Contains(t.Nodes, p.Index)
+			to[p] = len(fault.Nodes) == 0 || slices.Contains(fault.Nodes, p.Index)
 		}
 	}
 	r.mu.Unlock()
 	rules = append(rules, r.network.AddFault(from, to, relay.Fault{ResetOnHeal: true}))
-	if t.Kind == model.ZonePartition {
+	if fault.Kind == model.ZonePartition {
 		rules = append(rules, r.network.AddFault(to, from, relay.Fault{ResetOnHeal: true}))
 	}
-	backoff.Sleep(r.ctx, t.Duration)
+	backoff.Sleep(r.ctx, fault.Duration)
 	for _, rule := range rules {
 		r.network.RemoveFault(rule)
 	}
--- a/internal/lab/loopback/node.go
+++ b/internal/lab/loopback/node.go
@@ -43,22 +43,22 @@
 	watchers map[chan []byte]bool
 }
 
-func newNode(r *run, n int, dir string) (*node, error) {
-	state := filepath.Join(dir, "state")
-	if err := os.MkdirAll(state, 0o700); err != nil {
+func newNode(r *run, index int, dir string) (*node, error) {
+	stateDir := filepath.Join(dir, "state")
+	if err := os.MkdirAll(stateDir, 0o700); err != nil {
 		return nil, err
 	}
-	self := relay.Party{Kind: relay.Node, Index: n}
-	front, err := net.Listen("tcp4", process.HostPort(r.block.OwnAddr(self), process.AgentPort))
+	party := relay.Party{Kind: relay.Node, Index: index}
+	platformListener, err := net.Listen("tcp4", process.HostPort(r.block.OwnAddr(party), process.AgentPort))
 	if err != nil {
 		return nil, err
 	}
 	x := &node{
-		run: r, index: n, party: self, dir: dir, addr: process.HostPort(r.block.OwnAddr(self), process.ClientPort), platformListener: front,
+		run: r, index: index, party: party, dir: dir, addr: process.HostPort(r.block.OwnAddr(party), process.ClientPort), platformListener: platformListener,
 		clients: make(chan *client.Client, maxClientConns), revision: 1, members: map[string]listwatch.Member{}, watchers: map[chan []byte]bool{},
 		process: process.Process{
-			Name: self.String(), Starter: r.starter, Program: r.Program, StateDir: state, LogPath: filepath.Join(dir, "log"),
-			Env: []string{"ROUTER_CONFIG=" + filepath.Join(dir, "config.json"), "ROUTER_STATE=" + state},
+			Name: party.String(), Starter: r.starter, Program: r.Program, StateDir: stateDir, LogPath: filepath.Join(dir, "log"),
+			Env: []string{"ROUTER_CONFIG=" + filepath.Join(dir, "config.json"), "ROUTER_STATE=" + stateDir},
 		},
 	}
 	for range maxClientConns {
@@ -68,20 +68,20 @@
 	mux.HandleFunc("GET /registry/instances", x.serveInstances)
 	mux.HandleFunc("POST /reports", x.serveReports)
 	x.platform = http.Server{Handler: mux}
-	x.platformServing.Go(func() { x.platform.Serve(front) }) // its error says that it was closed
+	x.platformServing.Go(func() { x.platform.Serve(platformListener) }) // its error says that it was closed
 	return x, nil
 }
 
 // set changes the list as this node sees it, and tells its watchers.
 func (x *node) updateMember(e model.ListEntry) {
-	socket := x.run.server(e.Endpoint)
-	if socket == nil {
+	server := x.run.server(e.Endpoint)
+	if server == nil {
 		return // it could not be opened, which has been told
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	m := listwatch.Member{
-		ID: e.Endpoint, Addr: socket.faceAddr, Locality: fmt.Sprint("z", e.Zone), Flavor: fmt.Sprint("k", e.Kind), Cell: e.Dest,
+		ID: e.Endpoint, Addr: server.faceAddr, Locality: fmt.Sprint("z", e.Zone), Flavor: fmt.Sprint("k", e.Kind), Cell: e.Dest,
 		Phase: memberPhases[e.Phase], Size: e.Weight,
 	}
 	x.revision++
@@ -110,27 +110,27 @@
 }
 
 func (x *node) serveInstances(w http.ResponseWriter, r *http.Request) {
-	lines := make(chan []byte, 64)
+	updates := make(chan []byte, 64)
 	x.mu.Lock()
-	first, err := json.Marshal(x.completeList())
-	x.watchers[lines] = true
+	initial, err := json.Marshal(x.completeList())
+	x.watchers[updates] = true
 	x.mu.Unlock()
 	defer func() {
 		x.mu.Lock()
-		delete(x.watchers, lines)
+		delete(x.watchers, updates)
 		x.mu.Unlock()
 	}()
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	for line := first; ; {
+	for line := initial; ; {
 		if _, err := w.Write(append(line, '\n')); err != nil || r.FormValue("watch") == "" {
 			return
 		}
 		w.(http.Flusher).Flush()
 		select {
-		case line = <-lines:
+		case line = <-updates:
 		case <-time.After(2 * time.Second):
 			line = nil
 		case <-r.Context().Done():
@@ -158,24 +158,24 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		told := model.SubmitRejected
+		result := model.SubmitRejected
 		if n.State == "failed" {
-			told = model.SubmitFailed
+			result = model.SubmitFailed
 		}
-		x.run.world.Do(x.run.ctx, func() { x.run.world.Notice(x.index, n.ID, told, time.Duration(n.AfterMS)*time.Millisecond) })
+		x.run.world.Do(x.run.ctx, func() { x.run.world.Notice(x.index, n.ID, result, time.Duration(n.AfterMS)*time.Millisecond) })
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
 // configure writes the node's configuration in the platform's form.
-func (x *node) writeConfig(peers []string) error {
+func (x *node) writeConfig(peerAddrs []string) error {
 	x.mu.Lock()
 	known := x.completeList()
 	x.mu.Unlock()
 	raw, err := json.Marshal(map[string]any{
 		"name": fmt.Sprint("n", x.index), "listen": x.addr, "discovery": x.platformListener.Addr().String(), "source": x.run.block.OwnAddr(x.party).String(), "seed": fmt.Sprintf("%x", x.run.day.Seed+uint64(x.index)),
 		"limits":      map[string]any{"cores": 1, "memory_mb": 128, "sockets": 1024, "disk_mb": 3},
-		"peer_listen": process.HostPort(x.run.block.OwnAddr(x.party), process.PeerPort), "peers": peers, "known": known, "settings": platformSettings(x.run.day, x.index),
+		"peer_listen": process.HostPort(x.run.block.OwnAddr(x.party), process.PeerPort), "peers": peerAddrs, "known": known, "settings": platformSettings(x.run.day, x.index),
 	})
 	if err != nil {
 		return err
@@ -184,7 +184,7 @@
 }
 
 // settings are the day's, in the platform's words.
-func platformSettings(d *model.Day, number int) map[string]any {
+func platformSettings(d *model.Day, nodeNumber int) map[string]any {
 	ms := func(t time.Duration) float64 { return float64(t) / float64(time.Millisecond) }
 	s := d.Settings
 	var classes, tenants []any
@@ -201,19 +201,19 @@
 	for i, t := range s.Tenants {
 		tenants = append(tenants, map[string]any{"name": tenantName(i), "allowancePerS": t.PerSecond})
 	}
-	var apart []bool
-	var batch []int
+	var separateRoutes []bool
+	var maxBatches []int
 	var kinds, zones []string
 	for i, k := range s.Kinds {
-		apart, batch, kinds = append(apart, k.SeparateRoutes), append(batch, max(k.MaxBatch, 1)), append(kinds, fmt.Sprint("k", i))
+		separateRoutes, maxBatches, kinds = append(separateRoutes, k.SeparateRoutes), append(maxBatches, max(k.MaxBatch, 1)), append(kinds, fmt.Sprint("k", i))
 	}
 	for i := range d.Zones {
 		zones = append(zones, fmt.Sprint("z", i))
 	}
 	return map[string]any{
-		"fleetSize": len(d.Nodes), "myNumber": number, "categories": classes, "customers": tenants, "flavors": kinds, "failureDomains": zones,
+		"fleetSize": len(d.Nodes), "myNumber": nodeNumber, "categories": classes, "customers": tenants, "flavors": kinds, "failureDomains": zones,
 		"discovery": "pushed", "weights": "nominal", "overShareWorth": s.OverQuotaWorth, "tick": ms(s.Tick),
-		"domain": map[string]any{"decay": "line", "workers": s.Slots, "separateRoutes": apart, "kindBatch": batch},
+		"domain": map[string]any{"decay": "line", "workers": s.Slots, "separateRoutes": separateRoutes, "kindBatch": maxBatches},
 		"limits": map[string]any{
 			"dialTimeout": ms(s.DialTimeout), "connIdle": ms(s.IdleConnTimeout), "maxAttempts": s.MaxAttempts, "maxOpen": s.MaxOpenMessages,
 			"maxRetryAfter": ms(s.MaxRetryAfter), "retryAfter": s.MaxRetryAfter > 0, "cancel": s.MayCancel, "mayTell": s.PeerDatagrams,
@@ -249,26 +249,26 @@
 // Hand hands a message in. (model.Remote)
 func (x *node) Submit(m model.Submission) {
 	x.run.submissions.Go(func() {
-		told, wait := model.SubmitUnanswered, time.Duration(0)
+		result, retryAfter := model.SubmitUnanswered, time.Duration(0)
 		select {
 		case c := <-x.clients:
-			a, after, _ := c.Enqueue(client.Message{
+			a, answeredWait, _ := c.Enqueue(client.Message{
 				ID: m.ID, Class: className(m.Class), Tenant: tenantName(m.Tenant), Key: m.ID, Dest: m.Dest, TTL: m.TimeLeft, Body: []byte("body of " + m.ID),
 			})
 			x.clients <- c
-			wait = after
+			retryAfter = answeredWait
 			switch a {
 			case client.Accepted:
-				told = model.SubmitAccepted
+				result = model.SubmitAccepted
 			case client.Busy:
-				told = model.SubmitRejected
+				result = model.SubmitRejected
 			case client.Failed:
-				told = model.SubmitFailed
+				result = model.SubmitFailed
 			}
 		case <-x.run.ctx.Done():
 			return
 		}
-		x.run.world.Do(x.run.ctx, func() { x.run.world.HandleSubmitResult(x.index, m.ID, told, wait) })
+		x.run.world.Do(x.run.ctx, func() { x.run.world.HandleSubmitResult(x.index, m.ID, result, retryAfter) })
 	})
 }
 
--- a/internal/lab/paper/control.go
+++ b/internal/lab/paper/control.go
@@ -20,21 +20,23 @@
 const callSpacing = 5
 
 func newControl(name string, r *rand.Rand) control {
-	st := &controlState{}
-	bbc := func(low, high float64) func(now, x float64) bool {
-		return func(_, x float64) bool {
-			if x > high {
-				st.closed = true
-			} else if x < low {
-				st.closed = false
+	state := &controlState{}
+	bbc := func(low, high float64) func(now, ratio float64) bool {
+		return func(_, ratio float64) bool {
+			if ratio > high {
+				state.closed = true
+			} else if ratio < low {
+				state.closed = false
 			}
-			return !st.closed
+			return !state.closed
 		}
 	}
-	occ := func(at float64) func(now, x float64) bool {
-		return func(_, x float64) bool { return x <= at || r.Float64() < (at/x)*(at/x) }
+	occ := func(limit float64) func(now, ratio float64) bool {
+		return func(_, ratio float64) bool { return ratio <= limit || r.Float64() < (limit/ratio)*(limit/ratio) }
+	}
+	threshold := func(limit float64) func(now, ratio float64) bool {
+		return func(_, ratio float64) bool { return ratio <= limit }
 	}
-	level := func(at float64) func(now, x float64) bool { return func(_, x float64) bool { return x <= at } }
 	var c control
 	switch name {
 	case "bbc20-40":
@@ -46,31 +48,33 @@
 	case "occ50":
 		c.decide = occ(50)
 	case "cs50", "cs30":
-		at := 50.0
+		limit := 50.0
 		if name == "cs30" {
-			at = 30
+			limit = 30
 		}
-		c.decide = func(now, x float64) bool {
-			if x <= at {
+		c.decide = func(now, ratio float64) bool {
+			if ratio <= limit {
 				return true
 			}
-			if now < st.nextAllowed {
+			if now < state.nextAllowed {
 				return false
 			}
-			st.nextAllowed = now + callSpacing
+			state.nextAllowed = now + callSpacing
 			return true
 		}
 	case "lc30":
-		c.decide = level(30)
+		c.decide = threshold(30)
 	case "lc70":
-		c.decide = level(70)
+		c.decide = threshold(70)
 	default:
 		c.decide = func(_, _ float64) bool { return true }
 	}
 	return c
 }
 
-func (c *control) ratio(empty float64) float64 { return c.smoothedResponseTime / empty }
+func (c *control) ratio(emptyResponseTime float64) float64 {
+	return c.smoothedResponseTime / emptyResponseTime
+}
 
 func (c *control) admit(now, ratio float64) bool {
 	if c.decide(now, ratio) {
@@ -84,6 +88,6 @@
 // fade is how the response time of a proxy that takes nothing on comes down, by turned away session.
 const rejectionDecay = 0.98
 
-func (c *control) observe(took float64) {
-	c.smoothedResponseTime += measuredDelayWeight * (took - c.smoothedResponseTime)
+func (c *control) observe(responseTime float64) {
+	c.smoothedResponseTime += measuredDelayWeight * (responseTime - c.smoothedResponseTime)
 }
--- a/internal/lab/paper/paper_test.go
+++ b/internal/lab/paper/paper_test.go
@@ -13,8 +13,8 @@
 			got += Run(Config{Proxies: 4, Servers: 4, Load: load, Selection: "uniform", Sessions: 200_000, MessagesPerSession: 1, Seed: uint64(seed)}).Mean / float64(n)
 		}
 		// The rates differ by proxy; their spread moves the proxies' part by little.
-		each := load
-		want := jacksonResponseTime([]float64{each, each, each, each}, 4, proxyCapacityFactor)
+		rate := load
+		want := jacksonResponseTime([]float64{rate, rate, rate, rate}, 4, proxyCapacityFactor)
 		if diff := math.Abs(got-want) / want; diff > 0.02 {
 			t.Errorf("load %v: %.4f, in closed form %.4f, %.1f%% off", load, got, want, 100*diff)
 		} else {
@@ -44,15 +44,15 @@
 	for _, r := range rates {
 		total += r
 	}
-	each := total / float64(servers)
-	if each >= 1 {
+	serverRate := total / float64(servers)
+	if serverRate >= 1 {
 		return math.Inf(1)
 	}
 	for _, r := range rates {
 		if r >= proxyRate {
 			return math.Inf(1)
 		}
-		mean += r / total * (1/(proxyRate-r) + 1/(1-each))
+		mean += r / total * (1/(proxyRate-r) + 1/(1-serverRate))
 	}
 	return mean
 }
--- a/internal/lab/paper/sim.go
+++ b/internal/lab/paper/sim.go
@@ -102,7 +102,7 @@
 	}
 	s.emptyResponseTime = float64(cfg.MessagesPerSession) * (1/s.proxies[0].rate + 1)
 	s.knownDelays = make([]float64, cfg.Servers)
-	total := cfg.Load * float64(cfg.Servers) / float64(cfg.MessagesPerSession)
+	totalRate := cfg.Load * float64(cfg.Servers) / float64(cfg.MessagesPerSession)
 	sum := 0.0
 	for range cfg.Proxies { // the paper draws the input rates within a range
 		r := 0.75 + 0.5*s.rng.Float64()
@@ -112,7 +112,7 @@
 		s.arrivalRates, sum = append(s.arrivalRates, r), sum+r
 	}
 	for i := range s.arrivalRates {
-		s.arrivalRates[i] *= total / sum
+		s.arrivalRates[i] *= totalRate / sum
 		s.nextServer = append(s.nextServer, i)
 		s.controls = append(s.controls, newControl(cfg.Control, s.rng))
 		s.schedule(s.rng.ExpFloat64()/s.arrivalRates[i], 0, i)
@@ -150,9 +150,9 @@
 	return r
 }
 
-func (s *sim) schedule(after float64, kind, station int) {
+func (s *sim) schedule(delay float64, kind, station int) {
 	s.seq++
-	heap.Push(&s.events, event{s.now + after, s.seq, kind, station})
+	heap.Push(&s.events, event{s.now + delay, s.seq, kind, station})
 }
 
 // arrive admits a session or turns it away.
@@ -182,9 +182,9 @@
 		s.nextServer[p]++
 		return s.nextServer[p] % s.cfg.Servers
 	case "lrt":
-		best, from := -1, s.rng.IntN(s.cfg.Servers)
+		best, start := -1, s.rng.IntN(s.cfg.Servers)
 		for i := range s.cfg.Servers {
-			if n := (from + i) % s.cfg.Servers; best < 0 || s.knownDelays[n] < s.knownDelays[best] {
+			if n := (start + i) % s.cfg.Servers; best < 0 || s.knownDelays[n] < s.knownDelays[best] {
 				best = n
 			}
 		}
@@ -194,27 +194,27 @@
 }
 
 func (s *sim) enqueueAtProxy(j *session) {
-	q := &s.proxies[j.proxy]
-	if q.queue = append(q.queue, j); len(q.queue) == 1 {
-		s.schedule(s.rng.ExpFloat64()/q.rate, 1, j.proxy)
+	proxy := &s.proxies[j.proxy]
+	if proxy.queue = append(proxy.queue, j); len(proxy.queue) == 1 {
+		s.schedule(s.rng.ExpFloat64()/proxy.rate, 1, j.proxy)
 	}
 }
 
 // forward passes a message on from a proxy to its server.
 func (s *sim) forward(p int) {
-	q := &s.proxies[p]
-	j := q.queue[0]
-	if q.queue = q.queue[1:]; len(q.queue) > 0 {
-		s.schedule(s.rng.ExpFloat64()/q.rate, 1, p)
+	proxy := &s.proxies[p]
+	j := proxy.queue[0]
+	if proxy.queue = proxy.queue[1:]; len(proxy.queue) > 0 {
+		s.schedule(s.rng.ExpFloat64()/proxy.rate, 1, p)
 	}
-	t := &s.servers[j.server]
-	if s.cfg.QueueLimit > 0 && len(t.queue) >= s.cfg.QueueLimit {
+	server := &s.servers[j.server]
+	if s.cfg.QueueLimit > 0 && len(server.queue) >= s.cfg.QueueLimit {
 		s.rejectedCount++ // the session is lost there
 		return
 	}
 	j.sentAt = s.now
-	if t.queue = append(t.queue, j); len(t.queue) == 1 {
-		s.schedule(s.rng.ExpFloat64()/t.rate, 2, j.server)
+	if server.queue = append(server.queue, j); len(server.queue) == 1 {
+		s.schedule(s.rng.ExpFloat64()/server.rate, 2, j.server)
 	}
 }
 
@@ -223,19 +223,19 @@
 	reportedDelayWeight = 0.8 // and of one that a server tells
 )
 
-func (s *sim) completeService(n int) {
-	t := &s.servers[n]
-	j := t.queue[0]
-	if t.queue = t.queue[1:]; len(t.queue) > 0 {
-		s.schedule(s.rng.ExpFloat64()/t.rate, 2, n)
+func (s *sim) completeService(server int) {
+	station := &s.servers[server]
+	j := station.queue[0]
+	if station.queue = station.queue[1:]; len(station.queue) > 0 {
+		s.schedule(s.rng.ExpFloat64()/station.rate, 2, server)
 	}
 	// Proxies tell what they measure; it is older by the time that it took.
-	s.knownDelays[n] += measuredDelayWeight * (s.now - j.sentAt - s.knownDelays[n])
+	s.knownDelays[server] += measuredDelayWeight * (s.now - j.sentAt - s.knownDelays[server])
 	if j.messagesLeft--; j.messagesLeft > 0 {
 		s.enqueueAtProxy(j)
 		return
 	}
-	took := s.now - j.arrivedAt
-	s.responseTimes = append(s.responseTimes, took)
-	s.controls[j.proxy].observe(took)
+	responseTime := s.now - j.arrivedAt
+	s.responseTimes = append(s.responseTimes, responseTime)
+	s.controls[j.proxy].observe(responseTime)
 }
--- a/internal/lab/paper/study.go
+++ b/internal/lab/paper/study.go
@@ -77,13 +77,13 @@
 		at int
 	}
 	work := make(chan task)
-	var players sync.WaitGroup
+	var workers sync.WaitGroup
 	threads := s.Threads
 	if threads <= 0 {
 		threads = runtime.NumCPU()
 	}
 	for range threads {
-		players.Go(func() {
+		workers.Go(func() {
 			for t := range work {
 				results[t.c][t.at] = Run(Config{
 					Proxies: t.c.size, Servers: t.c.size, Load: loads[t.at], Selection: t.c.selection, Control: t.c.control,
@@ -101,15 +101,15 @@
 		}
 	}
 	close(work)
-	players.Wait()
+	workers.Wait()
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
 	base := func(n int) []Result { return results[name{n, "uniform", "none"}] }
-	curve := func(c name, of func(r, base Result) float64) []float64 {
+	curve := func(c name, metricOf func(r, base Result) float64) []float64 {
 		y := make([]float64, len(loads))
 		for i, r := range results[c] {
-			y[i] = of(r, base(c.size)[i])
+			y[i] = metricOf(r, base(c.size)[i])
 		}
 		return y
 	}
@@ -119,19 +119,19 @@
 	metric := func(a float64) func(r, b Result) float64 {
 		return func(r, b Result) float64 { return gain(r, b) + a*(1-r.Rejected) }
 	}
-	figure := func(no int, title string, size int, controls bool, of func(r, b Result) float64) Figure {
-		f := Figure{Name: fmt.Sprintf("Fig. %d", no), Title: fmt.Sprintf("%s (%d×%d)", title, size, size), X: loads}
+	figure := func(number int, title string, size int, controls bool, metricOf func(r, b Result) float64) Figure {
+		f := Figure{Name: fmt.Sprintf("Fig. %d", number), Title: fmt.Sprintf("%s (%d×%d)", title, size, size), X: loads}
 		if !controls {
 			for _, sel := range []string{"round-robin", "lrt"} {
-				f.Series = append(f.Series, Series{sel, curve(name{size, sel, "none"}, of)})
+				f.Series = append(f.Series, Series{sel, curve(name{size, sel, "none"}, metricOf)})
 			}
-			if no == 5 {
-				f.Series = append(f.Series, Series{"uniform", curve(name{size, "uniform", "none"}, of)})
+			if number == 5 {
+				f.Series = append(f.Series, Series{"uniform", curve(name{size, "uniform", "none"}, metricOf)})
 			}
 			return f
 		}
 		for _, c := range Controls {
-			f.Series = append(f.Series, Series{c, curve(name{size, "lrt", c}, of)})
+			f.Series = append(f.Series, Series{c, curve(name{size, "lrt", c}, metricOf)})
 		}
 		return f
 	}
@@ -169,8 +169,8 @@
 }
 
 // Table writes figures for people.
-func WriteTable(w io.Writer, all []Figure) error {
-	for _, f := range all {
+func WriteTable(w io.Writer, figures []Figure) error {
+	for _, f := range figures {
 		fmt.Fprintf(w, "\n%s: %s\n", f.Name, f.Title)
 		t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 		for i := range f.X {
@@ -201,13 +201,13 @@
 `))
 
 // Report writes the figures as one page.
-func WriteReport(w io.Writer, all []Figure) error {
+func WriteReport(w io.Writer, figures []Figure) error {
 	type drawn struct {
 		Title string
 		SVG   template.HTML
 	}
 	var out []drawn
-	for _, f := range all {
+	for _, f := range figures {
 		p := plot.New()
 		p.Legend.Top = true
 		p.X.Label.Text = "normalized offered load"
--- a/internal/lab/watchers/watchers.go
+++ b/internal/lab/watchers/watchers.go
@@ -55,7 +55,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, o.Timeout)
 	defer cancel()
-	var bytes atomic.Int64
+	var bytesRead atomic.Int64
 	client := &http.Client{Transport: &http.Transport{
 		DisableCompression: true, MaxIdleConnsPerHost: o.Count,
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -63,15 +63,15 @@
 			if err != nil {
 				return nil, err
 			}
-			return countingConn{nc, &bytes}, nil
+			return countingConn{nc, &bytesRead}, nil
 		},
 	}}
 	defer client.CloseIdleConnections()
 	var mu sync.Mutex
-	var asks []time.Duration
-	times := hdrhistogram.New(1, (20 * time.Minute).Microseconds(), 3)
-	began := time.Now()
-	var all sync.WaitGroup
+	var requestTimes []time.Duration
+	listLatency := hdrhistogram.New(1, (20 * time.Minute).Microseconds(), 3)
+	start := time.Now()
+	var running sync.WaitGroup
 	listed := make(chan struct{}, o.Count)
 	for i := range o.Count {
 		w := listwatch.Watcher{
@@ -80,7 +80,7 @@
 			OnRequest: func() {
 				mu.Lock()
 				defer mu.Unlock()
-				asks = append(asks, time.Since(began))
+				requestTimes = append(requestTimes, time.Since(start))
 			},
 			OnRetryLater: func() {
 				mu.Lock()
@@ -95,13 +95,13 @@
 			r.RevisionsSeen++
 			if first {
 				first = false
-				took := time.Since(began)
-				r.Slowest = max(r.Slowest, took)
-				times.RecordValue(max(took.Microseconds(), 1)) // bounded by For
+				latency := time.Since(start)
+				r.Slowest = max(r.Slowest, latency)
+				listLatency.RecordValue(max(latency.Microseconds(), 1)) // bounded by For
 				listed <- struct{}{}
 			}
 		}
-		all.Go(func() { w.Run(ctx, 0) })
+		running.Go(func() { w.Run(ctx, 0) })
 	}
 wait:
 	for r.WithoutList = o.Count; r.WithoutList > 0; r.WithoutList-- {
@@ -118,12 +118,12 @@
 		}
 	}
 	cancel()
-	all.Wait()
-	r.Listed, r.Requests, r.ListBytes = o.Count-r.WithoutList, len(asks), bytes.Load()
-	r.Median = time.Duration(times.ValueAtQuantile(50)) * time.Microsecond
-	r.P99 = time.Duration(times.ValueAtQuantile(99)) * time.Microsecond
-	for from, i := 0, 0; i < len(asks); i++ {
-		for asks[i]-asks[from] >= time.Second {
+	running.Wait()
+	r.Listed, r.Requests, r.ListBytes = o.Count-r.WithoutList, len(requestTimes), bytesRead.Load()
+	r.Median = time.Duration(listLatency.ValueAtQuantile(50)) * time.Microsecond
+	r.P99 = time.Duration(listLatency.ValueAtQuantile(99)) * time.Microsecond
+	for from, i := 0, 0; i < len(requestTimes); i++ {
+		for requestTimes[i]-requestTimes[from] >= time.Second {
 			from++
 		}
 		r.PeakPerSecond = max(r.PeakPerSecond, i-from+1)
--- a/internal/lab/watchers/watchers_test.go
+++ b/internal/lab/watchers/watchers_test.go
@@ -14,7 +14,7 @@
 // A real list server that takes few a second serves all who begin at once, turned or not; who keeps a turn is hardly ever
 // told to come later.
 func TestServerServesAllStartingWatchers(t *testing.T) {
-	for name, turned := range map[string]bool{"turned": true, "all at once": false} {
+	for name, paced := range map[string]bool{"turned": true, "all at once": false} {
 		t.Run(name, func(t *testing.T) {
 			log := slog.New(slog.DiscardHandler)
 			s, err := registry.New(registry.Config{
@@ -27,26 +27,26 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			front := s.HTTPServer(s.Handler(), 1000, log)
+			httpServer := s.HTTPServer(s.Handler(), 1000, log)
 			ctx, cancel := context.WithCancel(context.Background())
-			ended := make(chan error, 2)
-			go func() { ended <- front.Serve(ln) }()
-			go func() { ended <- s.Run(ctx) }()
+			exited := make(chan error, 2)
+			go func() { exited <- httpServer.Serve(ln) }()
+			go func() { exited <- s.Run(ctx) }()
 			defer func() {
 				cancel()
-				front.Close()
+				httpServer.Close()
 				for range 2 {
-					if err := <-ended; err != nil && err != http.ErrServerClosed {
+					if err := <-exited; err != nil && err != http.ErrServerClosed {
 						t.Error(err)
 					}
 				}
 			}()
 			const count = 200
-			r, err := Run(t.Context(), Options{Servers: []string{ln.Addr().String()}, Count: count, Timeout: 20 * time.Second, PaceStart: turned})
+			r, err := Run(t.Context(), Options{Servers: []string{ln.Addr().String()}, Count: count, Timeout: 20 * time.Second, PaceStart: paced})
 			if err != nil || r.Listed != count {
 				t.Fatalf("%+v, %v", r, err)
 			}
-			if t.Logf("%+v", r); turned && r.RetryLaters > count/10 || !turned && r.RetryLaters < count/4 || r.Requests < count+r.RetryLaters {
+			if t.Logf("%+v", r); paced && r.RetryLaters > count/10 || !paced && r.RetryLaters < count/4 || r.Requests < count+r.RetryLaters {
 				t.Errorf("%d asks, %d told to come later", r.Requests, r.RetryLaters)
 			}
 		})
