--- a/cmd/harrierlab/main.go
+++ b/cmd/harrierlab/main.go
@@ -1,5 +1,5 @@
-// Command harrierlab is the lab: an emulator of partners, clients and a fleet, with experiments and reports.
-// 'harrierlab help' lists its commands.
+// Command harrierlab simulates partners, clients and a fleet of delivery nodes, and runs experiments on them with
+// reports. 'harrierlab help' lists its commands.
 package main
 
 import (
--- a/internal/lab/cli/cli.go
+++ b/internal/lab/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the command line of the lab.
+// Package cli implements the commands of harrierlab, the lab's command line.
 package cli
 
 import (
@@ -19,12 +19,13 @@
 	"harrierramp/internal/lab/policy"
 )
 
-// Main runs a command line and returns the exit status: 1 for what failed, 2 for a wrong command line.
+// Main runs a command line and returns the exit status: 0 for success, 1 for a failed command, 2 for a wrong command
+// line.
 func Main(args []string, stdout, stderr io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	root := &cobra.Command{
-		Use: "harrierlab", Short: "Emulates partners, clients and a fleet, and plays experiments on them",
+		Use: "harrierlab", Short: "Simulate partners, clients and a fleet of delivery nodes, and run experiments on them",
 		Example:       "  harrierlab run lab/small.toml --out small.jsonl --html small.html\n  harrierlab day split --nodes 60 --seed 3",
 		SilenceErrors: true, SilenceUsage: true,
 	}
@@ -48,7 +49,7 @@
 	var out, html string
 	var threads int
 	c := &cobra.Command{
-		Use: "run EXPERIMENT", Short: "Play an experiment, go on where it was cut off, and print its table", Args: cobra.ExactArgs(1),
+		Use: "run EXPERIMENT", Short: "Run an experiment, resume it if it was interrupted, and print its table of results", Args: cobra.ExactArgs(1),
 		Example: "  harrierlab run lab/small.toml --out small.jsonl --html small.html",
 		RunE: func(c *cobra.Command, args []string) error {
 			e, err := experiment.Load(args[0])
@@ -58,9 +59,9 @@
 			if out == "" {
 				out = strings.TrimSuffix(args[0], ".toml") + ".jsonl"
 			}
-			results, err := e.Run(c.Context(), out, threads, func(done, summaries int) {
-				fmt.Fprintf(c.ErrOrStderr(), "\r%d of %d runs", done, summaries)
-				if done == summaries {
+			results, err := e.Run(c.Context(), out, threads, func(done, total int) {
+				fmt.Fprintf(c.ErrOrStderr(), "\r%d of %d runs", done, total)
+				if done == total {
 					fmt.Fprintln(c.ErrOrStderr())
 				}
 			})
@@ -79,13 +80,14 @@
 			return reportProblems(c, results)
 		},
 	}
-	c.Flags().StringVar(&out, "out", "", "file of results, a JSON line a run (default: beside the experiment)")
-	c.Flags().StringVar(&html, "html", "", "write a report with plots, one file")
-	c.Flags().IntVar(&threads, "threads", 0, "runs at once (default: as many as cores)")
+	c.Flags().StringVar(&out, "out", "", "results file, one JSON line per run (default: beside the experiment file)")
+	c.Flags().StringVar(&html, "html", "", "write a report with plots to this file, as one self-contained page")
+	c.Flags().IntVar(&threads, "threads", 0, "number of parallel runs (default: one per core)")
 	return c
 }
 
-// complain prints the runs that failed or broke a rule. Only those of the project's own sender are a failure.
+// reportProblems prints the runs that failed or broke a rule. It returns an error only if runs of the project's own
+// sender are among them: policies whose name begins with "ours".
 func reportProblems(c *cobra.Command, results []experiment.RunResult) error {
 	failures := 0
 	for _, p := range experiment.Problems(results) {
@@ -100,6 +102,7 @@
 	return nil
 }
 
+// writeReport writes the report of an experiment to a file.
 func writeReport(path string, e experiment.Experiment, results []experiment.RunResult, summaries []experiment.Summary) error {
 	f, err := os.Create(path)
 	if err != nil {
@@ -112,17 +115,17 @@
 	return f.Close()
 }
 
-// jobFlags name one run.
+// addJobFlags adds the flags that select a run.
 func addJobFlags(c *cobra.Command, j *experiment.Job) {
-	c.Flags().StringVar(&j.Policy, "policy", "ours", "who decides: see 'harrierlab policies'")
-	c.Flags().IntVar(&j.Nodes, "nodes", 60, "nodes of the fleet")
-	c.Flags().Uint64Var(&j.Seed, "seed", 1, "of the day and all chance in it")
+	c.Flags().StringVar(&j.Policy, "policy", "ours", "policy that decides for the nodes, see 'harrierlab policies'")
+	c.Flags().IntVar(&j.Nodes, "nodes", 60, "number of nodes in the fleet")
+	c.Flags().Uint64Var(&j.Seed, "seed", 1, "seed of the day and of all random numbers in it")
 }
 
 func newDay() *cobra.Command {
 	var j experiment.Job
 	c := &cobra.Command{
-		Use: "day KIND", Short: "Play one day and print what came of it", Args: cobra.ExactArgs(1),
+		Use: "day KIND", Short: "Simulate one day and print its result", Args: cobra.ExactArgs(1),
 		Example: "  harrierlab day split --nodes 60 --seed 3 --policy lrt+bbc60-80",
 		RunE: func(c *cobra.Command, args []string) error {
 			j.Day = args[0]
@@ -137,13 +140,14 @@
 	return c
 }
 
-// tracer prints the events of one message.
+// tracer prints the events of one message, including those of its resubmissions.
 type tracer struct {
 	w         io.Writer
 	messageID string
 	found     bool
 }
 
+// Observe prints an event if it belongs to the message. It implements model.Observer.
 func (t *tracer) Observe(e *model.Event) {
 	if e.Msg == t.messageID || e.FirstID == t.messageID && t.messageID != "" {
 		t.found = true
@@ -154,7 +158,7 @@
 func newTrace() *cobra.Command {
 	var j experiment.Job
 	c := &cobra.Command{
-		Use: "trace KIND MSG", Short: "Print one message's life across the fleet", Args: cobra.ExactArgs(2),
+		Use: "trace KIND MSG", Short: "Simulate one day and print all events of one message across the fleet", Args: cobra.ExactArgs(2),
 		Example: "  harrierlab trace split m812 --nodes 60 --seed 3",
 		RunE: func(c *cobra.Command, args []string) error {
 			j.Day = args[0]
@@ -163,7 +167,7 @@
 				return fmt.Errorf("%s", line.Error)
 			}
 			if !t.found {
-				return fmt.Errorf("no message %s on that day", args[1])
+				return fmt.Errorf("no message %s on this day", args[1])
 			}
 			return nil
 		},
@@ -174,7 +178,7 @@
 
 func newCompare() *cobra.Command {
 	return &cobra.Command{
-		Use: "compare BEFORE AFTER", Short: "Tell what moved between two files of results", Args: cobra.ExactArgs(2),
+		Use: "compare BEFORE AFTER", Short: "Print the changes between two results files", Args: cobra.ExactArgs(2),
 		Example: "  harrierlab compare before.jsonl after.jsonl",
 		RunE: func(c *cobra.Command, args []string) error {
 			before, err := experiment.ReadResults(args[0])
@@ -193,7 +197,7 @@
 func newLosses() *cobra.Command {
 	var j experiment.Job
 	c := &cobra.Command{
-		Use: "losses KIND", Short: "Play one day and tell where its worth went, by cause, phase and kind of destination", Args: cobra.ExactArgs(1),
+		Use: "losses KIND", Short: "Simulate one day and print the lost worth by cause, phase and kind of destination", Args: cobra.ExactArgs(1),
 		Example: "  harrierlab losses split --nodes 300 --seed 3",
 		RunE: func(c *cobra.Command, args []string) error {
 			j.Day = args[0]
@@ -214,7 +218,7 @@
 
 func newPolicies() *cobra.Command {
 	return &cobra.Command{
-		Use: "policies", Short: "List who may decide", Args: cobra.NoArgs, Example: "  harrierlab policies",
+		Use: "policies", Short: "List the policies", Args: cobra.NoArgs, Example: "  harrierlab policies",
 		RunE: func(c *cobra.Command, _ []string) error {
 			_, err := fmt.Fprintln(c.OutOrStdout(), strings.Join(policy.Names(), "\n"))
 			return err
--- a/internal/lab/cli/load.go
+++ b/internal/lab/cli/load.go
@@ -17,7 +17,7 @@
 	var ttl time.Duration
 	var ledgerPath string
 	c := &cobra.Command{
-		Use: "load", Short: "Drive a running fleet over RESP2, in an open loop", Args: cobra.NoArgs,
+		Use: "load", Short: "Generate load on a running fleet over RESP2, in an open loop", Args: cobra.NoArgs,
 		Example: "  harrierlab load --nodes 127.0.0.1:6379 --rate 500 --for 20s --dests 3 --class notice\n" +
 			"  harrierlab load --nodes 127.0.0.1:6379,127.0.0.1:6380 --rate 100 --ramp-to 2000 --steps 5 --for 1m --class notice",
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -25,7 +25,7 @@
 				cfg.Classes = append(cfg.Classes, load.Class{Name: name, Share: 1, TTL: ttl})
 			}
 			r, err := load.Run(c.Context(), cfg, func(sent int, rate float64) {
-				fmt.Fprintf(c.ErrOrStderr(), "\r%d handed in, %.0f a second", sent, rate)
+				fmt.Fprintf(c.ErrOrStderr(), "\r%d messages submitted, %.0f per second", sent, rate)
 			})
 			fmt.Fprintln(c.ErrOrStderr())
 			if err != nil {
@@ -40,19 +40,19 @@
 		},
 	}
 	f := c.Flags()
-	f.StringSliceVar(&cfg.Nodes, "nodes", nil, "addresses of nodes, on loopback")
-	f.Float64Var(&cfg.Rate, "rate", cfg.Rate, "messages a second, of all nodes together")
-	f.Float64Var(&cfg.RampTo, "ramp-to", 0, "the rate goes to this over the run")
-	f.IntVar(&cfg.RampSteps, "steps", 0, "and in so many steps")
-	f.StringVar(&cfg.Pattern, "pattern", cfg.Pattern, "poisson, even or clumps")
-	f.IntVar(&cfg.Count, "count", 0, "messages at most")
-	f.DurationVar(&cfg.Duration, "for", 0, "how long")
-	f.IntVar(&cfg.ConnsPerNode, "conns", cfg.ConnsPerNode, "connections to each node")
-	f.IntVar(&cfg.Dests, "dests", cfg.Dests, "destinations, from 0")
-	f.StringSliceVar(&classNames, "class", []string{"notice"}, "classes of messages, in equal parts")
-	f.DurationVar(&ttl, "life", 10*time.Second, "of a message")
-	f.IntVar(&cfg.BodyBytes, "body", cfg.BodyBytes, "bytes of a body")
-	f.Uint64Var(&cfg.Seed, "seed", cfg.Seed, "of all chance; also in the messages' ids")
-	f.StringVar(&ledgerPath, "ledger", "", "write the ids that were taken on to a file")
+	f.StringSliceVar(&cfg.Nodes, "nodes", nil, "loopback addresses of the nodes")
+	f.Float64Var(&cfg.Rate, "rate", cfg.Rate, "messages per second, to all nodes together")
+	f.Float64Var(&cfg.RampTo, "ramp-to", 0, "rate at the end of the run, reached by a linear ramp")
+	f.IntVar(&cfg.RampSteps, "steps", 0, "number of steps of the ramp (default: continuous)")
+	f.StringVar(&cfg.Pattern, "pattern", cfg.Pattern, "pattern of arrivals: poisson, even or clumps")
+	f.IntVar(&cfg.Count, "count", 0, "maximum number of messages")
+	f.DurationVar(&cfg.Duration, "for", 0, "duration of the run")
+	f.IntVar(&cfg.ConnsPerNode, "conns", cfg.ConnsPerNode, "connections per node")
+	f.IntVar(&cfg.Dests, "dests", cfg.Dests, "number of destinations, numbered from 0")
+	f.StringSliceVar(&classNames, "class", []string{"notice"}, "classes of messages, with equal shares")
+	f.DurationVar(&ttl, "life", 10*time.Second, "time to live of a message")
+	f.IntVar(&cfg.BodyBytes, "body", cfg.BodyBytes, "size of a message body in bytes")
+	f.Uint64Var(&cfg.Seed, "seed", cfg.Seed, "seed of all random numbers, and part of the message ids")
+	f.StringVar(&ledgerPath, "ledger", "", "write the ids of the accepted messages to this file")
 	return c
 }
--- a/internal/lab/cli/loopback.go
+++ b/internal/lab/cli/loopback.go
@@ -20,7 +20,7 @@
 	var program string
 	var verbose bool
 	c := &cobra.Command{
-		Use: "loopback KIND", Short: "Play a day in real time on real sockets, with real nodes that are killed for real", Args: cobra.ExactArgs(1),
+		Use: "loopback KIND", Short: "Run a day in real time with real node processes on loopback sockets, which are killed and restarted", Args: cobra.ExactArgs(1),
 		Example: "  harrierlab loopback herd --nodes 3 --seed 1 --length 12s",
 		RunE: func(c *cobra.Command, args []string) error {
 			j.Day = args[0]
@@ -51,15 +51,15 @@
 			return nil
 		},
 	}
-	c.Flags().IntVar(&j.Nodes, "nodes", 3, "real nodes, 100 at most")
-	c.Flags().Uint64Var(&j.Seed, "seed", 1, "of the day and all chance in it")
-	c.Flags().DurationVar(&length, "length", 0, "of arrivals (default: the day's own, 24s)")
-	c.Flags().StringVar(&program, "program", "", "harrierramp (default: beside this program, else in PATH)")
-	c.Flags().BoolVar(&verbose, "verbose", false, "show the logs of the nodes")
+	c.Flags().IntVar(&j.Nodes, "nodes", 3, "number of nodes, at most 100")
+	c.Flags().Uint64Var(&j.Seed, "seed", 1, "seed of the day and of all random numbers in it")
+	c.Flags().DurationVar(&length, "length", 0, "duration of arrivals (default: that of the day, 24s)")
+	c.Flags().StringVar(&program, "program", "", "path of the harrierramp binary (default: beside this program, else in PATH)")
+	c.Flags().BoolVar(&verbose, "verbose", false, "print the logs of the nodes")
 	return c
 }
 
-// besides is the program that nodes run.
+// findProgram returns the path of the harrierramp binary: beside this program if it is there, else from PATH.
 func findProgram() string {
 	if self, err := os.Executable(); err == nil {
 		if path := filepath.Join(filepath.Dir(self), "harrierramp"); fileExists(path) {
--- a/internal/lab/cli/partner.go
+++ b/internal/lab/cli/partner.go
@@ -16,6 +16,7 @@
 	"harrierramp/internal/partner"
 )
 
+// maxReportBytes is the largest accepted body of a request with notices.
 const maxReportBytes = 64 << 10
 
 func newPartner() *cobra.Command {
@@ -24,15 +25,15 @@
 	cfg := partner.Config{}
 	var duration time.Duration
 	c := &cobra.Command{
-		Use: "partner", Short: "Run stand-in partners, discovery and a sink for notices, for 'harrierlab load'", Args: cobra.NoArgs,
+		Use: "partner", Short: "Run stand-in partners, discovery and a receiver of notices, for 'harrierlab load'", Args: cobra.NoArgs,
 		Example: "  harrierlab partner --listen 127.0.0.1:8500 --dests 10 --latency 2ms --for 1m",
 		RunE: func(c *cobra.Command, _ []string) error {
 			host, _, err := net.SplitHostPort(listen)
 			if ip := net.ParseIP(host); err != nil || ip == nil || !ip.IsLoopback() {
-				return fmt.Errorf("%q is no address of loopback", listen)
+				return fmt.Errorf("%q is not a loopback address", listen)
 			}
 			if dests < 1 || endpoints < 1 || dests*endpoints > 2000 {
-				return errors.New("from 1 to 2000 endpoints altogether")
+				return errors.New("destinations times endpoints must be from 1 to 2000")
 			}
 			ctx, cancel := context.WithTimeout(c.Context(), duration)
 			defer cancel()
@@ -95,7 +96,7 @@
 			done := make(chan struct{})
 			go func() {
 				defer close(done)
-				srv.Serve(ln) // its error says that it was closed
+				srv.Serve(ln) // returns http.ErrServerClosed after Close
 			}()
 			fmt.Fprintf(c.OutOrStdout(), "discovery and notices at %s, %d endpoints, for %v\n", ln.Addr(), len(members), duration)
 			<-ctx.Done()
@@ -107,12 +108,12 @@
 		},
 	}
 	f := c.Flags()
-	f.StringVar(&listen, "listen", "127.0.0.1:8500", "address of discovery, on loopback")
+	f.StringVar(&listen, "listen", "127.0.0.1:8500", "loopback address on which discovery and notices are served")
 	f.IntVar(&dests, "dests", 1, "destinations")
-	f.IntVar(&endpoints, "endpoints", 1, "of each destination")
-	f.Float64Var(&cfg.Rate, "rate", 0, "calls a second that an endpoint takes; 0 for no limit")
-	f.Float64Var(&cfg.Burst, "burst", 1, "calls that it takes at once after a pause")
-	f.DurationVar(&cfg.Latency, "latency", 20*time.Millisecond, "of a call")
-	f.DurationVar(&duration, "for", 10*time.Minute, "when to end")
+	f.IntVar(&endpoints, "endpoints", 1, "endpoints per destination")
+	f.Float64Var(&cfg.Rate, "rate", 0, "rate limit of an endpoint in calls per second; 0 for no limit")
+	f.Float64Var(&cfg.Burst, "burst", 1, "burst of the rate limit, in calls")
+	f.DurationVar(&cfg.Latency, "latency", 20*time.Millisecond, "duration of a call")
+	f.DurationVar(&duration, "for", 10*time.Minute, "how long to run")
 	return c
 }
--- a/internal/lab/cli/stage.go
+++ b/internal/lab/cli/stage.go
@@ -19,10 +19,11 @@
 	var nodes int
 	var quiet bool
 	c := &cobra.Command{
-		Use: "stage SCRIPT", Short: "Play real list servers and nodes with faults on the ways between them", Args: cobra.ExactArgs(1),
-		Long: `Play a script: real list servers, up to 300 real nodes, stand-in partners and clients on loopback, with a relay on every
-way between them that can be cut, slowed or spoilt, and with processes paused, killed, emptied and filled. It judges by
-what clients, partners and relays see. The status is 1 when a rule is broken or the script expects something else.`,
+		Use: "stage SCRIPT", Short: "Run a script on real list servers and nodes, with faults injected between them", Args: cobra.ExactArgs(1),
+		Long: `Run a script on real list servers, up to 300 real nodes, stand-in partners and clients on loopback. A relay on every
+path between them can block, slow down or corrupt the traffic, and processes can be paused, killed, have their state
+deleted or their disk filled. The rules are checked against what clients, partners and relays observe. The exit status
+is 1 if a rule is broken or an expectation of the script is not met.`,
 		Example: "  harrierlab stage lab/stage/cold.toml --html cold.html",
 		RunE: func(c *cobra.Command, args []string) error {
 			s, err := stage.Load(args[0])
@@ -58,19 +59,19 @@
 		},
 	}
 	f := c.Flags()
-	f.StringVar(&options.Program, "program", "", "harrierramp (default: beside this program, else in PATH)")
-	f.StringVar(&options.Dir, "dir", "", "folder for configurations, logs and lasting folders, which stay there (default: one that goes)")
-	f.StringArrayVar(&options.ServerArgs, "server-arg", nil, "one more argument of list servers; may be given often")
-	f.StringArrayVar(&options.NodeArgs, "node-arg", nil, "one more argument of nodes; may be given often")
-	f.StringVar(&htmlPath, "html", "", "write a page with what happened over time")
-	f.StringVar(&jsonPath, "json", "", "write figures and bins of 100 ms")
-	f.Uint64Var(&seed, "seed", 1, "in place of the script's")
-	f.IntVar(&nodes, "nodes", 0, "in place of the script's")
-	f.BoolVar(&quiet, "quiet", false, "don't tell what is done")
+	f.StringVar(&options.Program, "program", "", "path of the harrierramp binary (default: beside this program, else in PATH)")
+	f.StringVar(&options.Dir, "dir", "", "directory for configurations, logs and state, which is kept (default: a temporary one, removed at the end)")
+	f.StringArrayVar(&options.ServerArgs, "server-arg", nil, "additional argument for the list servers; may be repeated")
+	f.StringArrayVar(&options.NodeArgs, "node-arg", nil, "additional argument for the nodes; may be repeated")
+	f.StringVar(&htmlPath, "html", "", "write a page with plots over time to this file")
+	f.StringVar(&jsonPath, "json", "", "write the figures and the counts per 100 ms to this file, as JSON")
+	f.Uint64Var(&seed, "seed", 1, "seed, in place of the script's")
+	f.IntVar(&nodes, "nodes", 0, "number of nodes, in place of the script's")
+	f.BoolVar(&quiet, "quiet", false, "don't print progress")
 	return c
 }
 
-// save writes a file, if there is a name for it.
+// writeFile creates a file and writes it with the given function. An empty path writes nothing.
 func writeFile(path string, write func(io.Writer) error) error {
 	if path == "" {
 		return nil
--- a/internal/lab/cli/watchers.go
+++ b/internal/lab/cli/watchers.go
@@ -13,7 +13,7 @@
 	options := watchers.Options{}
 	var atOnce bool
 	c := &cobra.Command{
-		Use: "watchers", Short: "Put stand-in watchers on a list server, as many as a fleet has nodes", Args: cobra.NoArgs,
+		Use: "watchers", Short: "Simulate as many watchers at list servers as a fleet has nodes", Args: cobra.NoArgs,
 		Example: "  harrierlab watchers --servers 127.0.0.1:8500 --count 3000",
 		RunE: func(c *cobra.Command, _ []string) error {
 			options.PaceStart = !atOnce
@@ -25,10 +25,10 @@
 		},
 	}
 	f := c.Flags()
-	f.StringSliceVar(&options.Servers, "servers", []string{"127.0.0.1:8500"}, "addresses of list servers, on loopback")
-	f.IntVar(&options.Count, "count", 300, "watchers, 10000 at most")
-	f.DurationVar(&options.Timeout, "for", time.Minute, "how long to wait at most")
-	f.DurationVar(&options.HeartbeatInterval, "beat", 0, "that servers are asked for")
-	f.BoolVar(&atOnce, "at-once", false, "all ask in the same moment and then do as they are told")
+	f.StringSliceVar(&options.Servers, "servers", []string{"127.0.0.1:8500"}, "loopback addresses of the list servers")
+	f.IntVar(&options.Count, "count", 300, "number of watchers, at most 10000")
+	f.DurationVar(&options.Timeout, "for", time.Minute, "maximum duration of the run")
+	f.DurationVar(&options.HeartbeatInterval, "beat", 0, "heartbeat interval requested from the servers")
+	f.BoolVar(&atOnce, "at-once", false, "all watchers send their first request at once, and are spread only by Retry-After")
 	return c
 }
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -1,5 +1,5 @@
-// Package experiment plays variants on days with seeds, in parallel, and says what came of it: medians, spread, and
-// differences paired by day and seed.
+// Package experiment runs variants of the delivery policy on simulated days with a set of seeds, in parallel, and
+// reports the results: medians, spread, and differences paired by day and seed.
 package experiment
 
 import (
@@ -21,29 +21,30 @@
 	"harrierramp/internal/lab/policy"
 )
 
-// Experiment is what a file asks for.
+// Experiment describes the runs that an experiment file asks for: every combination of policy, day, node count and
+// seed.
 type Experiment struct {
 	Name     string   `toml:"name"`
-	Policies []string `toml:"policies"` // see policy.Named; the first is what the others are held against
-	Days     []string `toml:"days"`     // kinds, as model.Draw knows them
+	Policies []string `toml:"policies"` // names known to policy.Named; the others are compared with the first
+	Days     []string `toml:"days"`     // kinds of days known to model.Draw
 	Nodes    []int    `toml:"nodes"`
 	Seeds    []uint64 `toml:"seeds"`
-	Length   string   `toml:"length"` // of arrivals, as "24s"; the kind's own if empty
+	Length   string   `toml:"length"` // duration of arrivals, such as "24s"; empty for the default of the kind of day
 	Faults   []struct {
 		Kind  string  `toml:"kind"`
-		At    float64 `toml:"at"`  // seconds
-		For   float64 `toml:"for"` // seconds
+		At    float64 `toml:"at"`  // start, in seconds
+		For   float64 `toml:"for"` // duration, in seconds
 		Dests []int   `toml:"destinations"`
 		Nodes []int   `toml:"nodes"`
 		Zone  *int    `toml:"zone"`
 		Size  float64 `toml:"size"`
-	} `toml:"trouble"` // on top of what the kind draws
+	} `toml:"trouble"` // in addition to the faults drawn for the kind of day
 }
 
-// maxRuns bounds an experiment.
+// maxRuns is the largest number of runs in one experiment.
 const maxRuns = 20_000
 
-// Load reads an experiment. Unknown keys are faults.
+// Load reads an experiment file and checks it. Unknown keys are an error.
 func Load(path string) (Experiment, error) {
 	var e Experiment
 	f, err := os.Open(path)
@@ -60,7 +61,7 @@
 	return e, e.Check()
 }
 
-// Check tells what is wrong with it, and fills in what was left out.
+// Check fills in the default nodes and seeds, and returns an error if the experiment is invalid.
 func (e *Experiment) Check() error {
 	if len(e.Nodes) == 0 {
 		e.Nodes = []int{60}
@@ -69,10 +70,10 @@
 		e.Seeds = []uint64{1, 2, 3}
 	}
 	if len(e.Policies) == 0 || len(e.Days) == 0 {
-		return errors.New("experiment: policies and days are needed")
+		return errors.New("experiment: at least one policy and one day are required")
 	}
 	if n := len(e.Jobs()); n > maxRuns {
-		return fmt.Errorf("experiment: %d runs, and at most %d", n, maxRuns)
+		return fmt.Errorf("experiment: %d runs, at most %d are allowed", n, maxRuns)
 	}
 	for _, p := range e.Policies {
 		if _, err := policy.Named(p); err != nil {
@@ -89,7 +90,7 @@
 	return nil
 }
 
-// Job is one run.
+// Job identifies one run.
 type Job struct {
 	Policy string `json:"policy"`
 	Day    string `json:"day"`
@@ -97,14 +98,14 @@
 	Seed   uint64 `json:"seed"`
 }
 
-// Line is a run and what came of it, a line of a file of results.
+// RunResult is a run and its outcome. A results file has one per line, encoded as JSON.
 type RunResult struct {
 	Job
 	Result *judge.Result `json:"result,omitempty"`
-	Error  string        `json:"failed,omitempty"` // the policy's failure, with what it takes to play it again
+	Error  string        `json:"failed,omitempty"` // why the run failed, with what is needed to reproduce it
 }
 
-// Jobs are all runs, in their order.
+// Jobs returns all runs of the experiment, in order.
 func (e *Experiment) Jobs() (out []Job) {
 	for _, d := range e.Days {
 		for _, n := range e.Nodes {
@@ -118,6 +119,7 @@
 	return out
 }
 
+// buildDay draws the day of a run and applies the length and the faults of the experiment to it.
 func (e *Experiment) buildDay(j Job) (model.Day, error) {
 	d, err := model.Draw(j.Day, j.Nodes, j.Seed)
 	if err != nil {
@@ -131,12 +133,12 @@
 	for _, t := range e.Faults {
 		for _, i := range t.Dests {
 			if i < 0 || i >= len(d.Dests) {
-				return d, fmt.Errorf("trouble %s: no destination %d on day %s with seed %d", t.Kind, i, j.Day, j.Seed)
+				return d, fmt.Errorf("fault %s: no destination %d on day %s with seed %d", t.Kind, i, j.Day, j.Seed)
 			}
 		}
 		for _, i := range t.Nodes {
 			if i < 0 || i >= len(d.Nodes) {
-				return d, fmt.Errorf("trouble %s: no node %d", t.Kind, i)
+				return d, fmt.Errorf("fault %s: no node %d", t.Kind, i)
 			}
 		}
 		fault := model.Fault{Kind: t.Kind, At: seconds(t.At), Duration: seconds(t.For), Dests: t.Dests, Nodes: t.Nodes, Zone: -1, Size: t.Size}
@@ -148,7 +150,7 @@
 	return d, nil
 }
 
-// Play plays one run. watch, if it is not nil, hears of everything.
+// RunJob executes one run. The observer, if it is not nil, receives every event of the run.
 func (e *Experiment) RunJob(ctx context.Context, j Job, observer model.Observer) RunResult {
 	result := RunResult{Job: j}
 	day, err := e.buildDay(j)
@@ -174,8 +176,9 @@
 	return result
 }
 
-// Run plays what the file of results at path lacks, on so many threads (0 for all cores), and returns all lines in the
-// order of Jobs. Lines are written as they come, so that a run that was cut off goes on where it was.
+// Run executes the runs that are missing from the results file at path, with the given number of threads (0 for one per
+// core), and returns all results in the order of Jobs. Each result is appended to the file as soon as it is available,
+// so that an interrupted experiment resumes where it stopped.
 func (e *Experiment) Run(ctx context.Context, path string, threads int, progress func(done, all int)) ([]RunResult, error) {
 	previous, err := ReadResults(path)
 	if err != nil {
@@ -211,7 +214,7 @@
 			}
 		})
 	}
-	go func() { // ends with the jobs or the context
+	go func() { // ends when all jobs are handed out or ctx is done
 		defer close(results)
 		defer workers.Wait()
 		defer close(work)
@@ -226,7 +229,7 @@
 	var writeErr error
 	for l := range results {
 		if ctx.Err() != nil || writeErr != nil {
-			continue // cut off in the middle: it is played again
+			continue // the run may have been interrupted, so it is not recorded and will be repeated
 		}
 		done[l.Job] = l
 		if writeErr = json.NewEncoder(file).Encode(l); writeErr != nil {
@@ -246,7 +249,7 @@
 	return all, nil
 }
 
-// ReadLines reads a file of results; none is no lines. A last line that was cut off is left out.
+// ReadResults reads a results file. A missing file gives no results, and an incomplete last line is ignored.
 func ReadResults(path string) ([]RunResult, error) {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -274,7 +277,7 @@
 	}
 }
 
-// Problems are the runs that failed or broke a rule.
+// Problems returns a description of each run that failed or broke a rule, sorted.
 func Problems(results []RunResult) []string {
 	var out []string
 	for _, l := range results {
@@ -286,7 +289,7 @@
 			for _, v := range l.Result.Violations {
 				rules[v.Rule]++
 			}
-			out = append(out, fmt.Sprintf("%s on %s, %d nodes, seed %d: %d rules broken, of those told %v", l.Policy, l.Day, l.Nodes, l.Seed, l.Result.ViolationCount, rules))
+			out = append(out, fmt.Sprintf("%s on %s, %d nodes, seed %d: %d rule violations, those recorded by rule: %v", l.Policy, l.Day, l.Nodes, l.Seed, l.Result.ViolationCount, rules))
 		}
 	}
 	slices.Sort(out)
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -15,15 +15,16 @@
 	"harrierramp/internal/lab/model"
 )
 
-var record = flag.Bool("record", false, "write the baseline of the regression anew")
+var record = flag.Bool("record", false, "rewrite the baseline of the regression test")
 
 const (
 	baselinePath = "../../../lab/ci-baseline.json"
-	tolerance    = 0.015 // of worth served, by kind of day, median of three seeds
+	tolerance    = 0.015 // allowed deviation of the worth served, per kind of day, median of three seeds
 )
 
-// The project's own sender keeps every rule on every kind of day, and serves what it served when the baseline was
-// recorded, within a band. A change that is meant to move it records a new one (-record) and says so.
+// The project's own sender keeps every rule on every kind of day, and the worth that it serves stays within the
+// tolerance of the recorded baseline. A change that is meant to move the worth records a new baseline with -record and
+// says so in its commit.
 func TestRegression(t *testing.T) {
 	e, err := Load("../../../lab/ci.toml")
 	if err != nil {
@@ -58,12 +59,13 @@
 	}
 	for _, day := range e.Days {
 		if math.Abs(got[day]-want[day]) > tolerance {
-			t.Errorf("%s: %.4f served, and the baseline is %.4f", day, got[day], want[day])
+			t.Errorf("%s: served %.4f, the baseline is %.4f", day, got[day], want[day])
 		}
 	}
 }
 
-// Runs in another order, and runs that were cut off and gone on with, give the same file in the order of the jobs.
+// An experiment that was interrupted, with a truncated last line in its results file, resumes with the missing runs
+// only, and gives the same results in the same order as an uninterrupted one, whatever the number of threads.
 func TestInterruptedRunResumesWithTheSameResults(t *testing.T) {
 	e := Experiment{Policies: []string{"ours", "lrt"}, Days: []string{"split"}, Nodes: []int{5}, Seeds: []uint64{1, 2, 3}}
 	dir := t.TempDir()
@@ -78,11 +80,11 @@
 		}
 	})
 	if err == nil {
-		t.Error("a run that was cut off ends well")
+		t.Error("an interrupted run returned no error")
 	}
 	partial, err := ReadResults(filepath.Join(dir, "b"))
 	if err != nil || len(partial) == 0 || len(partial) == len(uninterrupted) {
-		t.Fatalf("%d lines, %v", len(partial), err)
+		t.Fatalf("%d results of the interrupted run, error %v", len(partial), err)
 	}
 	truncated, err := os.OpenFile(filepath.Join(dir, "b"), os.O_APPEND|os.O_WRONLY, 0)
 	if err != nil {
@@ -98,18 +100,19 @@
 	rerun := 0
 	resumed, err := e.Run(t.Context(), filepath.Join(dir, "b"), 4, func(int, int) { rerun++ })
 	if err != nil || rerun != len(uninterrupted)-len(partial) {
-		t.Fatalf("%d runs were played again, %v", rerun, err)
+		t.Fatalf("%d runs were executed on resuming, error %v", rerun, err)
 	}
 	a, err := json.Marshal(uninterrupted)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if b, err := json.Marshal(resumed); err != nil || !bytes.Equal(a, b) {
-		t.Error("the results differ")
+		t.Error("the results of the resumed run differ from those of the uninterrupted one")
 	}
 }
 
-// Odd days end as they should: nobody comes, one destination, one node, a deadline that is met to the instant.
+// Edge cases break no rule: a day without messages, with one destination, with almost no capacity, and with a deadline
+// of zero. An unknown kind of day or an unknown policy fails the run.
 func TestEdgeCaseDaysKeepTheRules(t *testing.T) {
 	e := Experiment{}
 	for name, change := range map[string]func(d *model.Day){
@@ -128,14 +131,15 @@
 		}
 	}
 	if l := e.RunJob(t.Context(), Job{"ours", "nosuch", 3, 1}, nil); l.Error == "" {
-		t.Error("a day of no kind is played")
+		t.Error("a day of an unknown kind did not fail")
 	}
 	if l := e.RunJob(t.Context(), Job{"nobody", "calm", 3, 1}, nil); !strings.Contains(l.Error, "no policy") {
 		t.Error(l.Error)
 	}
 }
 
-// A policy that panics ends its run with what it takes to play it again.
+// A policy that panics ends its run with an error that has the seed and the number of the event, which are needed to
+// reproduce it.
 func TestPolicyPanicReportsSeedAndEvent(t *testing.T) {
 	d, err := model.Draw("calm", 3, 9)
 	if err != nil {
@@ -147,6 +151,8 @@
 	}
 }
 
+// Summaries pair the differences by seed, a comparison of results with themselves shows none, and the report page has
+// its three plots and no external references.
 func TestSummariesComparisonAndReport(t *testing.T) {
 	lines := []RunResult{}
 	for seed := range uint64(9) {
--- a/internal/lab/experiment/helpers_test.go
+++ b/internal/lab/experiment/helpers_test.go
@@ -11,6 +11,7 @@
 
 var minimalSettings = choice.Settings{Classes: []choice.Class{{}}}
 
+// runDay runs a day with the project's own sender and returns the ledger's result.
 func runDay(t *testing.T, d model.Day) *judge.Result {
 	t.Helper()
 	ledger := judge.New(&d)
--- a/internal/lab/experiment/report.go
+++ b/internal/lab/experiment/report.go
@@ -20,7 +20,7 @@
 	"harrierramp/internal/lab/judge"
 )
 
-// figure is one plot of a report.
+// figure is one plot of a report, as inline SVG.
 type figure struct {
 	Title string
 	SVG   template.HTML
@@ -41,7 +41,8 @@
 </body></html>
 `))
 
-// Report writes one self-contained page: the table, and plots over time of each day and size.
+// WriteReport writes a self-contained HTML page with the table of summaries, and plots over time for each day and node
+// count.
 func WriteReport(w io.Writer, e Experiment, results []RunResult, summaries []Summary) error {
 	data := struct {
 		Name, Base string
@@ -62,9 +63,9 @@
 				title string
 				of    func(judge.Window) float64
 			}{
-				{"worth served, by when it was asked for", func(w judge.Window) float64 { return ratio(w.Earned, w.Asked) }},
+				{"worth served, by arrival time", func(w judge.Window) float64 { return ratio(w.Earned, w.Asked) }},
 				{"share refused", func(w judge.Window) float64 { return ratio(float64(w.Refused), float64(w.Offered)) }},
-				{"calls refused over a limit, by call", func(w judge.Window) float64 { return ratio(float64(w.OverLimit), float64(w.Calls)) }},
+				{"share of calls refused over a limit", func(w judge.Window) float64 { return ratio(float64(w.OverLimit), float64(w.Calls)) }},
 			} {
 				f, err := plotOverTime(fmt.Sprintf("%s, %d nodes: %s", d, n, kind.title), results, d, n, e.Policies, kind.of)
 				if err != nil {
@@ -84,7 +85,7 @@
 	return a / b
 }
 
-// overTime plots the median over seeds of a value of each window, a line a policy.
+// plotOverTime plots the median over the seeds of a value of each 5 s window, with one line per policy.
 func plotOverTime(title string, results []RunResult, day string, nodes int, policies []string, value func(judge.Window) float64) (figure, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Min, p.Y.Max = "seconds", 0, 1
@@ -118,7 +119,7 @@
 	return figure{title, svg}, err
 }
 
-// SVG draws a plot as markup for a page.
+// RenderSVG renders a plot as inline SVG markup for an HTML page.
 func RenderSVG(p *plot.Plot, width, height vg.Length) (template.HTML, error) {
 	p.BackgroundColor = color.White
 	c := vgsvg.New(width, height)
@@ -127,14 +128,14 @@
 	if _, err := c.WriteTo(&b); err != nil {
 		return "", err
 	}
-	_, markup, ok := strings.Cut(b.String(), "<svg") // without the head of a file
+	_, markup, ok := strings.Cut(b.String(), "<svg") // drops the XML prolog
 	if !ok {
-		return "", fmt.Errorf("a plot without markup")
+		return "", fmt.Errorf("plot rendered without an svg element")
 	}
-	return template.HTML("<svg" + markup), nil // of our own making
+	return template.HTML("<svg" + markup), nil // generated here, not user input
 }
 
-// Day writes one run for people.
+// WriteRun writes the result of one run as text, with a row per 5 s window and the recorded rule violations.
 func WriteRun(w io.Writer, l RunResult) error {
 	r := l.Result
 	fmt.Fprintf(w, "%s on %s, %d nodes, seed %d\n", l.Policy, l.Day, l.Nodes, l.Seed)
@@ -160,7 +161,8 @@
 	return nil
 }
 
-// Compare tells what moved between two files of results: what both have, by policy, day and size.
+// WriteComparison writes a table of the changes in worth served between two sets of results, by policy, day and node
+// count. Only runs that succeeded in both are compared.
 func WriteComparison(w io.Writer, before, after []RunResult) error {
 	previous := map[Job]RunResult{}
 	for _, l := range before {
--- a/internal/lab/experiment/stats.go
+++ b/internal/lab/experiment/stats.go
@@ -16,21 +16,22 @@
 	confidenceLevel    = 0.95
 )
 
-// Summary is what a policy reached on a day and number of nodes, over its seeds.
+// Summary summarizes the results of a policy on a day with a number of nodes, over all seeds.
 type Summary struct {
 	Policy, Day                          string
-	Nodes, Runs                          int
-	Broken                               int
-	Median, LowerQuartile, UpperQuartile float64 // of the worth served; the quartiles
+	Nodes, Runs                          int     // Runs counts the runs with a result
+	Broken                               int     // runs that failed or broke a rule
+	Median, LowerQuartile, UpperQuartile float64 // of the worth served
 	Score                                float64 // median
-	Difference                           float64 // median of the paired differences in worth served from the first policy,
-	IntervalLow, IntervalHigh            float64 // and its interval
-	InTime, Refused                      float64 // medians of shares of first tries
-	OverLimit                            float64 // median of calls refused over a limit, by first try
-	PeerCost                             float64 // median of what datagrams cost
+	Difference                           float64 // median difference in worth served from the first policy, by seed
+	IntervalLow, IntervalHigh            float64 // bootstrap confidence interval of Difference
+	InTime, Refused                      float64 // medians of the shares of offered messages
+	OverLimit                            float64 // median number of calls refused over a limit, per offered message
+	PeerCost                             float64 // median cost of the datagrams between nodes, per offered message
 }
 
-// Summarize makes a summary for each policy, day and size, in the order of the lines.
+// Summarize returns a summary for each policy, day and node count, in the order in which they first occur in the
+// results. Summaries of the same day and node count are adjacent.
 func Summarize(results []RunResult) []Summary {
 	type group struct {
 		policy, day string
@@ -85,6 +86,7 @@
 	return out
 }
 
+// quantile returns the p-quantile of the values with linear interpolation, or 0 if there are none.
 func quantile(values []float64, p float64) float64 {
 	if len(values) == 0 {
 		return 0
@@ -93,12 +95,13 @@
 	return stat.Quantile(p, stat.LinInterp, values, nil)
 }
 
-// interval is a bootstrap interval of the median, the same each time for the same values.
+// bootstrapInterval returns a bootstrap confidence interval of the median. The seed is fixed, so the same values always
+// give the same interval.
 func bootstrapInterval(values []float64) (low, high float64) {
 	if len(values) == 0 {
 		return 0, 0
 	}
-	values = slices.Sorted(slices.Values(values)) // whatever order the runs came in
+	values = slices.Sorted(slices.Values(values)) // makes the interval independent of the order of the runs
 	r := rand.New(rand.NewPCG(1, uint64(len(values))))
 	medians, resample := make([]float64, bootstrapResamples), make([]float64, len(values))
 	for i := range medians {
@@ -110,7 +113,7 @@
 	return quantile(medians, (1-confidenceLevel)/2), quantile(medians, (1+confidenceLevel)/2)
 }
 
-// Table writes summaries for people.
+// WriteTable writes the summaries as a text table.
 func WriteTable(w io.Writer, summaries []Summary) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "day\tnodes\tpolicy\truns\tserved\tquartiles\tdifference\t95%\tscore\tin time\trefused\tover limit\tnotes\tbroken\t")
@@ -126,7 +129,7 @@
 func parseLength(text string) (time.Duration, error) {
 	d, err := time.ParseDuration(text)
 	if err != nil || d <= 0 || d > 2*time.Hour {
-		return 0, fmt.Errorf("length %q: a time up to 2h", text)
+		return 0, fmt.Errorf("length %q: must be a positive duration up to 2h", text)
 	}
 	return d, nil
 }
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -1,6 +1,6 @@
-// Package load drives a running fleet over RESP2 in an open loop: when a message is handed in hangs on the clock alone,
-// and its time counts from when it was due, so that a slow node can't hide behind a client that waits for it
-// (coordinated omission).
+// Package load generates load on a running fleet over RESP2 in an open loop: messages are submitted at scheduled times,
+// whatever the answers, and the latency of a message is measured from its scheduled time. So a slow node cannot make
+// its latency look better by delaying the client (coordinated omission).
 package load
 
 import (
@@ -20,64 +20,64 @@
 	"harrierramp/internal/client"
 )
 
-// Bounds of a run.
+// Limits of a run.
 const (
-	MaxRate     = 100_000
-	MaxCount    = 10_000_000
+	MaxRate     = 100_000    // messages per second
+	MaxCount    = 10_000_000 // messages
 	MaxDuration = time.Hour
-	maxConns    = 4096
-	maxLatency  = time.Minute // of what a histogram tells apart
+	maxConns    = 4096        // to all nodes together
+	maxLatency  = time.Minute // upper end of the histograms; longer times are recorded as this
 )
 
-// Class is a class of messages to hand in.
+// Class is a class of messages to submit.
 type Class struct {
 	Name  string
-	Share float64
-	TTL   time.Duration
+	Share float64       // of the messages, relative to the sum of all shares
+	TTL   time.Duration // time from submission to the deadline of a message
 }
 
-// Config is a run.
+// Config describes a run. At least one of Count and Duration must be set; the run ends with the first that is reached.
 type Config struct {
-	Nodes        []string // addresses, of loopback
-	Rate         float64  // messages a second, of all nodes together
-	RampTo       float64  // the rate grows or falls to this over the run; 0 for no ramp
-	RampSteps    int      // the ramp goes in so many steps; 0 for a straight one
-	Pattern      string   // poisson, even, or clumps of ten
-	Count        int      // messages at most
-	Duration     time.Duration
-	ConnsPerNode int // to each node
-	Dests        int // destinations 0 to Dests-1, the first ones more often (Zipf with exponent 1)
+	Nodes        []string      // loopback addresses
+	Rate         float64       // messages per second, to all nodes together
+	RampTo       float64       // rate at the end of the run, reached by a linear ramp; 0 for a constant rate
+	RampSteps    int           // the ramp has this number of steps; 0 for a continuous one
+	Pattern      string        // poisson, even, or clumps (ten messages at once)
+	Count        int           // maximum number of messages; 0 for no limit
+	Duration     time.Duration // 0 for no limit
+	ConnsPerNode int
+	Dests        int // destinations 0 to Dests-1, Zipf distributed (exponent 1.01): low numbers are more frequent
 	Classes      []Class
-	BodyBytes    int // bytes
+	BodyBytes    int
 	Seed         uint64
 }
 
-// Check tells what is wrong with a run.
+// Check returns an error if the configuration is invalid.
 func (c *Config) Check() error {
 	for _, n := range c.Nodes {
 		host, _, err := net.SplitHostPort(n)
 		if ip := net.ParseIP(host); err != nil || ip == nil || !ip.IsLoopback() {
-			return fmt.Errorf("load: %q is no address of loopback", n)
+			return fmt.Errorf("load: %q is not a loopback address", n)
 		}
 	}
 	switch {
 	case len(c.Nodes) == 0:
 		return fmt.Errorf("load: no nodes")
 	case !(c.Rate > 0 && c.Rate <= MaxRate && c.RampTo >= 0 && c.RampTo <= MaxRate):
-		return fmt.Errorf("load: rates are from 0 to %d", MaxRate)
+		return fmt.Errorf("load: rate must be above 0 and ramp target at least 0, both at most %d messages per second", MaxRate)
 	case c.Count < 0 || c.Count > MaxCount || c.Duration < 0 || c.Duration > MaxDuration || c.Count == 0 && c.Duration == 0:
-		return fmt.Errorf("load: a run ends by count (%d at most) or by time (%v at most)", MaxCount, MaxDuration)
+		return fmt.Errorf("load: a count (at most %d) or a duration (at most %v) is required", MaxCount, MaxDuration)
 	case c.ConnsPerNode < 1 || c.ConnsPerNode*len(c.Nodes) > maxConns:
-		return fmt.Errorf("load: %d connections to each node: from 1, and %d altogether", c.ConnsPerNode, maxConns)
+		return fmt.Errorf("load: %d connections per node: at least 1, and at most %d to all nodes together", c.ConnsPerNode, maxConns)
 	case c.Dests < 1 || len(c.Classes) == 0:
-		return fmt.Errorf("load: destinations and classes are needed")
+		return fmt.Errorf("load: at least one destination and one class are required")
 	case !slices.Contains([]string{"poisson", "even", "clumps"}, c.Pattern):
-		return fmt.Errorf("load: pattern %q: poisson, even or clumps", c.Pattern)
+		return fmt.Errorf("load: unknown pattern %q: must be poisson, even or clumps", c.Pattern)
 	}
 	return nil
 }
 
-// rateAt is the rate at a share of the run that has passed.
+// rateAt returns the rate in messages per second after the given share of the run, from 0 to 1.
 func (c *Config) rateAt(elapsed float64) float64 {
 	if c.RampTo <= 0 {
 		return c.Rate
@@ -88,27 +88,29 @@
 	return c.Rate + (c.RampTo-c.Rate)*min(max(elapsed, 0), 1)
 }
 
-// Result is what nodes said, by class. Latency is in microseconds, from when a message was due to its answer.
+// Result is the outcome of a run, by class.
 type Result struct {
 	Elapsed     time.Duration
 	Classes     map[string]*ClassResult
-	AcceptedIDs []string // ids that nodes owe an end, in the order of their answers
+	AcceptedIDs []string // messages for which the nodes owe a final answer, in the order in which they were accepted
 }
 
-// ClassResult is what came of a class.
+// ClassResult is the outcome of a class.
 type ClassResult struct {
 	Sent, Accepted, Busy, Failed, Unanswered int
-	Latency                                  *hdrhistogram.Histogram
-	RetryAfter                               *hdrhistogram.Histogram // waits told with a refusal, in milliseconds
+	Latency                                  *hdrhistogram.Histogram // microseconds from scheduled time to answer
+	RetryAfter                               *hdrhistogram.Histogram // milliseconds, as given in Busy answers
 }
 
+// submission is a message with its scheduled time.
 type submission struct {
 	dueAt   time.Time
 	message client.Message
 	class   string
 }
 
-// Run hands messages in and returns when the last has its answer, or ctx ends. progress may be nil.
+// Run submits messages and returns when the last one is answered or ctx is done. progress, which may be nil, is called
+// about once per second.
 func Run(ctx context.Context, c Config, progress func(sent int, rate float64)) (*Result, error) {
 	if err := c.Check(); err != nil {
 		return nil, err
@@ -122,7 +124,7 @@
 		res.Classes[k.Name] = &ClassResult{Latency: hdrhistogram.New(1, maxLatency.Microseconds(), 3), RetryAfter: hdrhistogram.New(1, maxLatency.Milliseconds(), 3)}
 	}
 	body := []byte(strings.Repeat("x", c.BodyBytes))
-	// A place for every message that may be on its way: one that finds none would slow the loop down.
+	// The queues are long enough that the loop never waits for a slow node.
 	queues := make([]chan submission, len(c.Nodes))
 	var mu sync.Mutex
 	var workers sync.WaitGroup
@@ -166,8 +168,8 @@
 			interval, clumpSize = 10*r.ExpFloat64()/rate, 10
 		}
 		dueAt = dueAt.Add(time.Duration(interval * float64(time.Second)))
-		if retryAfter := time.Until(dueAt); retryAfter > 0 {
-			time.Sleep(retryAfter)
+		if wait := time.Until(dueAt); wait > 0 {
+			time.Sleep(wait)
 		}
 		dest := int(zipf.Uint64())
 		for range clumpSize {
@@ -182,7 +184,7 @@
 			d := submission{dueAt, client.Message{ID: id, Key: id, Class: class.Name, Dest: dest, TTL: class.TTL, Body: body}, class.Name}
 			select {
 			case queues[r.IntN(len(queues))] <- d:
-			default: // a hundred thousand wait: the nodes are gone
+			default: // MaxRate messages are queued: the node does not answer any more
 				mu.Lock()
 				res.Classes[class.Name].record(client.NoAnswer, 0, maxLatency)
 				mu.Unlock()
@@ -202,6 +204,7 @@
 	return res, ctx.Err()
 }
 
+// record counts an answer. Latency is recorded for messages that were answered, and limited to the histogram's range.
 func (r *ClassResult) record(answer client.Answer, retryAfter, latency time.Duration) {
 	r.Sent++
 	switch answer {
@@ -209,7 +212,7 @@
 		r.Accepted++
 	case client.Busy:
 		r.Busy++
-		r.RetryAfter.RecordValue(min(max(retryAfter.Milliseconds(), 1), maxLatency.Milliseconds())) // within bounds, so no error
+		r.RetryAfter.RecordValue(min(max(retryAfter.Milliseconds(), 1), maxLatency.Milliseconds())) // in range
 	case client.Failed:
 		r.Failed++
 	default:
@@ -219,7 +222,7 @@
 	r.Latency.RecordValue(min(max(latency.Microseconds(), 1), maxLatency.Microseconds()))
 }
 
-// Table writes the result for people.
+// WriteTable writes the result as a text table with a row per class.
 func (r *Result) WriteTable(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "class\tsent\ttaken\tbusy\tfailed\tunheard\tp50 ms\tp99 ms\tp99.9 ms\tmost ms\twait told, median ms\t")
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// slowNode answers one message at a time, each after a pause.
+// slowNode starts a server that answers the messages of a connection one at a time, each after a pause.
 func slowNode(t *testing.T, pause time.Duration) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -27,7 +27,7 @@
 				defer nc.Close()
 				lines := bufio.NewReader(nc)
 				for {
-					for range 11 { // a request is an array of five words
+					for range 11 { // a request is an array of five strings: 11 lines
 						if _, err := lines.ReadString('\n'); err != nil {
 							return
 						}
@@ -43,7 +43,8 @@
 	return ln.Addr().String()
 }
 
-// A node that takes longer than messages come makes the time of each grow, and the loop goes on all the same.
+// When a node answers more slowly than messages are due, the measured latency grows with each message, and all messages
+// are submitted nevertheless. A latency measured from the time of sending would hide the delay (coordinated omission).
 func TestLatencyIsMeasuredFromTheDueTime(t *testing.T) {
 	c := Config{
 		Nodes: []string{slowNode(t, 10*time.Millisecond)}, Rate: 200, Pattern: "even", Count: 60, ConnsPerNode: 1, Dests: 3,
@@ -57,9 +58,9 @@
 	if k.Sent != 60 || k.Accepted+k.Unanswered != 60 || len(r.AcceptedIDs) != k.Accepted {
 		t.Fatalf("%+v", k)
 	}
-	// The last was due after 300 ms and answered after 600 ms at the earliest.
+	// The last message was due after 300 ms and answered after 600 ms at the earliest.
 	if most := time.Duration(k.Latency.Max()) * time.Microsecond; most < 250*time.Millisecond {
-		t.Errorf("the longest took %v", most)
+		t.Errorf("the longest latency is %v, want at least 250ms", most)
 	}
 	var b strings.Builder
 	if err := r.WriteTable(&b); err != nil || !strings.Contains(b.String(), "notice") {
@@ -74,7 +75,7 @@
 	}
 	for elapsed, want := range map[float64]float64{0: 100, 0.3: 100, 0.4: 200, 0.9: 300, 2: 300} {
 		if got := valid.rateAt(elapsed); got != want {
-			t.Errorf("after %v of the run: %v a second, want %v", elapsed, got, want)
+			t.Errorf("after share %v of the run: %v messages per second, want %v", elapsed, got, want)
 		}
 	}
 	for name, change := range map[string]func(c *Config){
@@ -88,7 +89,7 @@
 		c := valid
 		change(&c)
 		if c.Check() == nil {
-			t.Errorf("%s is taken", name)
+			t.Errorf("%s: the configuration is accepted", name)
 		}
 	}
 }
--- a/internal/lab/loopback/endpoint.go
+++ b/internal/lab/loopback/endpoint.go
@@ -17,16 +17,16 @@
 
 const (
 	maxBodyBytes = 64 << 10
-	connTimeout  = 60 * time.Second // the longest that anything stands on a socket
+	connTimeout  = 60 * time.Second // limit for waiting for a call on a connection and answering it
 )
 
-// socket is an endpoint, behind its face.
+// endpointServer is the HTTP server of an endpoint. Nodes reach it through a relay.
 type endpointServer struct {
 	run      *run
 	party    relay.Party
 	endpoint string
 	addr     string
-	faceAddr string // where nodes reach it
+	faceAddr string // address of the relay, which nodes connect to
 
 	mu       sync.Mutex
 	listener net.Listener
@@ -35,6 +35,7 @@
 	wg       sync.WaitGroup
 }
 
+// newEndpointServer opens the socket of an endpoint and accepts connections on it.
 func newEndpointServer(r *run, party relay.Party, endpoint, addr string) (*endpointServer, error) {
 	ln, err := net.Listen("tcp4", addr)
 	if err != nil {
@@ -45,6 +46,7 @@
 	return s, nil
 }
 
+// accept serves each connection in its own goroutine until the listener is closed.
 func (s *endpointServer) accept(ln net.Listener) {
 	for {
 		nc, err := ln.Accept()
@@ -69,7 +71,7 @@
 	}
 }
 
-// refuse closes the socket and all connections on it, as a process does that dies, or opens it again.
+// setDown closes the socket and all its connections, as happens when a process dies, or opens the socket again.
 func (s *endpointServer) setDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,12 +105,13 @@
 	s.wg.Wait()
 }
 
+// callResult is how a call ended, according to the model.
 type callResult struct {
 	outcome    choice.Outcome
 	retryAfter time.Duration
 }
 
-// converse answers calls on one connection, as the model's endpoint says.
+// serveConn answers the calls on a connection with the results of the endpoint in the model.
 func (s *endpointServer) serveConn(nc net.Conn) {
 	br := bufio.NewReader(nc)
 	from, ok := s.run.block.PartyAt(nc.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap())
@@ -131,9 +134,9 @@
 		s.run.world.Do(s.run.ctx, func() {
 			s.run.world.HandleCall(from.Index, s.endpoint, id, func(o choice.Outcome, wait time.Duration) { results <- callResult{o, wait} })
 		})
-		// The node gives a call up by closing its connection.
+		// A node cancels a call by closing the connection, so the connection is watched while the call runs.
 		connClosed := make(chan struct{})
-		go func() { // ends with the connection, or with the read being called back
+		go func() { // ends when the connection is closed, or when the read deadline set below interrupts Peek
 			defer close(connClosed)
 			if _, err := br.Peek(1); err != nil && s.run.ctx.Err() == nil {
 				return
@@ -156,7 +159,7 @@
 	}
 }
 
-// answer writes the protocol's answer and tells whether the connection goes on.
+// writeResponse writes the HTTP response for a result and reports whether the connection stays open.
 func writeResponse(nc net.Conn, result callResult) bool {
 	response := ""
 	switch result.outcome {
@@ -170,7 +173,7 @@
 		}
 	default:
 		if t, ok := nc.(*net.TCPConn); ok {
-			t.SetLinger(0) // a reset
+			t.SetLinger(0) // makes Close reset the connection
 		}
 		return false
 	}
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -1,8 +1,8 @@
-// Package loopback plays a day of the lab's model in real time, with real harrierramp processes on loopback sockets:
-// real kills, real journals, the list and notices by protocol. The partners, clients and troubles are the model's own.
-// It talks to 127.0.0.0/8 only, is bounded by the day, and ends the processes that it started and no others. Between nodes,
-// and from nodes to endpoints, stand relays: zones that are cut off, machines that vanish and nodes that are deaf are
-// played there.
+// Package loopback runs a simulated day in real time, with real harrierramp processes on loopback sockets: processes
+// are killed and restarted, journals are on disk, and the list and the notices go over their protocols. Partners,
+// clients and faults come from the lab's model. The package connects to 127.0.0.0/8 only, runs no longer than the day,
+// and terminates only the processes that it started. Traffic between nodes, and from nodes to endpoints, goes through
+// relays, which inject zone partitions, machines that disappear, and blocked datagrams.
 package loopback
 
 import (
@@ -25,47 +25,49 @@
 )
 
 const (
-	// MaxNodes bounds a run: each node is a process, and each of its connections takes three descriptors here.
+	// MaxNodes is the largest number of nodes in a run. Each node is a process, and each of its connections takes three
+	// file descriptors in this process.
 	MaxNodes = 100
-	// MaxLength bounds a run's arrivals.
-	MaxLength    = 10 * time.Minute
+	// MaxLength is the longest duration of arrivals in a run.
+	MaxLength = 10 * time.Minute
+	// readyTimeout is how long a node may take until it answers clients.
 	readyTimeout = 15 * time.Second
 )
 
-// Options are what a run needs beside its day.
+// Options are the settings of a run that are not part of its day.
 type Options struct {
-	Program string    // harrierramp
-	Log     io.Writer // of the processes; nil to drop it
+	Program string    // path of the harrierramp binary
+	Log     io.Writer // receives the logs of the processes; nil discards them
 }
 
-// run is a day under way.
+// run is the state of a day in progress.
 type run struct {
 	Options
 	ctx         context.Context
 	world       *model.World
 	day         *model.Day
 	nodes       []*node
-	submissions sync.WaitGroup
+	submissions sync.WaitGroup // messages being submitted to nodes
 
 	block      *process.AddrBlock
 	starter    *process.Starter
 	network    *relay.Network
 	zones      map[relay.Party]int
-	faultTasks sync.WaitGroup
+	faultTasks sync.WaitGroup // goroutines of injectNetworkFault
 
 	mu                sync.Mutex
-	servers           map[string]*endpointServer // by endpoint
-	parties           []relay.Party              // of the endpoints
-	unresponsiveRules map[string]*relay.FaultRule
+	servers           map[string]*endpointServer  // by endpoint
+	parties           []relay.Party               // of the endpoints, in the order in which they were added
+	unresponsiveRules map[string]*relay.FaultRule // faults of unresponsive endpoints, by endpoint
 }
 
-// Play plays a day and returns what the ledger says of it.
+// Play runs a day and returns the result of the ledger, which checks the rules on all events.
 func Play(ctx context.Context, day model.Day, o Options) (*judge.Result, error) {
 	if n := len(day.Nodes); n < 1 || n > MaxNodes {
-		return nil, fmt.Errorf("loopback: %d nodes: from 1 to %d", n, MaxNodes)
+		return nil, fmt.Errorf("loopback: %d nodes: must be from 1 to %d", n, MaxNodes)
 	}
 	if day.Length > MaxLength {
-		return nil, fmt.Errorf("loopback: a day of %v: %v at most", day.Length, MaxLength)
+		return nil, fmt.Errorf("loopback: day length %v exceeds the maximum of %v", day.Length, MaxLength)
 	}
 	if o.Log == nil {
 		o.Log = io.Discard
@@ -113,8 +115,8 @@
 	return ledger.Result(), nil
 }
 
-// ready opens the ways and the sockets of the partners, writes the configurations, starts the nodes and waits until they
-// serve: only then the day begins.
+// start opens the relays and the endpoint sockets, writes the configurations, starts the nodes and waits until all of
+// them answer clients. The day begins only then.
 func (r *run) start() error {
 	var parties []relay.Party
 	var faceAddrs, ownAddrs []string
@@ -141,14 +143,15 @@
 	for _, n := range r.nodes {
 		for deadline := time.Now().Add(readyTimeout); !n.isServing(); time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(deadline) || r.ctx.Err() != nil {
-				return fmt.Errorf("node %d does not serve", n.index)
+				return fmt.Errorf("node %d does not answer clients", n.index)
 			}
 		}
 	}
 	return nil
 }
 
-// open opens the socket of an endpoint and its face, and tells all nodes of it.
+// addEndpoint opens the socket of an endpoint and the relay in front of it, and adds the endpoint to the list of all
+// nodes.
 func (r *run) addEndpoint(e model.ListEntry) error {
 	r.mu.Lock()
 	party := relay.Party{Kind: relay.Partner, Index: len(r.parties)}
@@ -173,12 +176,14 @@
 	return nil
 }
 
+// server returns the server of an endpoint, or nil if there is none.
 func (r *run) server(endpoint string) *endpointServer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.servers[endpoint]
 }
 
+// close kills the nodes, closes the relays and the endpoint sockets, and releases the block of addresses.
 func (r *run) close() error {
 	var errs []error
 	for _, n := range r.nodes {
@@ -192,7 +197,8 @@
 	return errors.Join(append(errs, r.block.Release())...)
 }
 
-// impair plays the troubles of the network that the model leaves to the ways.
+// injectNetworkFault applies a zone partition or blocked datagrams to the relays for the duration of the fault. The
+// model handles all other kinds of faults.
 func (r *run) injectNetworkFault(fault model.Fault) {
 	if fault.Kind != model.ZonePartition && fault.Kind != model.DatagramsBlocked || !backoff.Sleep(r.ctx, fault.At) {
 		return
@@ -221,7 +227,8 @@
 	}
 }
 
-// Struck takes an endpoint's machine away or its process down, and back. (model.Sockets)
+// OutageChanged begins or ends the outage of an endpoint: a crash closes its socket, an unresponsive machine gets its
+// traffic dropped by the relay. It implements model.EndpointObserver.
 func (r *run) OutageChanged(endpoint, kind string, down bool) {
 	s := r.server(endpoint)
 	if s == nil {
@@ -250,7 +257,7 @@
 	}
 }
 
-// Opened opens the socket of a new endpoint. (model.Sockets)
+// EndpointAdded opens the socket of a new endpoint. It implements model.EndpointObserver.
 func (r *run) EndpointAdded(endpoint string) {
 	for _, e := range r.world.List() {
 		if e.Endpoint == endpoint && r.server(endpoint) == nil {
@@ -261,4 +268,5 @@
 	}
 }
 
+// memberPhases maps the phase of an endpoint to its name in the platform's list.
 var memberPhases = map[choice.Phase]string{choice.Ready: "SERVING", choice.Draining: "DRAINING", choice.Removed: "DELETED"}
--- a/internal/lab/loopback/loopback_test.go
+++ b/internal/lab/loopback/loopback_test.go
@@ -11,7 +11,7 @@
 
 const childEnv = "TEST_CHILD_OF_THE_LAB"
 
-// TestMain is a node when the driver starts this binary as one.
+// TestMain runs harrierramp instead of the tests when the driver starts the test binary as a node.
 func TestMain(m *testing.M) {
 	if os.Getenv(childEnv) != "" {
 		os.Exit(cli.Main(nil, os.Stdout, os.Stderr))
@@ -19,8 +19,8 @@
 	os.Exit(m.Run())
 }
 
-// Real nodes are killed and restarted under load while partners crash: the ledger of clients and endpoints finds every
-// rule kept and nothing lost.
+// Real nodes are killed and restarted under load while a partner crashes. The ledger, which sees the clients and the
+// endpoints, must find no broken rule and no lost message.
 func TestNodesLoseNoMessageWhenKilledAndRestarted(t *testing.T) {
 	t.Setenv(childEnv, "1")
 	day, err := model.Draw("quiet", 3, 4)
@@ -50,10 +50,10 @@
 		t.Fatal(err)
 	}
 	if _, err := Play(t.Context(), day, Options{}); err == nil {
-		t.Error("too many nodes are started")
+		t.Error("a run with too many nodes was started")
 	}
 	day.Nodes, day.Length = day.Nodes[:1], time.Hour
 	if _, err := Play(t.Context(), day, Options{}); err == nil {
-		t.Error("a day of an hour is begun")
+		t.Error("a run of one hour was started")
 	}
 }
--- a/internal/lab/loopback/node.go
+++ b/internal/lab/loopback/node.go
@@ -22,27 +22,29 @@
 	"harrierramp/internal/listwatch"
 )
 
-const maxClientConns = 32 // connections to one node
+const maxClientConns = 32 // connections of the clients to one node
 
-// node is one real node: its process, the platform as it sees it, and its clients.
+// node is a real node: its process, a stand-in for the platform that serves this node alone, and the clients of the
+// node.
 type node struct {
 	run              *run
 	index            int
 	party            relay.Party
 	dir              string
-	addr             string
-	platform         http.Server
+	addr             string      // where clients reach the node
+	platform         http.Server // serves the list and receives notices
 	platformListener net.Listener
 	process          process.Process
-	clients          chan *client.Client
+	clients          chan *client.Client // pool of idle connections
 	platformServing  sync.WaitGroup
 
 	mu       sync.Mutex
 	revision int64
-	members  map[string]listwatch.Member
-	watchers map[chan []byte]bool
+	members  map[string]listwatch.Member // by endpoint
+	watchers map[chan []byte]bool        // one channel of list changes per watch in progress
 }
 
+// newNode creates the directories, the clients and the stand-in platform of a node. It does not start the process.
 func newNode(r *run, index int, dir string) (*node, error) {
 	stateDir := filepath.Join(dir, "state")
 	if err := os.MkdirAll(stateDir, 0o700); err != nil {
@@ -68,15 +70,15 @@
 	mux.HandleFunc("GET /registry/instances", x.serveInstances)
 	mux.HandleFunc("POST /reports", x.serveReports)
 	x.platform = http.Server{Handler: mux}
-	x.platformServing.Go(func() { x.platform.Serve(platformListener) }) // its error says that it was closed
+	x.platformServing.Go(func() { x.platform.Serve(platformListener) }) // returns http.ErrServerClosed after close
 	return x, nil
 }
 
-// set changes the list as this node sees it, and tells its watchers.
+// updateMember changes one member of this node's list and sends the change to the watches in progress.
 func (x *node) updateMember(e model.ListEntry) {
 	server := x.run.server(e.Endpoint)
 	if server == nil {
-		return // it could not be opened, which has been told
+		return // its socket could not be opened, which has been logged
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -96,11 +98,12 @@
 	for w := range x.watchers {
 		select {
 		case w <- line:
-		default: // it is behind; the next watch has the whole list
+		default: // the watch is too slow and misses this change; its next request gets the complete list
 		}
 	}
 }
 
+// completeList returns the complete list at the current revision. The caller holds x.mu.
 func (x *node) completeList() listwatch.List {
 	l := listwatch.List{Revision: x.revision, Complete: true, Members: []listwatch.Member{}}
 	for _, m := range x.members {
@@ -109,6 +112,8 @@
 	return l
 }
 
+// serveInstances answers a request for the list: the complete list, and with watch also each change, with an empty line
+// as a heartbeat after 2 s without one.
 func (x *node) serveInstances(w http.ResponseWriter, r *http.Request) {
 	updates := make(chan []byte, 64)
 	x.mu.Lock()
@@ -141,6 +146,7 @@
 	}
 }
 
+// serveReports receives notices, one JSON object per line, and passes them to the model.
 func (x *node) serveReports(w http.ResponseWriter, r *http.Request) {
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
@@ -167,7 +173,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// configure writes the node's configuration in the platform's form.
+// writeConfig writes the node's configuration file in the platform's format.
 func (x *node) writeConfig(peerAddrs []string) error {
 	x.mu.Lock()
 	known := x.completeList()
@@ -183,7 +189,7 @@
 	return os.WriteFile(filepath.Join(x.dir, "config.json"), raw, 0o600)
 }
 
-// settings are the day's, in the platform's words.
+// platformSettings returns the settings of the day under the names of the platform's configuration format.
 func platformSettings(d *model.Day, nodeNumber int) map[string]any {
 	ms := func(t time.Duration) float64 { return float64(t) / float64(time.Millisecond) }
 	s := d.Settings
@@ -228,25 +234,27 @@
 func className(i int) string  { return fmt.Sprint("c", i) }
 func tenantName(i int) string { return fmt.Sprint("t", i) }
 
-// Begin starts the process, if it does not run. (model.Remote)
+// Start starts the process unless it is running. It implements model.Remote.
 func (x *node) Start() { x.logError(x.process.Start()) }
 
-// Die kills the process. (model.Remote)
+// Kill kills the process. It implements model.Remote.
 func (x *node) Kill() { x.logError(x.process.Kill()) }
 
-// Leave tells it to end. (model.Remote)
+// Terminate asks the process to shut down. It implements model.Remote.
 func (x *node) Terminate() { x.logError(x.process.Terminate()) }
 
+// logError logs an error of a command to the process; nil is ignored.
 func (x *node) logError(err error) {
 	if err != nil {
 		fmt.Fprintf(x.run.Log, "loopback: %v\n", err)
 	}
 }
 
-// Listed tells it of a change of the list. (model.Remote)
+// UpdateList sends a change of the list to the node. It implements model.Remote.
 func (x *node) UpdateList(e model.ListEntry) { x.updateMember(e) }
 
-// Hand hands a message in. (model.Remote)
+// Submit submits a message to the node in the background and reports the answer to the model. It implements
+// model.Remote.
 func (x *node) Submit(m model.Submission) {
 	x.run.submissions.Go(func() {
 		result, retryAfter := model.SubmitUnanswered, time.Duration(0)
@@ -272,16 +280,17 @@
 	})
 }
 
-// serves tells that the process takes clients.
+// isServing reports whether the process answers clients.
 func (x *node) isServing() bool {
 	c := client.New(x.addr, time.Second)
 	defer c.Close()
 	return c.Ping()
 }
 
+// close kills the process, appends its log to the log of the run, and closes the clients and the stand-in platform.
 func (x *node) close() error {
 	x.Kill()
-	if raw, err := os.ReadFile(x.process.LogPath); err == nil { // one that never ran has none
+	if raw, err := os.ReadFile(x.process.LogPath); err == nil { // a process that never ran has no log
 		x.run.Log.Write(raw)
 	}
 	for range maxClientConns {
--- a/internal/lab/paper/control.go
+++ b/internal/lab/paper/control.go
@@ -2,23 +2,27 @@
 
 import "math/rand/v2"
 
-// Controls are the paper's seven cases.
+// Controls are the names of the paper's seven controls: bang-bang control (bbc) with a lower and an upper threshold,
+// occupancy control (occ), call spacing (cs) and level control (lc), with one threshold each.
 var Controls = []string{"bbc20-40", "bbc60-80", "occ30", "occ50", "cs50", "lc30", "lc70"}
 
-// control is one proxy's admission, on the ratio of its present response time to that of the empty system.
+// control is the admission control of one proxy. It decides on the ratio of the smoothed response time of the proxy's
+// sessions to the mean response time of an empty system. Times are in mean service times of a server.
 type control struct {
-	smoothedResponseTime float64 // smoothed response time
+	smoothedResponseTime float64
 	decide               func(now, ratio float64) bool
 }
 
+// controlState is the state that some controls keep between decisions.
 type controlState struct {
-	closed      bool
-	nextAllowed float64
+	closed      bool    // bang-bang control: sessions are rejected until the ratio is below the lower threshold
+	nextAllowed float64 // call spacing: time from which the next session is admitted
 }
 
-// spacing is T of call spacing, in service times: one session in each.
+// callSpacing is the paper's parameter T of call spacing, in service times: in overload one session is admitted per T.
 const callSpacing = 5
 
+// newControl returns the control with a name; any name other than a known one admits every session.
 func newControl(name string, r *rand.Rand) control {
 	state := &controlState{}
 	bbc := func(low, high float64) func(now, ratio float64) bool {
@@ -72,22 +76,26 @@
 	return c
 }
 
+// ratio returns the response ratio, given the mean response time of an empty system.
 func (c *control) ratio(emptyResponseTime float64) float64 {
 	return c.smoothedResponseTime / emptyResponseTime
 }
 
+// admit reports whether a session that arrives at the given time and response ratio is admitted.
 func (c *control) admit(now, ratio float64) bool {
 	if c.decide(now, ratio) {
 		return true
 	}
-	// Nothing more comes through a shut gate, and so nothing that could open it: what was heard last fades.
+	// While sessions are rejected, no new response times arrive that could end the rejection. So the smoothed response
+	// time decays with each rejected session.
 	c.smoothedResponseTime *= rejectionDecay
 	return false
 }
 
-// fade is how the response time of a proxy that takes nothing on comes down, by turned away session.
+// rejectionDecay is the factor by which each rejected session lowers the smoothed response time.
 const rejectionDecay = 0.98
 
+// observe adds the response time of a completed session to the smoothed response time.
 func (c *control) observe(responseTime float64) {
 	c.smoothedResponseTime += measuredDelayWeight * (responseTime - c.smoothedResponseTime)
 }
--- a/internal/lab/paper/sim.go
+++ b/internal/lab/paper/sim.go
@@ -1,7 +1,7 @@
-// Package paper plays the study of Tirana and Medhi, "Congestion Avoidance in S-CSCF Selection in an IMS Network", from
-// which the design comes: M proxies (P-CSCF) choose among N servers (S-CSCF) for each session, with exponential service
-// times, and admit sessions by one of seven controls. What the paper leaves open (sizes of queues, messages a session,
-// how old feedback is) is in Config, with our choice as the default.
+// Package paper reproduces the study of Tirana and Medhi, "Congestion Avoidance in S-CSCF Selection in an IMS Network",
+// on which the design is based: M proxies (P-CSCF) select one of N servers (S-CSCF) for each session, with exponential
+// service times, and admit sessions by one of seven controls. What the paper does not specify (queue limits, messages
+// per session, interval of feedback) is in Config; DefaultStudy has the values chosen here.
 package paper
 
 import (
@@ -10,49 +10,54 @@
 	"slices"
 )
 
-// Config is one run. Rates are of the servers, whose mean service time is 1.
+// Config describes one run. The unit of time is the mean service time of a server.
 type Config struct {
 	Proxies, Servers   int
-	Load               float64 // of all servers: arrivals of messages over what they can serve
+	Load               float64 // arrival rate of messages divided by the capacity of all servers
 	Selection          string  // uniform, round-robin or lrt
-	Control            string  // none, or as in Controls
-	Sessions           int     // that arrive
-	MessagesPerSession int     // of a session, one after the other; 1 is a session without state
-	QueueLimit         int     // messages that a server or proxy holds; 0 for no bound
-	FeedbackInterval   float64 // time between the delays that servers tell; 0 for never
+	Control            string  // none, or one of Controls
+	Sessions           int     // number of sessions that arrive
+	MessagesPerSession int     // sent one after the other; 1 is a stateless session
+	QueueLimit         int     // maximum number of messages at a server or proxy; 0 for no limit
+	FeedbackInterval   float64 // interval at which servers report their delays; 0 for never
 	Seed               uint64
-	Trace              func(at float64, ratio float64) // of the first proxy, at each arrival; may be nil
+	// Trace is called with the response ratio of the first proxy at each arrival there; it may be nil.
+	Trace func(at float64, ratio float64)
 }
 
-// proxySpeed is how much faster a proxy is than a server, so that servers are what is short.
+// proxyCapacityFactor is the ratio of the capacity of all proxies to that of all servers. It is above 1 so that the
+// servers are the bottleneck.
 const proxyCapacityFactor = 4
 
-// Result is what came of a run.
+// Result is the outcome of a run.
 type Result struct {
-	Mean, P95 float64 // response time of sessions that were served, in service times
-	Rejected  float64 // share of sessions that were turned away
+	Mean, P95 float64 // response times of completed sessions, in service times
+	Rejected  float64 // share of sessions that were rejected
 }
 
+// session is a session in progress. One of its messages at a time is in the system.
 type session struct {
 	proxy, server int
 	messagesLeft  int
-	arrivedAt     float64 // of the session
-	sentAt        float64 // of the message
+	arrivedAt     float64
+	sentAt        float64 // when the current message was sent to the server
 }
 
+// station is a proxy or a server: a single-server FIFO queue with exponential service times.
 type station struct {
 	queue []*session
 	rate  float64
 }
 
-// event is the end of a service or an arrival.
+// event is an arrival, the end of a service, or the feedback of the servers.
 type event struct {
 	at      float64
 	seq     int
-	kind    int // 0 arrival at a proxy, 1 end at a proxy, 2 end at a server, 3 feedback
-	station int
+	kind    int // 0 arrival at a proxy, 1 end of service at a proxy, 2 end of service at a server, 3 feedback
+	station int // index of the proxy or server
 }
 
+// events is a heap of events in order of time, and of scheduling for equal times.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -61,10 +66,10 @@
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
-// Push adds one. (heap.Interface)
+// Push implements heap.Interface.
 func (e *events) Push(x any) { *e = append(*e, x.(event)) }
 
-// Pop takes the last out. (heap.Interface)
+// Pop implements heap.Interface.
 func (e *events) Pop() any {
 	old := *e
 	x := old[len(old)-1]
@@ -72,6 +77,7 @@
 	return x
 }
 
+// sim is the state of a run.
 type sim struct {
 	cfg               Config
 	rng               *rand.Rand
@@ -80,9 +86,9 @@
 	events            events
 	proxies           []station
 	servers           []station
-	arrivalRates      []float64 // arrivals of sessions at each proxy
-	knownDelays       []float64 // delays to each server, as all know them: the I-CSCFs gather them from the proxies
-	nextServer        []int
+	arrivalRates      []float64 // arrival rate of sessions at each proxy
+	knownDelays       []float64 // delay of each server as known to all proxies: the I-CSCFs collect it from the proxies
+	nextServer        []int     // round-robin position of each proxy
 	controls          []control
 	emptyResponseTime float64 // mean response time of an empty system
 	arrivedCount      int
@@ -90,7 +96,7 @@
 	responseTimes     []float64
 }
 
-// Run plays one run; the same Config gives the same Result.
+// Run simulates one run. The same Config always gives the same Result.
 func Run(cfg Config) Result {
 	s := &sim{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 17))}
 	s.proxies, s.servers = make([]station, cfg.Proxies), make([]station, cfg.Servers)
@@ -131,7 +137,7 @@
 		case 2:
 			s.completeService(e.station)
 		case 3:
-			for i, t := range s.servers { // servers push what a message would meet there
+			for i, t := range s.servers { // servers report the delay that a new message would have
 				s.knownDelays[i] += reportedDelayWeight * (float64(len(t.queue)+1)/t.rate - s.knownDelays[i])
 			}
 			if s.arrivedCount < cfg.Sessions {
@@ -150,12 +156,13 @@
 	return r
 }
 
+// schedule adds an event after a delay.
 func (s *sim) schedule(delay float64, kind, station int) {
 	s.seq++
 	heap.Push(&s.events, event{s.now + delay, s.seq, kind, station})
 }
 
-// arrive admits a session or turns it away.
+// arrive handles the arrival of a session at a proxy: it is admitted or rejected.
 func (s *sim) arrive(p int) {
 	if s.arrivedCount >= s.cfg.Sessions {
 		return
@@ -176,6 +183,8 @@
 	s.enqueueAtProxy(j)
 }
 
+// choose selects the server of a session that arrived at proxy p. The policy lrt (least response time) takes the server
+// with the lowest known delay; equal ones are tried from a random position.
 func (s *sim) choose(p int) int {
 	switch s.cfg.Selection {
 	case "round-robin":
@@ -193,6 +202,7 @@
 	return s.rng.IntN(s.cfg.Servers)
 }
 
+// enqueueAtProxy queues the next message of a session at its proxy.
 func (s *sim) enqueueAtProxy(j *session) {
 	proxy := &s.proxies[j.proxy]
 	if proxy.queue = append(proxy.queue, j); len(proxy.queue) == 1 {
@@ -200,7 +210,7 @@
 	}
 }
 
-// forward passes a message on from a proxy to its server.
+// forward moves a message from a proxy to its server when the service at the proxy ends.
 func (s *sim) forward(p int) {
 	proxy := &s.proxies[p]
 	j := proxy.queue[0]
@@ -209,7 +219,7 @@
 	}
 	server := &s.servers[j.server]
 	if s.cfg.QueueLimit > 0 && len(server.queue) >= s.cfg.QueueLimit {
-		s.rejectedCount++ // the session is lost there
+		s.rejectedCount++ // the queue of the server is full, and the session is lost
 		return
 	}
 	j.sentAt = s.now
@@ -218,18 +228,20 @@
 	}
 }
 
+// Weights of a new value in the exponential smoothing of delays.
 const (
-	measuredDelayWeight = 0.2 // weight of a delay that a proxy has measured
-	reportedDelayWeight = 0.8 // and of one that a server tells
+	measuredDelayWeight = 0.2 // of a delay measured by a proxy
+	reportedDelayWeight = 0.8 // of a delay reported by a server
 )
 
+// completeService ends the service of a message at a server. The session goes on with its next message or is complete.
 func (s *sim) completeService(server int) {
 	station := &s.servers[server]
 	j := station.queue[0]
 	if station.queue = station.queue[1:]; len(station.queue) > 0 {
 		s.schedule(s.rng.ExpFloat64()/station.rate, 2, server)
 	}
-	// Proxies tell what they measure; it is older by the time that it took.
+	// The proxy reports the delay that it measured, which is out of date by that delay.
 	s.knownDelays[server] += measuredDelayWeight * (s.now - j.sentAt - s.knownDelays[server])
 	if j.messagesLeft--; j.messagesLeft > 0 {
 		s.enqueueAtProxy(j)
--- a/internal/lab/paper/study.go
+++ b/internal/lab/paper/study.go
@@ -17,18 +17,18 @@
 	"harrierramp/internal/lab/experiment"
 )
 
-// Study is the paper's figures 3 to 15.
+// Study has the parameters for figures 3 to 15 of the paper. See Config for their meaning.
 type Study struct {
-	Sessions           int // of each run; the paper has a million
+	Sessions           int // per run; the paper uses a million
 	MessagesPerSession int
 	QueueLimit         int
 	FeedbackInterval   float64
 	Seed               uint64
-	Threads            int
+	Threads            int // number of parallel runs; 0 for one per core
 }
 
-// Default is what the paper leaves open, as we took it: sessions of three messages, queues of 400 messages, delays that
-// servers tell twice in a service time.
+// DefaultStudy returns the values chosen for what the paper does not specify: sessions of three messages, queues of up
+// to 400 messages, and servers that report their delays twice per service time.
 func DefaultStudy() Study {
 	return Study{Sessions: 100_000, MessagesPerSession: 3, QueueLimit: 400, FeedbackInterval: 0.5, Seed: 1}
 }
@@ -39,14 +39,14 @@
 	Y    []float64
 }
 
-// Figure is one of the paper's.
+// Figure is a figure of the paper, with one or more curves over the same X values.
 type Figure struct {
 	Name, Title string
 	X           []float64
 	Series      []Series
 }
 
-// Loads are the normalized offered loads.
+// Loads returns the normalized offered loads of the figures, from 0.75 to 1.25.
 func Loads() (out []float64) {
 	for i := range 11 {
 		out = append(out, 0.75+0.05*float64(i))
@@ -54,7 +54,7 @@
 	return out
 }
 
-// Run plays the study and returns its figures in their order.
+// Run simulates the study and returns its figures in order.
 func (s Study) Run(ctx context.Context) ([]Figure, error) {
 	type name struct {
 		size               int
@@ -146,7 +146,7 @@
 	}, nil
 }
 
-// temporal is figure 3: the response ratio at one proxy over time, overloaded.
+// responseRatioOverTime returns figure 3: the response ratio of one proxy over time under overload.
 func (s Study) responseRatioOverTime() Figure {
 	f := Figure{Name: "Fig. 3", Title: "response ratio over time, load 1.25 (4×4)"}
 	const steps, until = 60, 600.0
@@ -168,7 +168,7 @@
 	return f
 }
 
-// Table writes figures for people.
+// WriteTable writes the figures as text tables.
 func WriteTable(w io.Writer, figures []Figure) error {
 	for _, f := range figures {
 		fmt.Fprintf(w, "\n%s: %s\n", f.Name, f.Title)
@@ -200,7 +200,7 @@
 <body><h1>The paper's study</h1>{{range .}}<figure><figcaption>{{.Title}}</figcaption>{{.SVG}}</figure>{{end}}</body></html>
 `))
 
-// Report writes the figures as one page.
+// WriteReport writes the figures as a self-contained HTML page.
 func WriteReport(w io.Writer, figures []Figure) error {
 	type drawn struct {
 		Title string
--- a/internal/lab/watchers/watchers.go
+++ b/internal/lab/watchers/watchers.go
@@ -1,5 +1,5 @@
-// Package watchers puts stand-in watchers on a list server: as many nodes as wanted, of which each follows the list in
-// its turn as a real node does, and nothing else.
+// Package watchers simulates many nodes at a list server: each watcher requests and follows the list with the client
+// of a real node, and does nothing else.
 package watchers
 
 import (
@@ -21,32 +21,32 @@
 	"harrierramp/internal/listwatch"
 )
 
-// Most is how many watchers there may be.
+// MaxWatchers is the largest number of watchers in a run.
 const MaxWatchers = 10_000
 
-// Options say what is played.
+// Options configure a run.
 type Options struct {
-	Servers           []string      // on loopback
-	Count             int           // of watchers
-	Timeout           time.Duration // at most; it ends half a second after the last has its list
-	HeartbeatInterval time.Duration // that is asked for; 0 for none
-	PaceStart         bool          // each keeps its turn; else all ask at once and then do as they are told
+	Servers           []string      // loopback addresses of list servers
+	Count             int           // number of watchers
+	Timeout           time.Duration // limit of the run, which ends 500 ms after the last watcher has its list
+	HeartbeatInterval time.Duration // requested from the servers; 0 for the default of the server
+	PaceStart         bool          // spread the first requests; if false, only Retry-After spreads them
 }
 
-// Result is what came of it.
+// Result is the outcome of a run.
 type Result struct {
-	Listed, Requests, RetryLaters int
-	PeakPerSecond                 int           // asks in one second
-	Median, P99, Slowest          time.Duration // until a watcher had its list
-	ListBytes                     int64
-	RevisionsSeen, WithoutList    int
+	Listed, Requests, RetryLaters int           // watchers with a list, requests sent, Retry-After answers
+	PeakPerSecond                 int           // most requests within one second
+	Median, P99, Slowest          time.Duration // from the start of the run until a watcher had its list
+	ListBytes                     int64         // bytes read from the servers
+	RevisionsSeen, WithoutList    int           // lists and changes received, watchers without a list
 }
 
-// Run plays it.
+// Run starts the watchers and returns when all have a list, or on timeout with an error if some have none.
 func Run(ctx context.Context, o Options) (Result, error) {
 	var r Result
 	if o.Count < 1 || o.Count > MaxWatchers || o.Timeout <= 0 || o.Timeout > 10*time.Minute || len(o.Servers) == 0 {
-		return r, fmt.Errorf("watchers: %d at %d servers for %v: up to %d, one server at least, up to 10 min", o.Count, len(o.Servers), o.Timeout, MaxWatchers)
+		return r, fmt.Errorf("watchers: %d watchers of %d servers for %v: must be 1 to %d watchers, at least one server, and at most 10 min", o.Count, len(o.Servers), o.Timeout, MaxWatchers)
 	}
 	for _, addr := range o.Servers {
 		if err := relay.CheckLoopback(addr); err != nil {
@@ -97,7 +97,7 @@
 				first = false
 				latency := time.Since(start)
 				r.Slowest = max(r.Slowest, latency)
-				listLatency.RecordValue(max(latency.Microseconds(), 1)) // bounded by For
+				listLatency.RecordValue(max(latency.Microseconds(), 1)) // bounded by Timeout, so always in range
 				listed <- struct{}{}
 			}
 		}
@@ -129,12 +129,12 @@
 		r.PeakPerSecond = max(r.PeakPerSecond, i-from+1)
 	}
 	if r.WithoutList > 0 {
-		return r, errors.New("watchers: some never had a list")
+		return r, errors.New("watchers: some watchers did not get a list in time")
 	}
 	return r, nil
 }
 
-// counted counts what is read.
+// countingConn counts the bytes that are read.
 type countingConn struct {
 	net.Conn
 	bytesRead *atomic.Int64
--- a/internal/lab/watchers/watchers_test.go
+++ b/internal/lab/watchers/watchers_test.go
@@ -11,8 +11,8 @@
 	"harrierramp/internal/registry"
 )
 
-// A real list server that takes few a second serves all who begin at once, turned or not; who keeps a turn is hardly ever
-// told to come later.
+// A real list server with a limit of 250 starts per second gives the list to all watchers, whether they spread their
+// first requests or send them at once. Watchers that spread them hardly ever get a Retry-After.
 func TestServerServesAllStartingWatchers(t *testing.T) {
 	for name, paced := range map[string]bool{"turned": true, "all at once": false} {
 		t.Run(name, func(t *testing.T) {
@@ -47,7 +47,7 @@
 				t.Fatalf("%+v, %v", r, err)
 			}
 			if t.Logf("%+v", r); paced && r.RetryLaters > count/10 || !paced && r.RetryLaters < count/4 || r.Requests < count+r.RetryLaters {
-				t.Errorf("%d asks, %d told to come later", r.Requests, r.RetryLaters)
+				t.Errorf("%d requests, %d answered with Retry-After", r.Requests, r.RetryLaters)
 			}
 		})
 	}
@@ -56,7 +56,7 @@
 func TestNonLoopbackServerIsRejected(t *testing.T) {
 	for _, addr := range []string{"10.0.0.1:80", "example:80"} {
 		if _, err := Run(t.Context(), Options{Servers: []string{addr}, Count: 1, Timeout: time.Second}); err == nil {
-			t.Errorf("%s is watched", addr)
+			t.Errorf("%s: not a loopback address, but accepted", addr)
 		}
 	}
 }
