--- a/internal/lab/cli/cli.go
+++ b/internal/lab/cli/cli.go
@@ -163,8 +163,8 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			j.Day = args[0]
 			t := &tracer{w: c.OutOrStdout(), messageID: args[1]}
-			if line := (&experiment.Experiment{}).RunJob(c.Context(), j, t); line.Error != "" {
-				return fmt.Errorf("%s", line.Error)
+			if result := (&experiment.Experiment{}).RunJob(c.Context(), j, t); result.Error != "" {
+				return fmt.Errorf("%s", result.Error)
 			}
 			if !t.found {
 				return fmt.Errorf("no message %s on this day", args[1])
@@ -206,8 +206,8 @@
 				return err
 			}
 			l := losses.New(&day)
-			if line := (&experiment.Experiment{}).RunJob(c.Context(), j, l); line.Error != "" {
-				return fmt.Errorf("%s", line.Error)
+			if result := (&experiment.Experiment{}).RunJob(c.Context(), j, l); result.Error != "" {
+				return fmt.Errorf("%s", result.Error)
 			}
 			return l.Report().Print(c.OutOrStdout())
 		},
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -121,33 +121,33 @@
 
 // buildDay draws the day of a run and applies the length and the faults of the experiment to it.
 func (e *Experiment) buildDay(j Job) (model.Day, error) {
-	d, err := model.Draw(j.Day, j.Nodes, j.Seed)
+	day, err := model.Draw(j.Day, j.Nodes, j.Seed)
 	if err != nil {
-		return d, err
+		return day, err
 	}
 	if e.Length != "" {
-		if d.Length, err = parseLength(e.Length); err != nil {
-			return d, err
+		if day.Length, err = parseLength(e.Length); err != nil {
+			return day, err
 		}
 	}
-	for _, t := range e.Faults {
-		for _, i := range t.Dests {
-			if i < 0 || i >= len(d.Dests) {
-				return d, fmt.Errorf("fault %s: no destination %d on day %s with seed %d", t.Kind, i, j.Day, j.Seed)
+	for _, spec := range e.Faults {
+		for _, i := range spec.Dests {
+			if i < 0 || i >= len(day.Dests) {
+				return day, fmt.Errorf("trouble %s: no destination %d on day %s with seed %d", spec.Kind, i, j.Day, j.Seed)
 			}
 		}
-		for _, i := range t.Nodes {
-			if i < 0 || i >= len(d.Nodes) {
-				return d, fmt.Errorf("fault %s: no node %d", t.Kind, i)
+		for _, i := range spec.Nodes {
+			if i < 0 || i >= len(day.Nodes) {
+				return day, fmt.Errorf("trouble %s: no node %d", spec.Kind, i)
 			}
 		}
-		fault := model.Fault{Kind: t.Kind, At: seconds(t.At), Duration: seconds(t.For), Dests: t.Dests, Nodes: t.Nodes, Zone: -1, Size: t.Size}
-		if t.Zone != nil {
-			fault.Zone = *t.Zone
+		fault := model.Fault{Kind: spec.Kind, At: seconds(spec.At), Duration: seconds(spec.For), Dests: spec.Dests, Nodes: spec.Nodes, Zone: -1, Size: spec.Size}
+		if spec.Zone != nil {
+			fault.Zone = *spec.Zone
 		}
-		d.Faults = append(d.Faults, fault)
+		day.Faults = append(day.Faults, fault)
 	}
-	return d, nil
+	return day, nil
 }
 
 // RunJob executes one run. The observer, if it is not nil, receives every event of the run.
@@ -185,8 +185,8 @@
 		return nil, err
 	}
 	done := map[Job]RunResult{}
-	for _, l := range previous {
-		done[l.Job] = l
+	for _, result := range previous {
+		done[result.Job] = result
 	}
 	jobs := e.Jobs()
 	var pending []Job
@@ -227,12 +227,12 @@
 		}
 	}()
 	var writeErr error
-	for l := range results {
+	for result := range results {
 		if ctx.Err() != nil || writeErr != nil {
 			continue // the run may have been interrupted, so it is not recorded and will be repeated
 		}
-		done[l.Job] = l
-		if writeErr = json.NewEncoder(file).Encode(l); writeErr != nil {
+		done[result.Job] = result
+		if writeErr = json.NewEncoder(file).Encode(result); writeErr != nil {
 			cancel()
 		}
 		if progress != nil {
@@ -280,16 +280,16 @@
 // Problems returns a description of each run that failed or broke a rule, sorted.
 func Problems(results []RunResult) []string {
 	var out []string
-	for _, l := range results {
+	for _, result := range results {
 		switch {
-		case l.Error != "":
-			out = append(out, fmt.Sprintf("%s on %s, %d nodes, seed %d: %s", l.Policy, l.Day, l.Nodes, l.Seed, l.Error))
-		case l.Result.ViolationCount > 0:
+		case result.Error != "":
+			out = append(out, fmt.Sprintf("%s on %s, %d nodes, seed %d: %s", result.Policy, result.Day, result.Nodes, result.Seed, result.Error))
+		case result.Result.ViolationCount > 0:
 			rules := map[string]int{}
-			for _, v := range l.Result.Violations {
+			for _, v := range result.Result.Violations {
 				rules[v.Rule]++
 			}
-			out = append(out, fmt.Sprintf("%s on %s, %d nodes, seed %d: %d rule violations, those recorded by rule: %v", l.Policy, l.Day, l.Nodes, l.Seed, l.Result.ViolationCount, rules))
+			out = append(out, fmt.Sprintf("%s on %s, %d nodes, seed %d: %d rule violations, those recorded by rule: %v", result.Policy, result.Day, result.Nodes, result.Seed, result.Result.ViolationCount, rules))
 		}
 	}
 	slices.Sort(out)
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -30,15 +30,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	lines, err := e.Run(t.Context(), filepath.Join(t.TempDir(), "ci.jsonl"), 0, nil)
+	results, err := e.Run(t.Context(), filepath.Join(t.TempDir(), "ci.jsonl"), 0, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, p := range Problems(lines) {
+	for _, p := range Problems(results) {
 		t.Error(p)
 	}
 	got, want := map[string]float64{}, map[string]float64{}
-	for _, s := range Summarize(lines) {
+	for _, s := range Summarize(results) {
 		got[s.Day] = math.Round(s.Median*10000) / 10000
 	}
 	if *record {
@@ -154,29 +154,29 @@
 // Summaries pair the differences by seed, a comparison of results with themselves shows none, and the report page has
 // its three plots and no external references.
 func TestSummariesComparisonAndReport(t *testing.T) {
-	lines := []RunResult{}
+	results := []RunResult{}
 	for seed := range uint64(9) {
 		for _, p := range []string{"a", "b"} {
-			l := RunResult{Job: Job{p, "calm", 3, seed}, Result: runDay(t, model.Day{Settings: minimalSettings})}
-			l.Result.Served = 0.5 + float64(seed)/100
+			result := RunResult{Job: Job{p, "calm", 3, seed}, Result: runDay(t, model.Day{Settings: minimalSettings})}
+			result.Result.Served = 0.5 + float64(seed)/100
 			if p == "b" {
-				l.Result.Served += 0.1
+				result.Result.Served += 0.1
 			}
-			lines = append(lines, l)
+			results = append(results, result)
 		}
 	}
-	all := Summarize(lines)
-	if len(all) != 2 || math.Abs(all[1].Difference-0.1) > 1e-9 || math.Abs(all[0].Median-0.54) > 0.011 || all[1].IntervalLow > 0.1+1e-9 || all[1].IntervalHigh < 0.1-1e-9 {
-		t.Errorf("%+v", all)
+	summaries := Summarize(results)
+	if len(summaries) != 2 || math.Abs(summaries[1].Difference-0.1) > 1e-9 || math.Abs(summaries[0].Median-0.54) > 0.011 || summaries[1].IntervalLow > 0.1+1e-9 || summaries[1].IntervalHigh < 0.1-1e-9 {
+		t.Errorf("%+v", summaries)
 	}
-	slices.Reverse(lines)
+	slices.Reverse(results)
 	var b strings.Builder
-	if err := WriteComparison(&b, lines, lines); err != nil || !strings.Contains(b.String(), "+0.0000") {
+	if err := WriteComparison(&b, results, results); err != nil || !strings.Contains(b.String(), "+0.0000") {
 		t.Error(err, b.String())
 	}
 	b.Reset()
 	e := Experiment{Name: "x", Policies: []string{"a", "b"}, Days: []string{"calm"}, Nodes: []int{3}}
-	if err := WriteReport(&b, e, lines, all); err != nil || strings.Count(b.String(), "<svg") != 3 || strings.Contains(b.String(), "http://127") {
+	if err := WriteReport(&b, e, results, summaries); err != nil || strings.Count(b.String(), "<svg") != 3 || strings.Contains(b.String(), "http://127") {
 		t.Error(err)
 	}
 }
--- a/internal/lab/experiment/report.go
+++ b/internal/lab/experiment/report.go
@@ -61,13 +61,13 @@
 		for _, n := range e.Nodes {
 			for _, kind := range []struct {
 				title string
-				of    func(judge.Window) float64
+				value func(judge.Window) float64
 			}{
 				{"worth served, by arrival time", func(w judge.Window) float64 { return ratio(w.Earned, w.Asked) }},
 				{"share refused", func(w judge.Window) float64 { return ratio(float64(w.Refused), float64(w.Offered)) }},
 				{"share of calls refused over a limit", func(w judge.Window) float64 { return ratio(float64(w.OverLimit), float64(w.Calls)) }},
 			} {
-				f, err := plotOverTime(fmt.Sprintf("%s, %d nodes: %s", d, n, kind.title), results, d, n, e.Policies, kind.of)
+				f, err := plotOverTime(fmt.Sprintf("%s, %d nodes: %s", d, n, kind.title), results, d, n, e.Policies, kind.value)
 				if err != nil {
 					return fmt.Errorf("report: %w", err)
 				}
@@ -78,6 +78,7 @@
 	return reportTemplate.Execute(w, data)
 }
 
+// ratio returns a/b, or 0 if b is not positive.
 func ratio(a, b float64) float64 {
 	if b <= 0 {
 		return 0
@@ -94,9 +95,9 @@
 		var points plotter.XYs
 		for k := 0; ; k++ {
 			var values []float64
-			for _, l := range results {
-				if l.Policy == name && l.Day == day && l.Nodes == nodes && l.Result != nil && k < len(l.Result.Windows) && l.Result.Windows[k].Offered > 0 {
-					values = append(values, value(l.Result.Windows[k]))
+			for _, result := range results {
+				if result.Policy == name && result.Day == day && result.Nodes == nodes && result.Result != nil && k < len(result.Result.Windows) && result.Result.Windows[k].Offered > 0 {
+					values = append(values, value(result.Result.Windows[k]))
 				}
 			}
 			if len(values) == 0 {
@@ -136,9 +137,9 @@
 }
 
 // WriteRun writes the result of one run as text, with a row per 5 s window and the recorded rule violations.
-func WriteRun(w io.Writer, l RunResult) error {
-	r := l.Result
-	fmt.Fprintf(w, "%s on %s, %d nodes, seed %d\n", l.Policy, l.Day, l.Nodes, l.Seed)
+func WriteRun(w io.Writer, result RunResult) error {
+	r := result.Result
+	fmt.Fprintf(w, "%s on %s, %d nodes, seed %d\n", result.Policy, result.Day, result.Nodes, result.Seed)
 	fmt.Fprintf(w, "served %.3f, worst 10 s %.3f, worst class %.3f, prices %.4f, score %.3f\n", r.Served, r.WorstWindow, r.WorstClass, r.Costs, r.Score)
 	fmt.Fprintf(w, "offered %d, delivered %d, in time %d, refused %d, failed %d, lost %d; runs beyond the first %d\n",
 		r.Offered, r.Delivered, r.InTime, r.Refused, r.Failed, r.Lost, r.DuplicateRuns)
@@ -146,8 +147,8 @@
 		r.Calls, r.OverLimit, r.CrossZoneCalls, r.Handshakes, r.Datagrams, r.PeerBytes, r.Collapses)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "from\toffered\tin time\tlate\trefused\tfailed\tcalls\tover limit\tworth\t")
-	for i, x := range r.Windows {
-		fmt.Fprintf(t, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t\n", 5*i, x.Offered, x.InTime, x.Late, x.Refused, x.Failed, x.Calls, x.OverLimit, ratio(x.Earned, x.Asked))
+	for i, window := range r.Windows {
+		fmt.Fprintf(t, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t\n", 5*i, window.Offered, window.InTime, window.Late, window.Refused, window.Failed, window.Calls, window.OverLimit, ratio(window.Earned, window.Asked))
 	}
 	if err := t.Flush(); err != nil {
 		return err
@@ -165,8 +166,8 @@
 // count. Only runs that succeeded in both are compared.
 func WriteComparison(w io.Writer, before, after []RunResult) error {
 	previous := map[Job]RunResult{}
-	for _, l := range before {
-		previous[l.Job] = l
+	for _, result := range before {
+		previous[result.Job] = result
 	}
 	type group struct {
 		policy, day string
@@ -175,24 +176,24 @@
 	differences := map[group][]float64{}
 	var order []group
 	violations := 0
-	for _, l := range after {
-		b, ok := previous[l.Job]
-		if !ok || b.Result == nil || l.Result == nil {
+	for _, result := range after {
+		b, ok := previous[result.Job]
+		if !ok || b.Result == nil || result.Result == nil {
 			continue
 		}
-		violations += l.Result.ViolationCount - b.Result.ViolationCount
-		g := group{l.Policy, l.Day, l.Nodes}
+		violations += result.Result.ViolationCount - b.Result.ViolationCount
+		g := group{result.Policy, result.Day, result.Nodes}
 		if differences[g] == nil {
 			order = append(order, g)
 		}
-		differences[g] = append(differences[g], l.Result.Served-b.Result.Served)
+		differences[g] = append(differences[g], result.Result.Served-b.Result.Served)
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "day\tnodes\tpolicy\tpairs\tserved\t95%\tleast\tmost\t")
 	for _, g := range order {
-		x := differences[g]
-		from, to := bootstrapInterval(x)
-		fmt.Fprintf(t, "%s\t%d\t%s\t%d\t%+.4f\t%+.4f..%+.4f\t%+.4f\t%+.4f\t\n", g.day, g.nodes, g.policy, len(x), quantile(x, 0.5), from, to, slices.Min(x), slices.Max(x))
+		values := differences[g]
+		from, to := bootstrapInterval(values)
+		fmt.Fprintf(t, "%s\t%d\t%s\t%d\t%+.4f\t%+.4f..%+.4f\t%+.4f\t%+.4f\t\n", g.day, g.nodes, g.policy, len(values), quantile(values, 0.5), from, to, slices.Min(values), slices.Max(values))
 	}
 	fmt.Fprintf(t, "rules broken: %+d\t\n", violations)
 	return t.Flush()
--- a/internal/lab/experiment/stats.go
+++ b/internal/lab/experiment/stats.go
@@ -39,13 +39,13 @@
 	}
 	var order []group
 	bySeed := map[group]map[uint64]RunResult{}
-	for _, l := range results {
-		g := group{l.Policy, l.Day, l.Nodes}
+	for _, result := range results {
+		g := group{result.Policy, result.Day, result.Nodes}
 		if bySeed[g] == nil {
 			bySeed[g] = map[uint64]RunResult{}
 			order = append(order, g)
 		}
-		bySeed[g][l.Seed] = l
+		bySeed[g][result.Seed] = result
 	}
 	slices.SortStableFunc(order, func(a, b group) int {
 		switch {
@@ -60,12 +60,12 @@
 		s := Summary{Policy: g.policy, Day: g.day, Nodes: g.nodes}
 		var served, score, diff, inTime, refused, over, peer []float64
 		base := bySeed[group{results[0].Policy, g.day, g.nodes}]
-		for _, l := range bySeed[g] {
-			if l.Result == nil {
+		for _, result := range bySeed[g] {
+			if result.Result == nil {
 				s.Broken++
 				continue
 			}
-			r, n := l.Result, float64(max(l.Result.Offered, 1))
+			r, n := result.Result, float64(max(result.Result.Offered, 1))
 			s.Runs++
 			if r.ViolationCount > 0 {
 				s.Broken++
@@ -73,7 +73,7 @@
 			served, score = append(served, r.Served), append(score, r.Score)
 			inTime, refused, over = append(inTime, float64(r.InTime)/n), append(refused, float64(r.Refused)/n), append(over, float64(r.OverLimit)/n)
 			peer = append(peer, 0.01*float64(r.PeerBytes)/256/n)
-			if b, ok := base[l.Seed]; ok && b.Result != nil {
+			if b, ok := base[result.Seed]; ok && b.Result != nil {
 				diff = append(diff, r.Served-b.Result.Served)
 			}
 		}
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -124,7 +124,7 @@
 		res.Classes[k.Name] = &ClassResult{Latency: hdrhistogram.New(1, maxLatency.Microseconds(), 3), RetryAfter: hdrhistogram.New(1, maxLatency.Milliseconds(), 3)}
 	}
 	body := []byte(strings.Repeat("x", c.BodyBytes))
-	// The queues are long enough that the loop never waits for a slow node.
+	// The loop never waits for a slow node: a message is queued, or counted as unanswered if the queue is full.
 	queues := make([]chan submission, len(c.Nodes))
 	var mu sync.Mutex
 	var workers sync.WaitGroup
@@ -184,7 +184,7 @@
 			d := submission{dueAt, client.Message{ID: id, Key: id, Class: class.Name, Dest: dest, TTL: class.TTL, Body: body}, class.Name}
 			select {
 			case queues[r.IntN(len(queues))] <- d:
-			default: // MaxRate messages are queued: the node does not answer any more
+			default: // MaxRate messages are queued already: the node is gone
 				mu.Lock()
 				res.Classes[class.Name].record(client.NoAnswer, 0, maxLatency)
 				mu.Unlock()
--- a/internal/lab/paper/study.go
+++ b/internal/lab/paper/study.go
@@ -56,24 +56,24 @@
 
 // Run simulates the study and returns its figures in order.
 func (s Study) Run(ctx context.Context) ([]Figure, error) {
-	type name struct {
+	type scenario struct {
 		size               int
 		selection, control string
 	}
-	var cases []name
+	var scenarios []scenario
 	for _, n := range []int{4, 8} {
-		cases = append(cases, name{n, "uniform", "none"}, name{n, "round-robin", "none"}, name{n, "lrt", "none"})
+		scenarios = append(scenarios, scenario{n, "uniform", "none"}, scenario{n, "round-robin", "none"}, scenario{n, "lrt", "none"})
 		for _, c := range Controls {
-			cases = append(cases, name{n, "lrt", c})
+			scenarios = append(scenarios, scenario{n, "lrt", c})
 		}
 	}
 	loads := Loads()
-	results := map[name][]Result{}
-	for _, c := range cases {
+	results := map[scenario][]Result{}
+	for _, c := range scenarios {
 		results[c] = make([]Result, len(loads))
 	}
 	type task struct {
-		c  name
+		c  scenario
 		at int
 	}
 	work := make(chan task)
@@ -92,7 +92,7 @@
 			}
 		})
 	}
-	for _, c := range cases {
+	for _, c := range scenarios {
 		for i := range loads {
 			select {
 			case work <- task{c, i}:
@@ -105,8 +105,8 @@
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	base := func(n int) []Result { return results[name{n, "uniform", "none"}] }
-	curve := func(c name, metricOf func(r, base Result) float64) []float64 {
+	base := func(n int) []Result { return results[scenario{n, "uniform", "none"}] }
+	curve := func(c scenario, metricOf func(r, base Result) float64) []float64 {
 		y := make([]float64, len(loads))
 		for i, r := range results[c] {
 			y[i] = metricOf(r, base(c.size)[i])
@@ -123,15 +123,15 @@
 		f := Figure{Name: fmt.Sprintf("Fig. %d", number), Title: fmt.Sprintf("%s (%d×%d)", title, size, size), X: loads}
 		if !controls {
 			for _, sel := range []string{"round-robin", "lrt"} {
-				f.Series = append(f.Series, Series{sel, curve(name{size, sel, "none"}, metricOf)})
+				f.Series = append(f.Series, Series{sel, curve(scenario{size, sel, "none"}, metricOf)})
 			}
 			if number == 5 {
-				f.Series = append(f.Series, Series{"uniform", curve(name{size, "uniform", "none"}, metricOf)})
+				f.Series = append(f.Series, Series{"uniform", curve(scenario{size, "uniform", "none"}, metricOf)})
 			}
 			return f
 		}
 		for _, c := range Controls {
-			f.Series = append(f.Series, Series{c, curve(name{size, "lrt", c}, metricOf)})
+			f.Series = append(f.Series, Series{c, curve(scenario{size, "lrt", c}, metricOf)})
 		}
 		return f
 	}
@@ -202,11 +202,11 @@
 
 // WriteReport writes the figures as a self-contained HTML page.
 func WriteReport(w io.Writer, figures []Figure) error {
-	type drawn struct {
+	type renderedFigure struct {
 		Title string
 		SVG   template.HTML
 	}
-	var out []drawn
+	var rendered []renderedFigure
 	for _, f := range figures {
 		p := plot.New()
 		p.Legend.Top = true
@@ -231,7 +231,7 @@
 		if err != nil {
 			return fmt.Errorf("%s: %w", f.Name, err)
 		}
-		out = append(out, drawn{f.Name + ": " + f.Title, svg})
+		rendered = append(rendered, renderedFigure{f.Name + ": " + f.Title, svg})
 	}
-	return reportTemplate.Execute(w, out)
+	return reportTemplate.Execute(w, rendered)
 }
