--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -47,18 +47,18 @@
 	readyAt        time.Duration
 }
 
-// New returns a Start that begins at time now.
+// New returns a Start that begins at time now. The texts of its reasons are sent to clients, so they stay as they are.
 func New(cfg Config, now time.Duration, cached CachedList) *Start {
-	s := &Start{cfg: cfg, startedAt: now, waitReason: "no list is cached"}
+	s := &Start{cfg: cfg, startedAt: now, waitReason: "no list is kept"}
 	switch {
 	case !cached.Present:
 	case cfg.CachedMaxAge > 0 && cached.Age < 0:
-		s.waitReason = "the cached list is of unknown age"
+		s.waitReason = "the kept list is of unknown age"
 	case cfg.CachedMaxAge > 0 && cached.Age > cfg.CachedMaxAge:
-		s.waitReason = fmt.Sprintf("the cached list is %v old, and the limit is %v", cached.Age.Round(time.Second), cfg.CachedMaxAge)
+		s.waitReason = fmt.Sprintf("the kept list is %v old, and %v at most is taken", cached.Age.Round(time.Second), cfg.CachedMaxAge)
 	default:
 		s.cacheUsable = true
-		s.waitReason = fmt.Sprintf("the cached list comes into force %v after the start", cfg.CachedAfter)
+		s.waitReason = fmt.Sprintf("a kept list comes into force %v after the start", cfg.CachedAfter)
 	}
 	return s
 }
@@ -88,7 +88,7 @@
 	s.complete = s.complete || !settling
 	if settling && endpoints == 0 {
 		if !s.serverAnswered {
-			s.waitReason = "the list service has just started, and no endpoint has registered yet"
+			s.waitReason = "the list service has just begun, and no endpoint has registered yet"
 		}
 		return false
 	}
@@ -114,7 +114,7 @@
 	if s.ready {
 		return ""
 	}
-	return "no list server has sent a usable list yet, and " + s.waitReason
+	return "no list server has told a list that can be served on yet, and " + s.waitReason
 }
 
 // RetryAfter returns how long a client is told to wait while there is no list. jitter, from 0 to 1, spreads the
--- a/internal/coldstart/coldstart_test.go
+++ b/internal/coldstart/coldstart_test.go
@@ -18,8 +18,8 @@
 		readyAt time.Duration // 0 for never
 		reason  string        // part of the reason before that
 	}{
-		"a server sends a list":             {Config{}, CachedList{}, 3 * s, 3 * s, "no list is cached"},
-		"no list ever arrives":              {Config{}, CachedList{}, 0, 0, "no list is cached"},
+		"a server sends a list":             {Config{}, CachedList{}, 3 * s, 3 * s, "no list is kept"},
+		"no list ever arrives":              {Config{}, CachedList{}, 0, 0, "no list is kept"},
 		"a cached list serves at once":      {Config{}, CachedList{true, -1}, 0, s, ""},
 		"a cached list waits":               {Config{CachedAfter: 2 * s}, CachedList{true, s}, 0, 3 * s, "comes into force 2s"},
 		"a server is earlier":               {Config{CachedAfter: 4 * s}, CachedList{true, s}, 2 * s, 2 * s, "comes into force"},
@@ -86,7 +86,7 @@
 // leaves no destination unknown, and only once it has settled are missing destinations unknown.
 func TestSettlingListLeavesNoDestinationUnknown(t *testing.T) {
 	start := New(Config{}, 0, CachedList{})
-	if start.ObserveList(1, true, 0) || start.Ready() || start.Complete() || !strings.Contains(start.Reason(), "just started") {
+	if start.ObserveList(1, true, 0) || start.Ready() || start.Complete() || !strings.Contains(start.Reason(), "just begun") {
 		t.Errorf("an empty settling list: ready %v, complete %v, %q", start.Ready(), start.Complete(), start.Reason())
 	}
 	if !start.ObserveList(2, true, 3) || !start.Ready() || start.Complete() {
--- a/internal/listwatch/watcher.go
+++ b/internal/listwatch/watcher.go
@@ -313,7 +313,7 @@
 			switch failover.Step(f.now()) {
 			case OpenCandidate:
 				f.Log.Warn("list_silent", "addr", current.addr)
-				f.reportDelay("the list server is silent")
+				f.reportDelay("the link is silent")
 				candidate = f.openStream(ctx, current.offset+1, 0)
 			case ReplaceCandidate:
 				offset := current.offset + 1
@@ -397,18 +397,19 @@
 	}
 }
 
-// reason describes in a few words why a stream ended.
+// reason describes in a few words why a stream ended. Its texts are stored and sent to the list service, so they stay as
+// they are.
 func reason(err error) string {
 	statusErr, isStatus := errors.AsType[*StatusError](err)
 	switch {
 	case errors.Is(err, errOlderList):
-		return "a server sent an older list"
+		return "a server told an older list"
 	case isStatus && statusErr.HasRetryAfter:
-		return "a server asked to retry later"
+		return "a server said to come later"
 	case isStatus:
-		return fmt.Sprintf("a server answered with status %d", statusErr.Code)
+		return fmt.Sprintf("a server answered %d", statusErr.Code)
 	}
-	return "the stream ended"
+	return "the watch ended"
 }
 
 // newFailover starts to check a server's heartbeats. It returns nil if the server sends none.
--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -64,14 +64,14 @@
 // Reason says why a member is in its state.
 type Reason string
 
-// The reasons.
+// The reasons. Their texts are part of the operators' API, so they stay as they are.
 const (
-	ReasonListed           Reason = "listed, not heard from yet"
-	ReasonHeard            Reason = "it sent a datagram"
-	ReasonGossip           Reason = "reported by other members"
-	ReasonNoAck            Reason = "it does not answer pings"
-	ReasonSuspicionExpired Reason = "it was suspected and did not refute that in time"
-	ReasonLeft             Reason = "it announced that it leaves"
+	ReasonListed           Reason = "listed, not heard of yet"
+	ReasonHeard            Reason = "it spoke"
+	ReasonGossip           Reason = "others say so"
+	ReasonNoAck            Reason = "it does not answer"
+	ReasonSuspicionExpired Reason = "it was suspected and did not speak up"
+	ReasonLeft             Reason = "it said so"
 )
 
 // Datagram is to be sent to a member.
--- a/internal/node/staleness.go
+++ b/internal/node/staleness.go
@@ -85,7 +85,7 @@
 		return
 	}
 	n.metrics.TimesFenced.Add(1)
-	n.fenceReason.Store(&waitReason{time.Now(), "other nodes act on a newer list, and no list server has sent it"})
+	n.fenceReason.Store(&waitReason{time.Now(), "others act on a later list, and no list server tells it"})
 	n.log.Warn("shut_out", "revision", result.NewerRevision, "own", n.listRevision)
 }
 
@@ -120,7 +120,7 @@
 	switch {
 	case n.belowFloor:
 		n.metrics.TimesFenced.Add(1)
-		n.fenceReason.Store(&waitReason{time.Now(), "the list service requires another build or configuration"})
+		n.fenceReason.Store(&waitReason{time.Now(), "the list service asks for another build or configuration"})
 	case wasBelow && !n.staleness.fenced():
 		n.fenceReason.Store(nil)
 	}
--- a/internal/node/startup_test.go
+++ b/internal/node/startup_test.go
@@ -72,14 +72,14 @@
 		keep, section, spoil string
 		why                  string // empty if the node serves
 	}{
-		"nothing cached":   {"", `"keep":true`, "", "no list is cached"},
+		"nothing cached":   {"", `"keep":true`, "", "no list is kept"},
 		"kept":             {"yes", `"keep":true`, "", ""},
-		"cached, not read": {"yes", `"keep":false`, "", "no list is cached"},
+		"cached, not read": {"yes", `"keep":false`, "", "no list is kept"},
 		"cached too long":  {"yes", `"keep":true,"kept_most_ms":1`, "", "old"},
 		"waits an hour":    {"yes", `"keep":true,"kept_after_ms":3600000`, "", "comes into force 1h"},
 		"comes into force": {"yes", `"keep":true,"kept_after_ms":50`, "", ""},
-		"cut":              {"yes", `"keep":true`, "cut", "no list is cached"},
-		"flipped":          {"yes", `"keep":true`, "flip", "no list is cached"},
+		"cut":              {"yes", `"keep":true`, "cut", "no list is kept"},
+		"flipped":          {"yes", `"keep":true`, "flip", "no list is kept"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/rollout/table.go
+++ b/internal/rollout/table.go
@@ -36,11 +36,11 @@
 	LagReason   string `json:"why,omitempty"`  // why the node's list was last late
 }
 
-// Errors of Table.Apply.
+// Errors of Table.Apply. Their texts are sent to nodes, so they stay as they are.
 var (
-	ErrInvalid   = errors.New("invalid report")
-	ErrStale     = errors.New("a later report is known")
-	ErrTableFull = errors.New("the node table is full")
+	ErrInvalid   = errors.New("bad claim")
+	ErrStale     = errors.New("a later claim is known")
+	ErrTableFull = errors.New("the table is full")
 )
 
 func (r Report) validate(head int64) error {
@@ -52,11 +52,11 @@
 	}
 	switch {
 	case len(r.LagReason) > 2*maxFieldLen:
-		return fmt.Errorf("%w: why is too long: %d bytes", ErrInvalid, len(r.LagReason))
+		return fmt.Errorf("%w: why has %d bytes", ErrInvalid, len(r.LagReason))
 	case r.Incarnation <= 0 || r.Seq <= 0 || r.Revision < 0:
 		return fmt.Errorf("%w: incarnation %d, seq %d, revision %d", ErrInvalid, r.Incarnation, r.Seq, r.Revision)
 	case r.Revision > head:
-		return fmt.Errorf("%w: revision %d does not exist yet, the latest is %d", ErrInvalid, r.Revision, head)
+		return fmt.Errorf("%w: revision %d is not given yet, the last is %d", ErrInvalid, r.Revision, head)
 	}
 	return nil
 }
@@ -139,7 +139,7 @@
 	err := report.validate(t.head)
 	old := t.nodes[report.Name]
 	if err == nil && old != nil && (report.Incarnation < old.Incarnation || report.Incarnation == old.Incarnation && report.Seq <= old.Seq) {
-		err = fmt.Errorf("%w: incarnation %d, report %d", ErrStale, old.Incarnation, old.Seq)
+		err = fmt.Errorf("%w: incarnation %d, claim %d", ErrStale, old.Incarnation, old.Seq)
 	}
 	if err == nil && old == nil && len(t.nodes) >= MaxNodes && !t.evictSilent(now) {
 		err = ErrTableFull
