--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -15,29 +15,30 @@
 	"harrierramp/internal/lab/model"
 )
 
-var record = flag.Bool("record", false, "write the baseline of the regression anew")
+var record = flag.Bool("record", false, "rewrite the baseline of the regression test")
 
 const (
 	baselinePath = "../../../lab/ci-baseline.json"
-	tolerance    = 0.015 // of worth served, by kind of day, median of three seeds
+	tolerance    = 0.015 // allowed deviation of the worth served, per kind of day, median of three seeds
 )
 
-// The project's own sender keeps every rule on every kind of day, and serves what it served when the baseline was
-// recorded, within a band. A change that is meant to move it records a new one (-record) and says so.
+// The project's own sender keeps every rule on every kind of day, and the worth that it serves stays within the
+// tolerance of the recorded baseline. A change that is meant to move the worth records a new baseline with -record and
+// says so in its commit.
 func TestRegression(t *testing.T) {
 	e, err := Load("../../../lab/ci.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	lines, err := e.Run(t.Context(), filepath.Join(t.TempDir(), "ci.jsonl"), 0, nil)
+	results, err := e.Run(t.Context(), filepath.Join(t.TempDir(), "ci.jsonl"), 0, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, p := range Problems(lines) {
+	for _, p := range Problems(results) {
 		t.Error(p)
 	}
 	got, want := map[string]float64{}, map[string]float64{}
-	for _, s := range Summarize(lines) {
+	for _, s := range Summarize(results) {
 		got[s.Day] = math.Round(s.Median*10000) / 10000
 	}
 	if *record {
@@ -58,16 +59,17 @@
 	}
 	for _, day := range e.Days {
 		if math.Abs(got[day]-want[day]) > tolerance {
-			t.Errorf("%s: %.4f served, and the baseline is %.4f", day, got[day], want[day])
+			t.Errorf("%s: served %.4f, the baseline is %.4f", day, got[day], want[day])
 		}
 	}
 }
 
-// Runs in another order, and runs that were cut off and gone on with, give the same file in the order of the jobs.
+// An experiment that was interrupted, with a truncated last line in its results file, resumes with the missing runs
+// only, and gives the same results in the same order as an uninterrupted one, whatever the number of threads.
 func TestInterruptedRunResumesWithTheSameResults(t *testing.T) {
 	e := Experiment{Policies: []string{"ours", "lrt"}, Days: []string{"split"}, Nodes: []int{5}, Seeds: []uint64{1, 2, 3}}
 	dir := t.TempDir()
-	whole, err := e.Run(t.Context(), filepath.Join(dir, "a"), 1, nil)
+	uninterrupted, err := e.Run(t.Context(), filepath.Join(dir, "a"), 1, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,41 +80,42 @@
 		}
 	})
 	if err == nil {
-		t.Error("a run that was cut off ends well")
+		t.Error("an interrupted run returned no error")
 	}
-	half, err := ReadResults(filepath.Join(dir, "b"))
-	if err != nil || len(half) == 0 || len(half) == len(whole) {
-		t.Fatalf("%d lines, %v", len(half), err)
+	partial, err := ReadResults(filepath.Join(dir, "b"))
+	if err != nil || len(partial) == 0 || len(partial) == len(uninterrupted) {
+		t.Fatalf("%d results of the interrupted run, error %v", len(partial), err)
 	}
-	torn, err := os.OpenFile(filepath.Join(dir, "b"), os.O_APPEND|os.O_WRONLY, 0)
+	truncated, err := os.OpenFile(filepath.Join(dir, "b"), os.O_APPEND|os.O_WRONLY, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := torn.WriteString(`{"policy":"ours","day":"spl`); err != nil {
+	if _, err := truncated.WriteString(`{"policy":"ours","day":"spl`); err != nil {
 		t.Fatal(err)
 	}
-	torn.Close()
-	if half, err = ReadResults(filepath.Join(dir, "b")); err != nil {
+	truncated.Close()
+	if partial, err = ReadResults(filepath.Join(dir, "b")); err != nil {
 		t.Fatal(err)
 	}
-	played := 0
-	again, err := e.Run(t.Context(), filepath.Join(dir, "b"), 4, func(int, int) { played++ })
-	if err != nil || played != len(whole)-len(half) {
-		t.Fatalf("%d runs were played again, %v", played, err)
+	rerun := 0
+	resumed, err := e.Run(t.Context(), filepath.Join(dir, "b"), 4, func(int, int) { rerun++ })
+	if err != nil || rerun != len(uninterrupted)-len(partial) {
+		t.Fatalf("%d runs were executed on resuming, error %v", rerun, err)
 	}
-	a, err := json.Marshal(whole)
+	a, err := json.Marshal(uninterrupted)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if b, err := json.Marshal(again); err != nil || !bytes.Equal(a, b) {
-		t.Error("the results differ")
+	if b, err := json.Marshal(resumed); err != nil || !bytes.Equal(a, b) {
+		t.Error("the results of the resumed run differ from those of the uninterrupted one")
 	}
 }
 
-// Odd days end as they should: nobody comes, one destination, one node, a deadline that is met to the instant.
+// Edge cases break no rule: a day without messages, with one destination, with almost no capacity, and with a deadline
+// of zero. An unknown kind of day or an unknown policy fails the run.
 func TestEdgeCaseDaysKeepTheRules(t *testing.T) {
 	e := Experiment{}
-	for name, spoil := range map[string]func(d *model.Day){
+	for name, change := range map[string]func(d *model.Day){
 		"nobody":          func(d *model.Day) { d.Length = 0 },
 		"one destination": func(d *model.Day) { d.Dests = d.Dests[:1] },
 		"no room":         func(d *model.Day) { d.Dests[0].Limit = 0.01 },
@@ -122,20 +125,21 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		spoil(&d)
+		change(&d)
 		if r := runDay(t, d); r.ViolationCount > 0 {
 			t.Errorf("%s: %+v", name, r.Violations[0])
 		}
 	}
 	if l := e.RunJob(t.Context(), Job{"ours", "nosuch", 3, 1}, nil); l.Error == "" {
-		t.Error("a day of no kind is played")
+		t.Error("a day of an unknown kind did not fail")
 	}
 	if l := e.RunJob(t.Context(), Job{"nobody", "calm", 3, 1}, nil); !strings.Contains(l.Error, "no policy") {
 		t.Error(l.Error)
 	}
 }
 
-// A policy that panics ends its run with what it takes to play it again.
+// A policy that panics ends its run with an error that has the seed and the number of the event, which are needed to
+// reproduce it.
 func TestPolicyPanicReportsSeedAndEvent(t *testing.T) {
 	d, err := model.Draw("calm", 3, 9)
 	if err != nil {
@@ -147,30 +151,32 @@
 	}
 }
 
+// Summaries pair the differences by seed, a comparison of results with themselves shows none, and the report page has
+// its three plots and no external references.
 func TestSummariesComparisonAndReport(t *testing.T) {
-	lines := []RunResult{}
+	results := []RunResult{}
 	for seed := range uint64(9) {
 		for _, p := range []string{"a", "b"} {
-			l := RunResult{Job: Job{p, "calm", 3, seed}, Result: runDay(t, model.Day{Settings: minimalSettings})}
-			l.Result.Served = 0.5 + float64(seed)/100
+			result := RunResult{Job: Job{p, "calm", 3, seed}, Result: runDay(t, model.Day{Settings: minimalSettings})}
+			result.Result.Served = 0.5 + float64(seed)/100
 			if p == "b" {
-				l.Result.Served += 0.1
+				result.Result.Served += 0.1
 			}
-			lines = append(lines, l)
+			results = append(results, result)
 		}
 	}
-	all := Summarize(lines)
-	if len(all) != 2 || math.Abs(all[1].Difference-0.1) > 1e-9 || math.Abs(all[0].Median-0.54) > 0.011 || all[1].IntervalLow > 0.1+1e-9 || all[1].IntervalHigh < 0.1-1e-9 {
-		t.Errorf("%+v", all)
+	summaries := Summarize(results)
+	if len(summaries) != 2 || math.Abs(summaries[1].Difference-0.1) > 1e-9 || math.Abs(summaries[0].Median-0.54) > 0.011 || summaries[1].IntervalLow > 0.1+1e-9 || summaries[1].IntervalHigh < 0.1-1e-9 {
+		t.Errorf("%+v", summaries)
 	}
-	slices.Reverse(lines)
+	slices.Reverse(results)
 	var b strings.Builder
-	if err := WriteComparison(&b, lines, lines); err != nil || !strings.Contains(b.String(), "+0.0000") {
+	if err := WriteComparison(&b, results, results); err != nil || !strings.Contains(b.String(), "+0.0000") {
 		t.Error(err, b.String())
 	}
 	b.Reset()
 	e := Experiment{Name: "x", Policies: []string{"a", "b"}, Days: []string{"calm"}, Nodes: []int{3}}
-	if err := WriteReport(&b, e, lines, all); err != nil || strings.Count(b.String(), "<svg") != 3 || strings.Contains(b.String(), "http://127") {
+	if err := WriteReport(&b, e, results, summaries); err != nil || strings.Count(b.String(), "<svg") != 3 || strings.Contains(b.String(), "http://127") {
 		t.Error(err)
 	}
 }
--- a/internal/lab/watchers/watchers_test.go
+++ b/internal/lab/watchers/watchers_test.go
@@ -11,10 +11,10 @@
 	"harrierramp/internal/registry"
 )
 
-// A real list server that takes few a second serves all who begin at once, turned or not; who keeps a turn is hardly ever
-// told to come later.
+// A real list server with a limit of 250 starts per second gives the list to all watchers, whether they spread their
+// first requests or send them at once. Watchers that spread them hardly ever get a Retry-After.
 func TestServerServesAllStartingWatchers(t *testing.T) {
-	for name, turned := range map[string]bool{"turned": true, "all at once": false} {
+	for name, paced := range map[string]bool{"turned": true, "all at once": false} {
 		t.Run(name, func(t *testing.T) {
 			log := slog.New(slog.DiscardHandler)
 			s, err := registry.New(registry.Config{
@@ -27,27 +27,27 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			front := s.HTTPServer(s.Handler(), 1000, log)
+			httpServer := s.HTTPServer(s.Handler(), 1000, log)
 			ctx, cancel := context.WithCancel(context.Background())
-			ended := make(chan error, 2)
-			go func() { ended <- front.Serve(ln) }()
-			go func() { ended <- s.Run(ctx) }()
+			exited := make(chan error, 2)
+			go func() { exited <- httpServer.Serve(ln) }()
+			go func() { exited <- s.Run(ctx) }()
 			defer func() {
 				cancel()
-				front.Close()
+				httpServer.Close()
 				for range 2 {
-					if err := <-ended; err != nil && err != http.ErrServerClosed {
+					if err := <-exited; err != nil && err != http.ErrServerClosed {
 						t.Error(err)
 					}
 				}
 			}()
 			const count = 200
-			r, err := Run(t.Context(), Options{Servers: []string{ln.Addr().String()}, Count: count, Timeout: 20 * time.Second, PaceStart: turned})
+			r, err := Run(t.Context(), Options{Servers: []string{ln.Addr().String()}, Count: count, Timeout: 20 * time.Second, PaceStart: paced})
 			if err != nil || r.Listed != count {
 				t.Fatalf("%+v, %v", r, err)
 			}
-			if t.Logf("%+v", r); turned && r.RetryLaters > count/10 || !turned && r.RetryLaters < count/4 || r.Requests < count+r.RetryLaters {
-				t.Errorf("%d asks, %d told to come later", r.Requests, r.RetryLaters)
+			if t.Logf("%+v", r); paced && r.RetryLaters > count/10 || !paced && r.RetryLaters < count/4 || r.Requests < count+r.RetryLaters {
+				t.Errorf("%d requests, %d answered with Retry-After", r.Requests, r.RetryLaters)
 			}
 		})
 	}
@@ -56,7 +56,7 @@
 func TestNonLoopbackServerIsRejected(t *testing.T) {
 	for _, addr := range []string{"10.0.0.1:80", "example:80"} {
 		if _, err := Run(t.Context(), Options{Servers: []string{addr}, Count: 1, Timeout: time.Second}); err == nil {
-			t.Errorf("%s is watched", addr)
+			t.Errorf("%s: not a loopback address, but accepted", addr)
 		}
 	}
 }
