--- a/internal/lab/relay/relay_test.go
+++ b/internal/lab/relay/relay_test.go
@@ -217,14 +217,14 @@
 		least, most time.Duration // time until the echo
 		fails       error
 	}{
-		"delay":      {Fault{Delay: 100 * time.Millisecond}, "x", 200 * time.Millisecond, testTimeout, nil},
-		"jitter":     {Fault{Jitter: 50 * time.Millisecond}, "x", 0, testTimeout, nil},
-		"rate":       {Fault{BytesPerSecond: 1000}, fmt.Sprintf("%0300d", 0), 300 * time.Millisecond, testTimeout, nil},
-		"refused":    {Fault{Refuse: true}, "x", 0, testTimeout, syscall.ECONNRESET},
-		"reset":      {Fault{ResetShare: 1}, "x", 0, testTimeout, syscall.ECONNRESET},
-		"stopped":    {Fault{StallAfter: 3}, "a long line", 0, 0, nil},
-		"untouched":  {Fault{LossShare: 1}, "x", 0, testTimeout, nil},
-		"no reset":   {Fault{ResetShare: 0}, "x", 0, testTimeout, nil},
+		"delay":     {Fault{Delay: 100 * time.Millisecond}, "x", 200 * time.Millisecond, testTimeout, nil},
+		"jitter":    {Fault{Jitter: 50 * time.Millisecond}, "x", 0, testTimeout, nil},
+		"rate":      {Fault{BytesPerSecond: 1000}, fmt.Sprintf("%0300d", 0), 300 * time.Millisecond, testTimeout, nil},
+		"refused":   {Fault{Refuse: true}, "x", 0, testTimeout, syscall.ECONNRESET},
+		"reset":     {Fault{ResetShare: 1}, "x", 0, testTimeout, syscall.ECONNRESET},
+		"stopped":   {Fault{StallAfter: 3}, "a long line", 0, 0, nil},
+		"untouched": {Fault{LossShare: 1}, "x", 0, testTimeout, nil},
+		"no reset":  {Fault{ResetShare: 0}, "x", 0, testTimeout, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			fx := newFixture(t, 1)
