--- a/internal/lab/paper/study.go
+++ b/internal/lab/paper/study.go
@@ -17,18 +17,18 @@
 	"harrierramp/internal/lab/experiment"
 )
 
-// Study is the paper's figures 3 to 15.
+// Study has the parameters for figures 3 to 15 of the paper. See Config for their meaning.
 type Study struct {
-	Sessions           int // of each run; the paper has a million
+	Sessions           int // per run; the paper uses a million
 	MessagesPerSession int
 	QueueLimit         int
 	FeedbackInterval   float64
 	Seed               uint64
-	Threads            int
+	Threads            int // number of parallel runs; 0 for one per core
 }
 
-// Default is what the paper leaves open, as we took it: sessions of three messages, queues of 400 messages, delays that
-// servers tell twice in a service time.
+// DefaultStudy returns the values chosen for what the paper does not specify: sessions of three messages, queues of up
+// to 400 messages, and servers that report their delays twice per service time.
 func DefaultStudy() Study {
 	return Study{Sessions: 100_000, MessagesPerSession: 3, QueueLimit: 400, FeedbackInterval: 0.5, Seed: 1}
 }
@@ -39,14 +39,14 @@
 	Y    []float64
 }
 
-// Figure is one of the paper's.
+// Figure is a figure of the paper, with one or more curves over the same X values.
 type Figure struct {
 	Name, Title string
 	X           []float64
 	Series      []Series
 }
 
-// Loads are the normalized offered loads.
+// Loads returns the normalized offered loads of the figures, from 0.75 to 1.25.
 func Loads() (out []float64) {
 	for i := range 11 {
 		out = append(out, 0.75+0.05*float64(i))
@@ -54,36 +54,36 @@
 	return out
 }
 
-// Run plays the study and returns its figures in their order.
+// Run simulates the study and returns its figures in order.
 func (s Study) Run(ctx context.Context) ([]Figure, error) {
-	type name struct {
+	type scenario struct {
 		size               int
 		selection, control string
 	}
-	var cases []name
+	var scenarios []scenario
 	for _, n := range []int{4, 8} {
-		cases = append(cases, name{n, "uniform", "none"}, name{n, "round-robin", "none"}, name{n, "lrt", "none"})
+		scenarios = append(scenarios, scenario{n, "uniform", "none"}, scenario{n, "round-robin", "none"}, scenario{n, "lrt", "none"})
 		for _, c := range Controls {
-			cases = append(cases, name{n, "lrt", c})
+			scenarios = append(scenarios, scenario{n, "lrt", c})
 		}
 	}
 	loads := Loads()
-	results := map[name][]Result{}
-	for _, c := range cases {
+	results := map[scenario][]Result{}
+	for _, c := range scenarios {
 		results[c] = make([]Result, len(loads))
 	}
 	type task struct {
-		c  name
+		c  scenario
 		at int
 	}
 	work := make(chan task)
-	var players sync.WaitGroup
+	var workers sync.WaitGroup
 	threads := s.Threads
 	if threads <= 0 {
 		threads = runtime.NumCPU()
 	}
 	for range threads {
-		players.Go(func() {
+		workers.Go(func() {
 			for t := range work {
 				results[t.c][t.at] = Run(Config{
 					Proxies: t.c.size, Servers: t.c.size, Load: loads[t.at], Selection: t.c.selection, Control: t.c.control,
@@ -92,7 +92,7 @@
 			}
 		})
 	}
-	for _, c := range cases {
+	for _, c := range scenarios {
 		for i := range loads {
 			select {
 			case work <- task{c, i}:
@@ -101,15 +101,15 @@
 		}
 	}
 	close(work)
-	players.Wait()
+	workers.Wait()
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	base := func(n int) []Result { return results[name{n, "uniform", "none"}] }
-	curve := func(c name, of func(r, base Result) float64) []float64 {
+	base := func(n int) []Result { return results[scenario{n, "uniform", "none"}] }
+	curve := func(c scenario, metricOf func(r, base Result) float64) []float64 {
 		y := make([]float64, len(loads))
 		for i, r := range results[c] {
-			y[i] = of(r, base(c.size)[i])
+			y[i] = metricOf(r, base(c.size)[i])
 		}
 		return y
 	}
@@ -119,19 +119,19 @@
 	metric := func(a float64) func(r, b Result) float64 {
 		return func(r, b Result) float64 { return gain(r, b) + a*(1-r.Rejected) }
 	}
-	figure := func(no int, title string, size int, controls bool, of func(r, b Result) float64) Figure {
-		f := Figure{Name: fmt.Sprintf("Fig. %d", no), Title: fmt.Sprintf("%s (%d×%d)", title, size, size), X: loads}
+	figure := func(number int, title string, size int, controls bool, metricOf func(r, b Result) float64) Figure {
+		f := Figure{Name: fmt.Sprintf("Fig. %d", number), Title: fmt.Sprintf("%s (%d×%d)", title, size, size), X: loads}
 		if !controls {
 			for _, sel := range []string{"round-robin", "lrt"} {
-				f.Series = append(f.Series, Series{sel, curve(name{size, sel, "none"}, of)})
+				f.Series = append(f.Series, Series{sel, curve(scenario{size, sel, "none"}, metricOf)})
 			}
-			if no == 5 {
-				f.Series = append(f.Series, Series{"uniform", curve(name{size, "uniform", "none"}, of)})
+			if number == 5 {
+				f.Series = append(f.Series, Series{"uniform", curve(scenario{size, "uniform", "none"}, metricOf)})
 			}
 			return f
 		}
 		for _, c := range Controls {
-			f.Series = append(f.Series, Series{c, curve(name{size, "lrt", c}, of)})
+			f.Series = append(f.Series, Series{c, curve(scenario{size, "lrt", c}, metricOf)})
 		}
 		return f
 	}
@@ -146,7 +146,7 @@
 	}, nil
 }
 
-// temporal is figure 3: the response ratio at one proxy over time, overloaded.
+// responseRatioOverTime returns figure 3: the response ratio of one proxy over time under overload.
 func (s Study) responseRatioOverTime() Figure {
 	f := Figure{Name: "Fig. 3", Title: "response ratio over time, load 1.25 (4×4)"}
 	const steps, until = 60, 600.0
@@ -168,9 +168,9 @@
 	return f
 }
 
-// Table writes figures for people.
-func WriteTable(w io.Writer, all []Figure) error {
-	for _, f := range all {
+// WriteTable writes the figures as text tables.
+func WriteTable(w io.Writer, figures []Figure) error {
+	for _, f := range figures {
 		fmt.Fprintf(w, "\n%s: %s\n", f.Name, f.Title)
 		t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 		for i := range f.X {
@@ -200,14 +200,14 @@
 <body><h1>The paper's study</h1>{{range .}}<figure><figcaption>{{.Title}}</figcaption>{{.SVG}}</figure>{{end}}</body></html>
 `))
 
-// Report writes the figures as one page.
-func WriteReport(w io.Writer, all []Figure) error {
-	type drawn struct {
+// WriteReport writes the figures as a self-contained HTML page.
+func WriteReport(w io.Writer, figures []Figure) error {
+	type renderedFigure struct {
 		Title string
 		SVG   template.HTML
 	}
-	var out []drawn
-	for _, f := range all {
+	var rendered []renderedFigure
+	for _, f := range figures {
 		p := plot.New()
 		p.Legend.Top = true
 		p.X.Label.Text = "normalized offered load"
@@ -231,7 +231,7 @@
 		if err != nil {
 			return fmt.Errorf("%s: %w", f.Name, err)
 		}
-		out = append(out, drawn{f.Name + ": " + f.Title, svg})
+		rendered = append(rendered, renderedFigure{f.Name + ": " + f.Title, svg})
 	}
-	return reportTemplate.Execute(w, out)
+	return reportTemplate.Execute(w, rendered)
 }
--- a/internal/lab/relay/tcp.go
+++ b/internal/lab/relay/tcp.go
@@ -12,11 +12,11 @@
 
 const (
 	chunkBytes        = 16 << 10
-	maxBufferedChunks = 64 // read and not yet passed on, on one way of a connection
+	maxBufferedChunks = 64 // chunks read but not yet written, for each direction of a connection
 	dialTimeout       = 2 * time.Second
 )
 
-// face is where a party is reached. It is bound while the party is up.
+// face is the address by which other parties reach a party. It listens while the party is up.
 type face struct {
 	addr     *net.TCPAddr
 	party    Party
@@ -24,8 +24,8 @@
 	listener *net.TCPListener // nil while the party is down
 }
 
-// TCP opens a face: who connects there reaches the party at the target, by the faults of the ways between them. The
-// face is bound before TCP returns, and held until Close, or while Down.
+// ListenTCP opens the face of a party: connections to addr are forwarded to target, with the faults of the paths
+// between the two parties. The face listens when ListenTCP returns, until Close or SetDown.
 func (n *Network) ListenTCP(addr string, to Party, target string) error {
 	if _, err := parseLoopback(target); err != nil {
 		return err
@@ -47,7 +47,8 @@
 	return nil
 }
 
-// Down has a party's face refuse connections, as the machine of a process that is gone does, or take them again.
+// SetDown closes a party's face, so that connections are refused as by a machine whose process has ended, or opens it
+// again.
 func (n *Network) SetDown(p Party, down bool) error {
 	n.mu.Lock()
 	f := n.faces[p]
@@ -71,7 +72,7 @@
 	}
 }
 
-// open binds a face, if it is not, and accepts there.
+// openFace listens at a face, unless it does already, and accepts connections.
 func (n *Network) openFace(f *face) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -89,7 +90,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			if err != nil { // out of descriptors, most likely
+			if err != nil { // most likely out of file descriptors
 				time.Sleep(10 * time.Millisecond)
 				continue
 			}
@@ -99,38 +100,40 @@
 	return nil
 }
 
-// link is one connection through a relay.
+// proxiedConn is a connection through a relay. It has two halves: downstream to the connecting party, upstream to the
+// target.
 type proxiedConn struct {
 	downstream *net.TCPConn
-	done       chan struct{} // closed when it is over
+	done       chan struct{} // closed by close
 
 	mu       sync.Mutex
-	upstream *net.TCPConn // nil until the other party is reached
+	upstream *net.TCPConn // nil until the target is connected
 	closed   bool
 }
 
-// reached takes the other half, and tells whether the link is still wanted.
-func (l *proxiedConn) setUpstream(far *net.TCPConn) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.closed {
-		far.Close()
+// setUpstream sets the connection to the target. If the proxied connection is closed already, it closes upstream and
+// returns false.
+func (conn *proxiedConn) setUpstream(upstream *net.TCPConn) bool {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	if conn.closed {
+		upstream.Close()
 		return false
 	}
-	l.upstream = far
+	conn.upstream = upstream
 	return true
 }
 
-// end ends both halves; with a reset the other sides read that.
-func (l *proxiedConn) close(reset bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.closed {
+// close closes both halves. With reset both peers get a connection reset.
+func (conn *proxiedConn) close(reset bool) {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	if conn.closed {
 		return
 	}
-	l.closed = true
-	close(l.done)
-	for _, nc := range []*net.TCPConn{l.downstream, l.upstream} {
+	conn.closed = true
+	close(conn.done)
+	for _, nc := range []*net.TCPConn{conn.downstream, conn.upstream} {
 		if nc == nil {
 			continue
 		}
@@ -141,81 +144,84 @@
 	}
 }
 
-func (n *Network) proxy(near *net.TCPConn, to Party, target string) {
-	source := near.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap()
+// proxy forwards one accepted connection to the target until it ends.
+func (n *Network) proxy(downstream *net.TCPConn, to Party, target string) {
+	source := downstream.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap()
 	from, known := n.partyAt(source)
-	l := &proxiedConn{downstream: near, done: make(chan struct{})}
-	defer l.close(false)
+	conn := &proxiedConn{downstream: downstream, done: make(chan struct{})}
+	defer conn.close(false)
 	f, _ := n.currentFault(from, to)
 	if !known || f.Refuse {
 		n.onEvent(Event{Type: ConnFailed, From: from, To: to})
-		l.close(true)
+		conn.close(true)
 		return
 	}
 	stop := make(chan struct{})
 	defer close(stop)
-	n.wg.Go(func() { // a closed Net ends its connections
+	n.wg.Go(func() { // Network.Close ends its connections
 		select {
 		case <-stop:
 		case <-n.done:
-			l.close(true)
+			conn.close(true)
 		}
 	})
-	if !n.awaitReachable(l, from, to) { // the first packet does not arrive
+	if !n.awaitReachable(conn, from, to) { // a fault blocks the path: the SYN does not arrive
 		return
 	}
 	d := net.Dialer{Timeout: dialTimeout, LocalAddr: &net.TCPAddr{IP: net.IP(source.AsSlice())}}
-	far, err := d.Dial("tcp4", target)
+	upstream, err := d.Dial("tcp4", target)
 	if err != nil {
 		n.onEvent(Event{Type: ConnFailed, From: from, To: to})
-		l.close(true)
+		conn.close(true)
 		return
 	}
-	if !l.setUpstream(far.(*net.TCPConn)) {
+	if !conn.setUpstream(upstream.(*net.TCPConn)) {
 		return
 	}
 	n.onEvent(Event{Type: ConnOpened, From: from, To: to})
 	if n.happens(f.ResetShare) {
 		t := time.AfterFunc(n.randomDuration(f.ResetWithin), func() {
 			n.onEvent(Event{Type: ConnReset, From: from, To: to})
-			l.close(true)
+			conn.close(true)
 		})
 		defer t.Stop()
 	}
-	var ways sync.WaitGroup
-	ways.Go(func() { n.forward(l, l.downstream, l.upstream, from, to) })
-	ways.Go(func() { n.forward(l, l.upstream, l.downstream, to, from) })
-	ways.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { n.forward(conn, conn.downstream, conn.upstream, from, to) })
+	directions.Go(func() { n.forward(conn, conn.upstream, conn.downstream, to, from) })
+	directions.Wait()
 }
 
-// reach waits while the way to the other party is cut, and tells whether the connection is still wanted.
-func (n *Network) awaitReachable(l *proxiedConn, from, to Party) bool {
-	for vanished := false; ; {
+// awaitReachable waits while a fault blocks the path to the target. It returns false if the connection has ended
+// meanwhile.
+func (n *Network) awaitReachable(conn *proxiedConn, from, to Party) bool {
+	for resetOnHeal := false; ; {
 		f, changed := n.currentFault(from, to)
-		if vanished = vanished || f.ResetOnHeal; !f.blocks() {
-			if vanished {
-				l.close(true)
+		if resetOnHeal = resetOnHeal || f.ResetOnHeal; !f.blocks() {
+			if resetOnHeal {
+				conn.close(true)
 			}
-			return !vanished
+			return !resetOnHeal
 		}
-		if awaitChange(l.downstream, l.done, changed) {
+		if awaitChange(conn.downstream, conn.done, changed) {
 			return false
 		}
 	}
 }
 
-// gone waits until the faults change or the link is over, and tells the latter. A connection that nobody reads from is
-// looked at now and then: who has given it up is not to be connected later.
-func awaitChange(nc *net.TCPConn, over, changed <-chan struct{}) bool {
-	look := time.NewTicker(50 * time.Millisecond)
-	defer look.Stop()
+// awaitChange waits until the faults change or the connection ends, and returns true in the latter case. Nothing reads
+// from the connection at this time, so it polls whether the peer has closed it: an abandoned connection must not be
+// opened to the target later.
+func awaitChange(nc *net.TCPConn, done, changed <-chan struct{}) bool {
+	poll := time.NewTicker(50 * time.Millisecond)
+	defer poll.Stop()
 	for {
 		select {
-		case <-over:
+		case <-done:
 			return true
 		case <-changed:
 			return false
-		case <-look.C:
+		case <-poll.C:
 			if peerClosed(nc) {
 				return true
 			}
@@ -223,7 +229,7 @@
 	}
 }
 
-// hungUp tells whether the other side has closed a connection, without taking anything from it.
+// peerClosed returns whether the peer has closed a connection. It peeks, and consumes no data.
 func peerClosed(nc *net.TCPConn) bool {
 	raw, err := nc.SyscallConn()
 	if err != nil {
@@ -238,37 +244,37 @@
 	return err != nil || peekErr == nil && n == 0 || errors.Is(peekErr, syscall.ECONNRESET)
 }
 
-// chunk is what was read at once, to be passed on when it is due; without text, the end of what there is.
+// chunk is the data of one read, to be written when it is due. A chunk without data is the end of the stream.
 type chunk struct {
 	data  []byte
 	due   time.Time
 	reset bool
 }
 
-// way passes on what comes from one half to the other, until it ends.
-func (n *Network) forward(l *proxiedConn, src, dst *net.TCPConn, from, to Party) {
-	ahead := make(chan chunk, maxBufferedChunks)
+// forward copies data from one half to the other until the stream or the connection ends.
+func (n *Network) forward(conn *proxiedConn, src, dst *net.TCPConn, from, to Party) {
+	buffered := make(chan chunk, maxBufferedChunks)
 	var reader sync.WaitGroup
 	defer reader.Wait()
 	reader.Go(func() {
-		defer close(ahead)
-		var last time.Time
+		defer close(buffered)
+		var lastDue time.Time
 		for {
 			b := make([]byte, chunkBytes)
-			k, err := src.Read(b)
+			size, err := src.Read(b)
 			f, _ := n.currentFault(from, to)
 			due := time.Now().Add(f.Delay + n.randomDuration(f.Jitter))
-			if due.Before(last) {
-				due = last
+			if due.Before(lastDue) {
+				due = lastDue
 			}
-			last = due
-			c := chunk{data: b[:k], due: due}
+			lastDue = due
+			c := chunk{data: b[:size], due: due}
 			if err != nil {
 				c.reset = !errors.Is(err, io.EOF)
 			}
 			select {
-			case ahead <- c:
-			case <-l.done:
+			case buffered <- c:
+			case <-conn.done:
 				return
 			}
 			if err != nil {
@@ -277,75 +283,75 @@
 		}
 	})
 	passed := 0
-	for c := range ahead {
-		if !n.writeChunk(l, dst, c, from, to, &passed) {
-			l.close(true)
+	for c := range buffered {
+		if !n.writeChunk(conn, dst, c, from, to, &passed) {
+			conn.close(true)
 			return
 		}
 	}
 }
 
-// pass writes one chunk when it is due and the way is not cut. It tells whether the connection goes on.
-func (n *Network) writeChunk(l *proxiedConn, dst *net.TCPConn, c chunk, from, to Party, passed *int) bool {
-	if !sleep(l, time.Until(c.due)) {
+// writeChunk writes a chunk when it is due and no fault blocks the path. It returns whether the connection goes on.
+func (n *Network) writeChunk(conn *proxiedConn, dst *net.TCPConn, c chunk, from, to Party, passed *int) bool {
+	if !sleep(conn, time.Until(c.due)) {
 		return false
 	}
-	vanished := false
-	for text := c.data; len(text) > 0; {
+	resetOnHeal := false
+	for data := c.data; len(data) > 0; {
 		f, changed := n.currentFault(from, to)
-		if vanished && !f.blocks() {
+		if resetOnHeal && !f.blocks() {
 			return false
 		}
-		room := len(text)
+		limit := len(data)
 		if f.StallAfter > 0 {
-			room = min(room, f.StallAfter-*passed)
+			limit = min(limit, f.StallAfter-*passed)
 		}
-		if f.blocks() || room <= 0 {
-			vanished = vanished || f.ResetOnHeal
+		if f.blocks() || limit <= 0 {
+			resetOnHeal = resetOnHeal || f.ResetOnHeal
 			select {
 			case <-changed:
 				continue
-			case <-l.done:
+			case <-conn.done:
 				return false
 			}
 		}
-		if f.BytesPerSecond > 0 { // in pieces of a tenth of a second or so
-			room = min(room, max(f.BytesPerSecond/10, 1))
-			if !sleep(l, time.Duration(room)*time.Second/time.Duration(f.BytesPerSecond)) {
+		if f.BytesPerSecond > 0 { // in pieces of about a tenth of a second
+			limit = min(limit, max(f.BytesPerSecond/10, 1))
+			if !sleep(conn, time.Duration(limit)*time.Second/time.Duration(f.BytesPerSecond)) {
 				return false
 			}
 		}
-		if _, err := dst.Write(text[:room]); err != nil {
+		if _, err := dst.Write(data[:limit]); err != nil {
 			return false
 		}
-		n.onEvent(Event{Type: DataForwarded, From: from, To: to, Bytes: room, Data: text[:room]})
-		*passed += room
-		text = text[room:]
+		n.onEvent(Event{Type: DataForwarded, From: from, To: to, Bytes: limit, Data: data[:limit]})
+		*passed += limit
+		data = data[limit:]
 	}
 	if len(c.data) > 0 && !c.reset {
 		return true
 	}
-	// An end is held like anything else.
+	// Faults hold the end of the stream in the same way as data.
 	for {
 		f, changed := n.currentFault(from, to)
 		if !f.blocks() && (f.StallAfter == 0 || *passed < f.StallAfter) {
 			break
 		}
-		vanished = vanished || f.ResetOnHeal
+		resetOnHeal = resetOnHeal || f.ResetOnHeal
 		select {
 		case <-changed:
-		case <-l.done:
+		case <-conn.done:
 			return false
 		}
 	}
-	if c.reset || vanished {
+	if c.reset || resetOnHeal {
 		return false
 	}
 	return dst.CloseWrite() == nil
 }
 
-// rest waits, and tells whether the link is still there.
-func sleep(l *proxiedConn, d time.Duration) bool {
+// sleep waits, and returns false if the connection ends meanwhile.
+func sleep(conn *proxiedConn, d time.Duration) bool {
 	if d <= 0 {
 		return true
 	}
@@ -354,7 +360,7 @@
 	select {
 	case <-t.C:
 		return true
-	case <-l.done:
+	case <-conn.done:
 		return false
 	}
 }
--- a/internal/lab/stage/report.go
+++ b/internal/lab/stage/report.go
@@ -23,59 +23,61 @@
 	"harrierramp/internal/lab/judge"
 )
 
-// Mark is something that was done to the fleet.
+// Mark is an action or fault of the run, with its time.
 type Mark struct {
 	At   time.Duration `json:"at"`
 	Text string        `json:"text"`
 }
 
-// Report is what came of a play.
+// Report is the result of a run.
 type Report struct {
 	Name      string             `json:"name"`
 	Seed      uint64             `json:"seed"`
 	Nodes     int                `json:"nodes"`
-	Figures   map[string]float64 `json:"figures"` // by name; times are in seconds
-	Broken    []string           `json:"broken"`  // rules, 40 at most
-	Missed    []string           `json:"missed"`  // what the script expects and did not see
+	Figures   map[string]float64 `json:"figures"` // by name; times are in seconds, memory in MiB
+	Broken    []string           `json:"broken"`  // violations of rules, at most 40
+	Missed    []string           `json:"missed"`  // expectations of the script that were not met
 	LateCalls []LateCalls        `json:"late"`
-	Traces    []string           `json:"stories"` // of messages that ended badly, 10 at most
+	Traces    []string           `json:"stories"` // traces of messages that ended badly, at most 10
 	Marks     []Mark             `json:"marks"`
-	Bins      []Bin              `json:"bins"` // of 100 ms each
+	Bins      []Bin              `json:"bins"` // each of binWidth
 	Result    *judge.Result      `json:"result"`
-	// Audit is what the nodes' own records of acts say, where they keep them, and AuditText where the ledger differs.
+	// Audit is the result of the nodes' audit logs, if they keep them. AuditDifferences are its differences from the
+	// ledger.
 	Audit            *auditlog.Report `json:"audit,omitempty"`
 	AuditDifferences []string         `json:"audit_text,omitempty"`
 }
 
-// LateCalls are the calls of a node at an endpoint after that was withdrawn and the grace was over.
+// LateCalls counts the calls of a node to an endpoint after the endpoint's withdrawal and the drain timeout.
 type LateCalls struct {
 	Endpoint    string `json:"endpoint"`
 	Node        int    `json:"node"`
-	Incarnation uint32 `json:"life,omitempty"`     // of the node's process, and
-	Revision    int64  `json:"revision,omitempty"` // the list that the calls rest on, where calls are marked
+	Incarnation uint32 `json:"life,omitempty"`     // of the node's process; 0 if calls carry no decision basis
+	Revision    int64  `json:"revision,omitempty"` // of the list that the calls are based on; 0 as above
 	Count       int    `json:"count"`
 }
 
-// tell adds a message's story.
+// addTrace adds a message's trace, up to 10 of them.
 func (r *Report) addTrace(m *message) {
 	if len(r.Traces) < 10 {
 		r.Traces = append(r.Traces, m.id+": "+strings.Join(m.trace, "; "))
 	}
 }
 
-// busiest is the most of a count in so many bins in a row.
-func maxWindowSum(bins []Bin, wide int, of func(Bin) int) float64 {
-	most, sum := 0, 0
+// maxWindowSum returns the highest sum of a count over width consecutive bins.
+func maxWindowSum(bins []Bin, width int, count func(Bin) int) float64 {
+	highest, sum := 0, 0
 	for i, b := range bins {
-		if sum += of(b); i >= wide {
-			sum -= of(bins[i-wide])
+		if sum += count(b); i >= width {
+			sum -= count(bins[i-width])
 		}
-		most = max(most, sum)
+		highest = max(highest, sum)
 	}
-	return float64(most)
+	return float64(highest)
 }
 
-// times are quantiles of spans in seconds: the median, 99 of 100, and the last, with how many there were not.
+// durationStats collects durations, and yields their median, 99th percentile and maximum in seconds, and how many
+// events never happened.
 type durationStats struct {
 	histogram *hdrhistogram.Histogram
 	never     int
@@ -92,50 +94,50 @@
 		return
 	}
 	t.max = max(t.max, d)
-	t.histogram.RecordValue(max(d.Microseconds(), 1)) // bounded by the play's length
+	t.histogram.RecordValue(max(d.Microseconds(), 1)) // does not fail: a run is shorter than the histogram's bound
 }
 
-func (t *durationStats) writeFigures(into map[string]float64, name string) {
-	into[name+"_never"] = float64(t.never)
+func (t *durationStats) writeFigures(figures map[string]float64, name string) {
+	figures[name+"_never"] = float64(t.never)
 	if t.histogram.TotalCount() == 0 {
 		return
 	}
-	into[name+"_median"] = float64(t.histogram.ValueAtQuantile(50)) / 1e6
-	into[name+"_p99"] = float64(t.histogram.ValueAtQuantile(99)) / 1e6
-	into[name+"_last"] = t.max.Seconds()
+	figures[name+"_median"] = float64(t.histogram.ValueAtQuantile(50)) / 1e6
+	figures[name+"_p99"] = float64(t.histogram.ValueAtQuantile(99)) / 1e6
+	figures[name+"_last"] = t.max.Seconds()
 }
 
-// report closes the ledger.
+// report computes the report from what the ledger has recorded.
 func (l *ledger) report(marks []Mark) *Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := &Report{Name: l.script.Name, Seed: l.script.Seed, Nodes: l.script.Nodes, Figures: map[string]float64{}, Marks: marks, Bins: l.bins}
 	f := r.Figures
-	ends, delays, first99 := map[string]int{}, newDurationStats(), []time.Duration{}
-	repeats, tries := 0, 0
+	outcomes, delays, executedAt := map[string]int{}, newDurationStats(), []time.Duration{}
+	repeats, submissions := 0, 0
 	for _, m := range l.messages {
-		end := m.outcome
+		outcome := m.outcome
 		if !m.ended {
-			end = "lost"
+			outcome = "lost"
 		}
-		if ends[end]++; end == "lost" {
+		if outcomes[outcome]++; outcome == "lost" {
 			r.addTrace(m)
 		}
-		tries += m.submissions
+		submissions += m.submissions
 		repeats += max(m.executions-1, 0)
 		if m.executions > 0 {
 			delays.add(m.firstExecutedAt - m.submittedAt)
-			first99 = append(first99, m.firstExecutedAt)
+			executedAt = append(executedAt, m.firstExecutedAt)
 		}
 	}
-	for _, end := range []string{"delivered", "returned", "refused", "failed", "failed late", "unheard", "lost"} {
-		f[figureName(end)] = float64(ends[end])
+	for _, outcome := range []string{"delivered", "returned", "refused", "failed", "failed late", "unheard", "lost"} {
+		f[figureName(outcome)] = float64(outcomes[outcome])
 	}
-	f["handed_in"], f["hand_ins"], f["repeated"] = float64(len(l.messages)), float64(tries), float64(repeats)
+	f["handed_in"], f["hand_ins"], f["repeated"] = float64(len(l.messages)), float64(submissions), float64(repeats)
 	delays.writeFigures(f, "delivery")
-	if slices.Sort(first99); len(first99) > 0 {
-		f["first_delivery"] = first99[0].Seconds()
-		f["deliveries_99"] = first99[(len(first99)*99)/100].Seconds()
+	if slices.Sort(executedAt); len(executedAt) > 0 {
+		f["first_delivery"] = executedAt[0].Seconds()
+		f["deliveries_99"] = executedAt[(len(executedAt)*99)/100].Seconds()
 	}
 	ready, listed, called := newDurationStats(), newDurationStats(), newDurationStats()
 	for _, n := range l.nodes {
@@ -152,26 +154,26 @@
 		sum.Conns, sum.ConnsRejected, sum.Calls, sum.CallsRefused, sum.CallsExecuted = sum.Conns+b.Conns, sum.ConnsRejected+b.ConnsRejected, sum.Calls+b.Calls, sum.CallsRefused+b.CallsRefused, sum.CallsExecuted+b.CallsExecuted
 		sum.Datagrams, sum.DatagramsLost, sum.Busy = sum.Datagrams+b.Datagrams, sum.DatagramsLost+b.DatagramsLost, sum.Busy+b.Busy
 	}
-	for name, of := range series {
-		f[name] = float64(of(sum))
-		f[name+"_in_1s"] = maxWindowSum(l.bins, 10, of)
-		f[name+"_in_100ms"] = maxWindowSum(l.bins, 1, of)
+	for name, count := range series {
+		f[name] = float64(count(sum))
+		f[name+"_in_1s"] = maxWindowSum(l.bins, 10, count)
+		f[name+"_in_100ms"] = maxWindowSum(l.bins, 1, count)
 	}
 	f["refused_share"] = ratio(float64(sum.CallsRefused), float64(sum.Calls))
-	fell := 0
+	overloads := 0
 	for _, e := range l.endpoints {
-		fell += e.overloads
+		overloads += e.overloads
 		f["open_early"], f["open_most"] = max(f["open_early"], float64(e.maxOpenAtStart)), max(f["open_most"], float64(e.maxOpenConns))
 		f["open_last"] = max(f["open_last"], float64(e.maxOpenLastThird))
 		f["cold_load"] = max(f["cold_load"], e.maxLoad)
 		f["late_calls"] += float64(e.lateCalls)
 		f["last_late_call"] = max(f["last_late_call"], e.lastLateCall.Seconds())
-		for by, n := range e.lateCallsByBasis {
-			r.LateCalls = append(r.LateCalls, LateCalls{e.id, by.node, by.incarnation, by.revision, n})
+		for basis, n := range e.lateCallsByBasis {
+			r.LateCalls = append(r.LateCalls, LateCalls{e.id, basis.node, basis.incarnation, basis.revision, n})
 		}
 	}
 	sortLateCalls(r.LateCalls)
-	f["fell"], f["strange"], f["crashes"] = float64(fell), float64(l.unexpectedEvents), float64(l.crashes)
+	f["fell"], f["strange"], f["crashes"] = float64(overloads), float64(l.unexpectedEvents), float64(l.crashes)
 	f["unmarked"] = float64(l.unmarkedCalls)
 	r.Result = l.judge.Result()
 	r.Broken = slices.Clone(l.violations)
@@ -192,11 +194,11 @@
 	"list_bytes": func(b Bin) int { return b.ListBytes }, "datagrams": func(b Bin) int { return b.Datagrams }, "datagrams_lost": func(b Bin) int { return b.DatagramsLost },
 }
 
-func figureName(end string) string {
-	if end == "failed late" {
+func figureName(outcome string) string {
+	if outcome == "failed late" {
 		return "failed_late"
 	}
-	return end
+	return outcome
 }
 
 func ratio(a, b float64) float64 {
@@ -206,18 +208,18 @@
 	return a / b
 }
 
-// hold notes what the script expects and the figures don't show.
+// checkExpectations adds to Missed each expectation of the script that the figures do not meet.
 func (r *Report) checkExpectations(s *Script) {
-	check := func(bounds map[string]float64, most bool) {
+	check := func(bounds map[string]float64, upper bool) {
 		for _, name := range slices.Sorted(maps.Keys(bounds)) {
 			v, known := r.Figures[name]
 			switch {
 			case !known:
-				r.Missed = append(r.Missed, fmt.Sprintf("%s is expected, and there is no such figure", name))
-			case most && v > bounds[name]:
-				r.Missed = append(r.Missed, fmt.Sprintf("%s is %v, at most %v is expected", name, roundToThousandths(v), bounds[name]))
-			case !most && v < bounds[name]:
-				r.Missed = append(r.Missed, fmt.Sprintf("%s is %v, at least %v is expected", name, roundToThousandths(v), bounds[name]))
+				r.Missed = append(r.Missed, fmt.Sprintf("%s is expected, but there is no such figure", name))
+			case upper && v > bounds[name]:
+				r.Missed = append(r.Missed, fmt.Sprintf("%s is %v, expected at most %v", name, roundToThousandths(v), bounds[name]))
+			case !upper && v < bounds[name]:
+				r.Missed = append(r.Missed, fmt.Sprintf("%s is %v, expected at least %v", name, roundToThousandths(v), bounds[name]))
 			}
 		}
 	}
@@ -227,10 +229,10 @@
 
 func roundToThousandths(v float64) float64 { return math.Round(v*1000) / 1000 }
 
-// Failed tells whether a rule is broken or an expectation missed.
+// Failed returns whether a rule was broken or an expectation was not met.
 func (r *Report) Failed() bool { return r.Figures["broken"] > 0 || len(r.Missed) > 0 }
 
-// Print writes the figures for people.
+// Print writes the figures, late calls, traces and failures as text.
 func (r *Report) Print(w io.Writer) error {
 	fmt.Fprintf(w, "%s: %d nodes, seed %d\n", r.Name, r.Nodes, r.Seed)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -249,7 +251,7 @@
 		return err
 	}
 	for _, x := range r.LateCalls {
-		fmt.Fprintf(w, "late: node %d made %d calls at %s after it was withdrawn\n", x.Node, x.Count, x.Endpoint)
+		fmt.Fprintf(w, "late: node %d made %d calls to %s after its withdrawal\n", x.Node, x.Count, x.Endpoint)
 	}
 	for _, x := range r.Traces {
 		fmt.Fprintf(w, "story: %s\n", x)
@@ -271,15 +273,15 @@
 body{font:15px/1.45 system-ui,sans-serif;margin:2em auto;max-width:1100px;padding:0 1em;color:#222}
 table{border-collapse:collapse;margin:1em 0;columns:3}td{padding:.15em .8em;text-align:right;border-bottom:1px solid #ddd}
 td:first-child{text-align:left}figure{margin:1em 0}figcaption{font-weight:600}.bad{color:#b00}</style></head><body>
-<h1>{{.Report.Name}}</h1><p>{{.Report.Nodes}} nodes, seed {{.Report.Seed}}. Each bar of grey is something done to the fleet.</p>
+<h1>{{.Report.Name}}</h1><p>{{.Report.Nodes}} nodes, seed {{.Report.Seed}}. Each dashed line is an action or fault.</p>
 {{range .Report.Broken}}<p class="bad">Rule broken: {{.}}</p>{{end}}{{range .Report.Missed}}<p class="bad">{{.}}</p>{{end}}
 {{range .Figures}}<figure><figcaption>{{.Title}}</figcaption>{{.SVG}}</figure>{{end}}
-<h2>What was done</h2><table>{{range .Report.Marks}}<tr><td>{{printf "%.1f s" .At.Seconds}}</td><td>{{.Text}}</td></tr>{{end}}</table>
+<h2>Actions and faults</h2><table>{{range .Report.Marks}}<tr><td>{{printf "%.1f s" .At.Seconds}}</td><td>{{.Text}}</td></tr>{{end}}</table>
 <h2>Figures</h2><table>{{range $k, $v := .Report.Figures}}<tr><td>{{$k}}</td><td>{{printf "%.3f" $v}}</td></tr>{{end}}</table>
 </body></html>
 `))
 
-// HTML writes one self-contained page: what happened over time with the faults marked, and the figures.
+// HTML writes one self-contained page: charts over time with the actions and faults marked, and the figures.
 func (r *Report) HTML(w io.Writer) error {
 	type figure struct {
 		Title string
@@ -289,20 +291,20 @@
 		Report  *Report
 		Figures []figure
 	}{Report: r}
-	for _, one := range []struct {
+	for _, chart := range []struct {
 		title string
 		lines []string
 	}{
-		{"The list: asks, lists told, asks told to come later, in 100 ms", []string{"asks", "lists", "told"}},
-		{"Endpoints: connections, calls, calls refused, in 100 ms", []string{"conns", "calls", "calls_refused", "hung_up"}},
-		{"Messages: run, answered with -BUSY, in 100 ms", []string{"ran", "busy"}},
-		{"Datagrams between nodes, and those lost, in 100 ms", []string{"datagrams", "datagrams_lost"}},
+		{"List service: requests, lists served, requests deferred, per 100 ms", []string{"asks", "lists", "told"}},
+		{"Endpoints: connections, calls, refused calls, rejected connections, per 100 ms", []string{"conns", "calls", "calls_refused", "hung_up"}},
+		{"Messages: executed, answered with -BUSY, per 100 ms", []string{"ran", "busy"}},
+		{"Datagrams between nodes, and those lost, per 100 ms", []string{"datagrams", "datagrams_lost"}},
 	} {
-		svg, err := r.plotSeries(one.lines)
+		svg, err := r.plotSeries(chart.lines)
 		if err != nil {
 			return fmt.Errorf("stage: %w", err)
 		}
-		data.Figures = append(data.Figures, figure{one.title, svg})
+		data.Figures = append(data.Figures, figure{chart.title, svg})
 	}
 	return pageTemplate.Execute(w, data)
 }
@@ -311,12 +313,12 @@
 	p := plot.New()
 	p.X.Label.Text, p.Y.Min = "seconds", 0
 	p.Legend.Top = true
-	top := 1.0
+	highest := 1.0
 	for i, name := range names {
 		points := make(plotter.XYs, len(r.Bins))
 		for k, b := range r.Bins {
 			points[k] = plotter.XY{X: float64(k) * binWidth.Seconds(), Y: float64(series[name](b))}
-			top = max(top, points[k].Y)
+			highest = max(highest, points[k].Y)
 		}
 		line, err := plotter.NewLine(points)
 		if err != nil {
@@ -327,7 +329,7 @@
 		p.Legend.Add(name, line)
 	}
 	for _, m := range r.Marks {
-		line, err := plotter.NewLine(plotter.XYs{{X: m.At.Seconds(), Y: 0}, {X: m.At.Seconds(), Y: top}})
+		line, err := plotter.NewLine(plotter.XYs{{X: m.At.Seconds(), Y: 0}, {X: m.At.Seconds(), Y: highest}})
 		if err != nil {
 			return "", err
 		}
--- a/internal/lab/stage/stage.go
+++ b/internal/lab/stage/stage.go
@@ -1,9 +1,10 @@
-// Package stage plays what many processes do together when some break, stall or lose contact: real list servers and
-// real nodes on loopback, stand-in partners, clients, and a relay on every way between them, with faults by a script or
-// by a test.
+// Package stage runs a whole fleet on one machine and tests it under faults. It starts real list servers and real nodes
+// on loopback, stand-in partners and clients, and puts a relay on every path between them. A script or a test says
+// which processes crash or pause and which paths fail. One run of a script is called a play.
 //
-// The stage judges from outside, by what clients, partners and relays have seen. It talks to 127.0.0.0/8 only, is
-// bounded in processes and time, and ends what it has started and nothing else, also when it is killed itself.
+// The stage judges the fleet from outside, by what clients, partners and relays observe. It connects only to
+// 127.0.0.0/8 and bounds the number of processes and the duration. It ends the processes that it started and no others,
+// even if the stage itself is killed.
 package stage
 
 import (
@@ -25,17 +26,18 @@
 	"harrierramp/internal/partner"
 )
 
-// Options are what a stage needs beside its script.
+// Options are the settings of a stage that are not part of its script.
 type Options struct {
-	Program    string    // harrierramp
-	Env        []string  // of its processes, beside this one's
-	Dir        string    // where folders and logs stand, and stay; empty for a folder that goes with the stage
-	Output     io.Writer // told what is done; nil for nobody
-	ServerArgs []string  // more arguments of list servers
-	NodeArgs   []string  // and of nodes
+	Program    string    // path of the harrierramp binary
+	Env        []string  // added to this process's environment for all processes of the stage
+	Dir        string    // holds state folders and logs, and is kept; if empty, a temporary folder is used and removed
+	Output     io.Writer // receives a line for each action and fault; may be nil
+	ServerArgs []string  // additional arguments of each list server
+	NodeArgs   []string  // additional arguments of each node
 }
 
-// Stage is a fleet that is set up. One goroutine opens and closes it; the rest may be called from many.
+// Stage is a fleet of processes on loopback, with relays between them. Open and Close are called from one goroutine;
+// the other methods may be called from many.
 type Stage struct {
 	script  Script
 	options Options
@@ -55,28 +57,29 @@
 	marks      []Mark
 	errs       []error
 	rng        *rand.Rand
-	noticeSeqs []int64 // of the notices read at each list server
+	noticeSeqs []int64 // sequence number of the last notice read from each list server
 }
 
-// listedPartner is a partner with its lease at the list service.
+// registeredPartner is a stand-in partner that renews its lease at the list service.
 type registeredPartner struct {
 	partner      *partner.Partner
 	instance     partner.Instance
 	client       *http.Client
-	deregister   context.CancelFunc // nil while it is not in the list
-	deregistered chan struct{}      // closed when it has left
+	deregister   context.CancelFunc // nil while the partner is not to be in the list
+	deregistered chan struct{}      // closed when the deregistration is finished
 }
 
-// Open sets a stage up: all addresses are held and all faces open, and nothing is started yet but partners.
-func Open(ctx context.Context, s Script, o Options) (st *Stage, err error) {
+// Open sets up a stage: it reserves the addresses, opens the faces and starts the partners. A face is the address by
+// which other parties reach a party, through the relay. Nodes and list servers are not started yet.
+func Open(ctx context.Context, s Script, options Options) (st *Stage, err error) {
 	if err := s.Check(); err != nil {
 		return nil, fmt.Errorf("stage: %w", err)
 	}
-	day, err := s.judgeDay()
+	judgeDay, err := s.judgeDay()
 	if err != nil {
 		return nil, fmt.Errorf("stage: %w", err)
 	}
-	st = &Stage{script: s, options: o, dir: o.Dir, rng: rand.New(rand.NewPCG(s.Seed, 1)), noticeSeqs: make([]int64, s.Servers)}
+	st = &Stage{script: s, options: options, dir: options.Dir, rng: rand.New(rand.NewPCG(s.Seed, 1)), noticeSeqs: make([]int64, s.Servers)}
 	if st.dir == "" {
 		st.dir, err = os.MkdirTemp("", "harrierlab-stage-")
 	} else {
@@ -89,7 +92,7 @@
 		return nil, errors.Join(err, st.removeTempDir())
 	}
 	st.ctx, st.cancel = context.WithCancel(ctx)
-	st.ledger = newLedger(&st.script, day, time.Now())
+	st.ledger = newLedger(&st.script, judgeDay, time.Now())
 	st.net = relay.New(s.Seed, st.addrs.PartyAt, st.ledger.relayEvent)
 	st.starter = process.NewStarter()
 	if err := st.prepareFleet(); err != nil {
@@ -98,14 +101,14 @@
 	return st, nil
 }
 
-// build opens the faces, and prepares the processes.
+// prepareFleet opens the faces, prepares the processes of nodes and list servers, and starts the partners.
 func (st *Stage) prepareFleet() error {
 	var parties []relay.Party
-	var faces, owns []string
+	var faces, ownAddrs []string
 	for i := range st.script.Nodes {
 		p := relay.Party{Kind: relay.Node, Index: i}
 		parties = append(parties, p)
-		faces, owns = append(faces, process.HostPort(st.addrs.FaceAddr(p), process.PeerPort)), append(owns, process.HostPort(st.addrs.OwnAddr(p), process.PeerPort))
+		faces, ownAddrs = append(faces, process.HostPort(st.addrs.FaceAddr(p), process.PeerPort)), append(ownAddrs, process.HostPort(st.addrs.OwnAddr(p), process.PeerPort))
 		raw, err := st.nodeConfig(i)
 		if err != nil {
 			return err
@@ -114,14 +117,14 @@
 		if err := os.WriteFile(file, raw, 0o600); err != nil {
 			return err
 		}
-		x, err := st.newProcess(p, append([]string{"serve", "--config", file, "--state", filepath.Join(st.dir, p.String())}, st.options.NodeArgs...))
+		proc, err := st.newProcess(p, append([]string{"serve", "--config", file, "--state", filepath.Join(st.dir, p.String())}, st.options.NodeArgs...))
 		if err != nil {
 			return err
 		}
-		st.nodes = append(st.nodes, x)
+		st.nodes = append(st.nodes, proc)
 	}
 	if st.script.Node.PeerDatagrams {
-		if err := st.net.ListenUDP(parties, faces, owns); err != nil {
+		if err := st.net.ListenUDP(parties, faces, ownAddrs); err != nil {
 			return err
 		}
 	}
@@ -130,16 +133,16 @@
 		if err := st.net.ListenTCP(process.HostPort(st.addrs.FaceAddr(p), process.ListPort), p, process.HostPort(st.addrs.OwnAddr(p), process.ListPort)); err != nil {
 			return err
 		}
-		x, err := st.newProcess(p, st.serverArgs(i))
+		proc, err := st.newProcess(p, st.serverArgs(i))
 		if err != nil {
 			return err
 		}
-		st.servers = append(st.servers, x)
+		st.servers = append(st.servers, proc)
 	}
-	shared := partner.NewLedger()
+	executions := partner.NewLedger()
 	for d, spec := range st.script.Dests {
 		for k := range spec.Endpoints {
-			if err := st.startPartner(d, k, spec, shared); err != nil {
+			if err := st.startPartner(d, k, spec, executions); err != nil {
 				return err
 			}
 		}
@@ -158,32 +161,32 @@
 	}, nil
 }
 
-// openPartner starts a partner on its own address, and opens its face.
-func (st *Stage) startPartner(dest, n int, spec DestSpec, shared *partner.Ledger) error {
+// startPartner starts partner n of a destination on its own address, and opens its face.
+func (st *Stage) startPartner(dest, n int, spec DestSpec, executions *partner.Ledger) error {
 	p := relay.Party{Kind: relay.Partner, Index: len(st.partners)}
-	own := process.HostPort(st.addrs.OwnAddr(p), process.PartnerPort)
+	ownAddr := process.HostPort(st.addrs.OwnAddr(p), process.PartnerPort)
 	cfg := partner.Config{
-		ID: endpointID(dest, n), Rate: spec.Rate, Burst: spec.Burst, Latency: spec.Latency.Duration(), Listen: own, MaxConns: spec.Connections,
+		ID: endpointID(dest, n), Rate: spec.Rate, Burst: spec.Burst, Latency: spec.Latency.Duration(), Listen: ownAddr, MaxConns: spec.Connections,
 	}
 	cfg.OnEvent = func(s partner.Event) { st.ledger.partnerEvent(st.nodeAt(s.PeerAddr), s) }
 	if spec.Cold {
 		c := st.ledger.day.Settings
 		cfg.ColdStart = partner.ColdStart{InitialShare: c.ColdCapacity, OverloadFactor: c.OverloadMultiple, WarmUpTime: c.WarmUpTime, OverloadWindow: c.OverloadDuration, Downtime: 2 * time.Second}
 	}
-	one, err := partner.Start(cfg, shared)
+	started, err := partner.Start(cfg, executions)
 	if err != nil {
 		return err
 	}
 	source := &net.TCPAddr{IP: net.IP(st.addrs.OwnAddr(p).AsSlice())}
 	face := process.HostPort(st.addrs.FaceAddr(p), process.PartnerPort)
 	st.partners = append(st.partners, &registeredPartner{
-		partner: one, instance: partner.Instance{ID: cfg.ID, Addr: face, Zone: "a", Kind: "partner", Dest: dest, Size: max(spec.Rate, 1)},
+		partner: started, instance: partner.Instance{ID: cfg.ID, Addr: face, Zone: "a", Kind: "partner", Dest: dest, Size: max(spec.Rate, 1)},
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, DialContext: (&net.Dialer{LocalAddr: source}).DialContext}},
 	})
-	return st.net.ListenTCP(face, p, own)
+	return st.net.ListenTCP(face, p, ownAddr)
 }
 
-// nodeOf is the number of the node that an address is of, -1 for none.
+// nodeAt returns the number of the node that an address belongs to, or -1 if it is not a node's address.
 func (st *Stage) nodeAt(hostPort string) int {
 	if a, err := net.ResolveTCPAddr("tcp4", hostPort); err == nil {
 		if p, ok := st.addrs.PartyAt(a.AddrPort().Addr().Unmap()); ok && p.Kind == relay.Node {
@@ -193,7 +196,7 @@
 	return -1
 }
 
-// List puts a partner into the list, or takes it out. It returns at once.
+// SetListed registers a partner at the list service, or deregisters it. It does not wait for the result.
 func (st *Stage) SetListed(n int, listed bool) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -210,13 +213,13 @@
 	for i := range st.script.Servers {
 		servers = append(servers, process.HostPort(st.addrs.FaceAddr(relay.Party{Kind: relay.Server, Index: i}), process.ListPort))
 	}
-	ctx, leave := context.WithCancel(st.ctx)
-	before, left := x.deregistered, make(chan struct{})
-	x.deregister, x.deregistered = leave, left
+	ctx, deregister := context.WithCancel(st.ctx)
+	previous, deregistered := x.deregistered, make(chan struct{})
+	x.deregister, x.deregistered = deregister, deregistered
 	st.wg.Go(func() {
-		defer close(left)
-		if before != nil {
-			<-before
+		defer close(deregistered)
+		if previous != nil {
+			<-previous
 		}
 		st.ledger.setWithdrawn(x.instance.ID, false)
 		partner.KeepRegistered(ctx, x.client, servers, x.instance)
@@ -225,7 +228,7 @@
 	})
 }
 
-// of is the process of a party; nil for partners, which are none.
+// process returns the process of a node or list server. It returns nil for partners, which run inside the stage.
 func (st *Stage) process(p relay.Party) *process.Process {
 	switch p.Kind {
 	case relay.Node:
@@ -236,50 +239,51 @@
 	return nil
 }
 
-// Impair puts a fault on the ways between two groups until the function that it returns is called.
-func (st *Stage) AddFault(from, to []relay.Party, f relay.Fault) (lift func()) {
-	touches := func(all []relay.Party) bool {
-		return slices.ContainsFunc(all, func(p relay.Party) bool { return p.Kind == relay.Server })
+// AddFault applies a fault to the paths from one group to another until the returned function is called.
+func (st *Stage) AddFault(from, to []relay.Party, f relay.Fault) (remove func()) {
+	hasServer := func(group []relay.Party) bool {
+		return slices.ContainsFunc(group, func(p relay.Party) bool { return p.Kind == relay.Server })
 	}
-	if touches(from) || touches(to) {
+	if hasServer(from) || hasServer(to) {
 		st.ledger.allowLateNotices()
 	}
 	r := st.net.AddFault(partySet(from), partySet(to), f)
 	return func() { st.net.RemoveFault(r) }
 }
 
-func partySet(all []relay.Party) relay.PartySet {
+func partySet(group []relay.Party) relay.PartySet {
 	out := relay.PartySet{}
-	for _, p := range all {
+	for _, p := range group {
 		out[p] = true
 	}
 	return out
 }
 
-// Start starts a process, if it does not run.
+// Start starts a process unless it is running.
 func (st *Stage) Start(p relay.Party) error {
-	x := st.process(p)
-	if p.Kind == relay.Node && !x.Running() {
+	proc := st.process(p)
+	if p.Kind == relay.Node && !proc.Running() {
 		st.ledger.nodeStarted(p.Index)
 	}
-	return x.Start()
+	return proc.Start()
 }
 
-// Kill ends a process at once.
+// Kill sends SIGKILL to a process and waits until it has ended.
 func (st *Stage) Kill(p relay.Party) error {
 	err := st.process(p).Kill()
 	st.recordExit(p)
 	return err
 }
 
-// End tells a process to end, and waits until it has.
+// Stop asks a process to terminate, and waits until it has ended.
 func (st *Stage) Stop(p relay.Party) error {
 	err := st.process(p).Stop()
 	st.recordExit(p)
 	return err
 }
 
-// over notes that a process has ended. The face of a list server stays, so that asks which find nobody are counted.
+// recordExit records that a process has ended. The face of a list server stays open, so that requests sent while the
+// server is down are still counted.
 func (st *Stage) recordExit(p relay.Party) {
 	if p.Kind == relay.Node {
 		st.ledger.nodeDied(p.Index)
@@ -288,41 +292,41 @@
 	}
 }
 
-// Pause stops a process where it is, or lets it go on.
-func (st *Stage) SetPaused(p relay.Party, on bool) error {
-	if on && p.Kind == relay.Server {
+// SetPaused pauses a process with SIGSTOP, or resumes it.
+func (st *Stage) SetPaused(p relay.Party, paused bool) error {
+	if paused && p.Kind == relay.Server {
 		st.ledger.allowLateNotices()
 	}
-	return st.process(p).SetPaused(on)
+	return st.process(p).SetPaused(paused)
 }
 
-// Fill makes the disk of a process full, or gives it room again.
+// SetDiskFull makes writes of a process fail as on a full disk, or lets them succeed again.
 func (st *Stage) SetDiskFull(p relay.Party, full bool) error { return st.process(p).SetDiskFull(full) }
 
-// Empty takes away what a process that does not run has kept.
+// ClearState deletes the state folder's contents of a process that is not running.
 func (st *Stage) ClearState(p relay.Party) error { return st.process(p).ClearState() }
 
-// Damage spoils a file of a process that does not run, by chance from the script's seed.
+// CorruptFile corrupts a state file of a process that is not running, at an offset drawn from the script's seed.
 func (st *Stage) CorruptFile(p relay.Party, file string) error {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return st.process(p).CorruptFile(file, st.rng)
 }
 
-// Shut makes a partner refuse every call, or take them again, cold.
-func (st *Stage) SetRefusing(n int, shut bool) { st.partners[n].partner.SetRefusing(shut) }
+// SetRefusing makes a partner refuse every call, or accept calls again with cold capacity.
+func (st *Stage) SetRefusing(n int, refusing bool) { st.partners[n].partner.SetRefusing(refusing) }
 
-// Addr is where clients reach a node, and Door where operators do.
+// ClientAddr is the address where a node accepts clients.
 func (st *Stage) ClientAddr(n int) string {
 	return process.HostPort(st.addrs.OwnAddr(relay.Party{Kind: relay.Node, Index: n}), process.ClientPort)
 }
 
-// Door is the operators' door of a node, where the script gives it one.
+// AdminAddr is the address of a node's admin endpoint. It is served only if the script sets node.door.
 func (st *Stage) AdminAddr(n int) string {
 	return process.HostPort(st.addrs.OwnAddr(relay.Party{Kind: relay.Node, Index: n}), process.NodeAdminPort)
 }
 
-// mark notes something that is done.
+// recordMark records an action or fault at the current time, and prints it to Options.Output.
 func (st *Stage) recordMark(text string) {
 	m := Mark{st.ledger.now(), text}
 	st.mu.Lock()
@@ -342,15 +346,15 @@
 	st.errs = append(st.errs, err)
 }
 
-// Close ends everything that was started, and returns what went wrong with it.
+// Close ends everything that the stage started, and returns the errors of actions and of closing.
 func (st *Stage) Close() error {
 	st.cancel()
 	st.wg.Wait()
-	var ends sync.WaitGroup
+	var killing sync.WaitGroup
 	for _, p := range slices.Concat(st.nodes, st.servers) {
-		ends.Go(func() { st.recordError(p.Kill()) })
+		killing.Go(func() { st.recordError(p.Kill()) })
 	}
-	ends.Wait()
+	killing.Wait()
 	st.net.Close()
 	for _, x := range st.partners {
 		x.partner.Close()
