--- a/cmd/harrierramp/faultnode_test.go
+++ b/cmd/harrierramp/faultnode_test.go
@@ -35,7 +35,8 @@
 	startTimeout    = 10 * time.Second        // to be ready
 )
 
-// faultyNode is a real process on loopback whose system calls a schedule decides on. It starts again after it has ended.
+// faultyNode is a real process on loopback whose system calls a schedule decides on. It starts again after it has
+// ended.
 type faultyNode struct {
 	t      *testing.T
 	config string
--- a/cmd/harrierramp/faults_test.go
+++ b/cmd/harrierramp/faults_test.go
@@ -161,7 +161,8 @@
 	}
 }
 
-// A notice is due 300 ms after its message's time. Whatever kept it from being told until 20 ms before that, it is told.
+// A notice is due 300 ms after its message's time. Whatever kept it from being told until 20 ms before that, it is
+// told.
 func TestNoticesAreOnTimeAfterConnectionFailures(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
--- a/cmd/harrierramp/faultscenario_test.go
+++ b/cmd/harrierramp/faultscenario_test.go
@@ -45,8 +45,8 @@
 	"limits":{"cancel":true,"connIdle":5000,"dialTimeout":500,"maxAttempts":12,"maxOpen":400,"maxRetryAfter":1000,"mayDuplicate":true,"retryAfter":true},
 	"tick":5,"weights":"rough"}`
 
-// faultKinds are what may be wrong for a while. Sockets fail for a moment only: a notice that needs a new connection has
-// 300 ms. The lasting folder may fail for longer.
+// faultKinds are what may be wrong for a while. Sockets fail for a moment only: a notice that needs a new connection
+// has 300 ms. The lasting folder may fail for longer.
 var faultKinds = []struct {
 	name        string
 	least, most time.Duration
@@ -248,8 +248,8 @@
 	maxPingSilence = 600 * time.Millisecond // more than any fault keeps a node that runs from answering PING
 )
 
-// watchForSilence begins to ask the node whether it is there. Where it runs and does not answer, it logs what each of its
-// threads waits for, and has the node write down its goroutines, which ends it.
+// watchForSilence begins to ask the node whether it is there. Where it runs and does not answer, it logs what each of
+// its threads waits for, and has the node write down its goroutines, which ends it.
 func monitorResponsiveness(t *testing.T, scenario *faultScenario) {
 	go func() {
 		for lastAnswer := time.Now(); t.Context().Err() == nil; time.Sleep(pingInterval) {
--- a/cmd/harrierramp/shutdown_test.go
+++ b/cmd/harrierramp/shutdown_test.go
@@ -127,9 +127,9 @@
 	}
 }
 
-// A node that does not run in the moment in which it is to end its clients' connections finds requests on all of them and
-// the end of their time, in whatever order. Each client reads an answer or an end, never a reset, and what it was told is
-// what the next start finds.
+// A node that does not run in the moment in which it is to end its clients' connections finds requests on all of them
+// and the end of their time, in whatever order. Each client reads an answer or an end, never a reset, and what it was
+// told is what the next start finds.
 func TestUnreadRequestsAtShutdownAreNotReset(t *testing.T) {
 	t.Parallel()
 	for _, kill := range []bool{false, true} {
--- a/internal/admin/membership.go
+++ b/internal/admin/membership.go
@@ -1,17 +1,17 @@
 package admin
 
-// View is what the door shows of the others.
+// MembershipView is a node's view of all nodes, as GET /ops/members returns it.
 type MembershipView struct {
 	Number      int      `json:"number"`
 	Incarnation uint32   `json:"incarnation"`
-	AgreedMS    *int64   `json:"agreed_ms_ago"` // null: not yet
-	Health      int      `json:"health"`        // 0 is good
+	AgreedMS    *int64   `json:"agreed_ms_ago"` // since another node last had the same view; null: never
+	Health      int      `json:"health"`        // local health score; 0 is healthy
 	Present     int      `json:"present"`
 	Suspect     int      `json:"suspect"`
 	Members     []Member `json:"members"`
 }
 
-// Fellow is what is known of one node.
+// Member is one node in a MembershipView.
 type Member struct {
 	Number      int    `json:"number"`
 	Addr        string `json:"address"`
@@ -19,5 +19,5 @@
 	Reason      string `json:"reason"`
 	Incarnation uint32 `json:"incarnation"`
 	SinceMS     int64  `json:"since_ms"`
-	HeardMS     *int64 `json:"heard_ms_ago"` // null: never
+	HeardMS     *int64 `json:"heard_ms_ago"` // since the node was last heard from; null: never
 }
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,5 +1,6 @@
-// Package admin is the operators' door of a node: HTTP/1.1, one call a connection, few places, a bounded wait. It
-// decides nothing; what operators ask goes to the node, which it knows as Operators.
+// Package admin serves the HTTP API by which operators query and control a node. Flags, settings and logs call this API
+// the door. It speaks HTTP/1.1 with one request per connection, a bounded number of connections and bounded waits. It
+// makes no decisions: every request is passed to the node through the interface Node.
 package admin
 
 import (
@@ -15,44 +16,45 @@
 )
 
 const (
-	// Callers wait 1 s for an answer, and some connect and finish no call. Few places, of which the longest
-	// unfinished gives way, keep them from shutting out the others and from the descriptors.
+	// MaxConnections bounds the open connections; when it is reached, the oldest connection is closed for a new one.
+	// Callers wait 1 s for an answer, and some connect and never complete a request. The bound keeps those from locking
+	// out other callers and from using up the process's file descriptors.
 	MaxConnections  = 8
-	requestTimeout  = 2 * time.Second        // for a whole call
-	shutdownTimeout = 500 * time.Millisecond // for calls under way when the door closes
-	commandTimeout  = 900 * time.Millisecond // for a change to hold; past it the caller is told no
+	requestTimeout  = 2 * time.Second        // for reading a whole request, and for writing its response
+	shutdownTimeout = 500 * time.Millisecond // for requests in progress when the server closes
+	commandTimeout  = 900 * time.Millisecond // for a change to take effect; after it the caller gets an error
 )
 
-// Why an order gets a no.
+// Errors with which a Node refuses a request.
 var (
 	ErrUnknownEndpoint       = errors.New("no such endpoint")
-	ErrNotServing            = errors.New("this process does not serve now")
+	ErrNotServing            = errors.New("this process is not serving")
 	ErrMembershipDisabled    = errors.New("membership is off")
 	ErrUnknownLogLevel       = errors.New("no such log level")
-	ErrPeerSocketUnavailable = errors.New("the socket to the other nodes could not be opened")
+	ErrPeerSocketUnavailable = errors.New("the UDP socket to the other nodes could not be opened")
 )
 
-// Operators is what the door needs of the node.
+// Node is what the server needs from the node.
 type Node interface {
-	NotReadyReason() string // why not; empty if it is ready
+	NotReadyReason() string // why the node is not ready; empty if it is
 	Stats() []byte
 	WriteMetrics(w io.Writer) error
 	SetLogLevel(name string) error
 	Members(ctx context.Context) (*MembershipView, error)
-	WriteAuditRecord(w io.Writer) error // the record of acts, as it stands
+	WriteAuditRecord(w io.Writer) error // writes the record of the calls that the node has made
 	DisableEndpoint(ctx context.Context, endpoint string) error
 	EnableEndpoint(ctx context.Context, endpoint string) error
 	SetDraining(ctx context.Context, on bool) error
 }
 
-// door answers the operators.
+// Server serves the operators' HTTP API.
 type Server struct {
 	srv http.Server
 	ln  *boundedListener
 	log *slog.Logger
 }
 
-// NewDoor answers operators on ln, in the name of n, once Serve runs.
+// NewServer returns a server that answers requests on ln for the node n once Serve runs.
 func NewServer(ln net.Listener, n Node, log *slog.Logger) *Server {
 	s := &Server{ln: &boundedListener{Listener: ln, conns: map[*boundedConn]struct{}{}}, log: log}
 	command := func(do func(ctx context.Context, r *http.Request) error) http.HandlerFunc {
@@ -73,7 +75,7 @@
 		return func(w http.ResponseWriter, r *http.Request) {
 			id := r.URL.Query().Get("id")
 			if id == "" {
-				http.Error(w, "id is needed", http.StatusBadRequest)
+				http.Error(w, "the parameter id is required", http.StatusBadRequest)
 				return
 			}
 			command(func(ctx context.Context, _ *http.Request) error { return do(ctx, id) })(w, r)
@@ -144,14 +146,14 @@
 	return s
 }
 
-// Serve answers until close.
+// Serve answers requests until Close is called.
 func (s *Server) Serve() {
 	if err := s.srv.Serve(s.ln); !errors.Is(err, http.ErrServerClosed) {
 		s.log.Error("door_shut", "err", err)
 	}
 }
 
-// Close lets calls under way have their answers, for a moment.
+// Close stops the server. It waits up to shutdownTimeout for requests in progress and then closes their connections.
 func (s *Server) Close() {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
@@ -160,13 +162,14 @@
 	}
 }
 
-// doorListener bounds the connections: the longest open one is closed for a newcomer.
+// boundedListener limits open connections to MaxConnections by closing the oldest one when another is accepted.
 type boundedListener struct {
 	net.Listener
 	mu    sync.Mutex
 	conns map[*boundedConn]struct{}
 }
 
+// boundedConn is a connection that a boundedListener keeps track of.
 type boundedConn struct {
 	net.Conn
 	ln       *boundedListener
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -12,7 +12,7 @@
 	"harrierramp/internal/testkit"
 )
 
-// fakeOperators answers the door in a test's place.
+// fakeNode is a Node whose requests all end with err; nil means success.
 type fakeNode struct{ err error }
 
 func (f fakeNode) WriteAuditRecord(io.Writer) error { return nil }
@@ -62,7 +62,7 @@
 		{"PUT", "/ops/endpoints/down?id=e", nil, 204},
 		{"PUT", "/ops/endpoints/up?id=e", nil, 204},
 		{"PUT", "/ops/endpoints/up?id=x", ErrUnknownEndpoint, 404},
-		{"PUT", "/ops/endpoints/down?id=e", errors.New("no room on the disk"), 503},
+		{"PUT", "/ops/endpoints/down?id=e", errors.New("no space on the disk"), 503},
 		{"PUT", "/ops/endpoints/down", nil, 400},
 		{"PUT", "/ops/endpoints/up?id=", nil, 400},
 		{"GET", "/ops/endpoints/down?id=e", nil, 405},
@@ -81,7 +81,8 @@
 	}
 }
 
-// Callers that connect and say nothing, or half a call, keep nobody out, however many they are.
+// Any number of clients that connect and send nothing, or only part of a request, must not keep others from being
+// answered.
 func TestUnfinishedRequestsDoNotBlockOthers(t *testing.T) {
 	addr, s := startServerWithHandle(t, fakeNode{})
 	for i := range 3 * MaxConnections {
@@ -96,11 +97,11 @@
 			}
 		}
 	}
-	testkit.MustCallAdmin(t, addr, "GET", "/ops/readiness", 204) // accepted after all of them
+	testkit.MustCallAdmin(t, addr, "GET", "/ops/readiness", 204) // accepted after all unfinished ones
 	s.ln.mu.Lock()
 	defer s.ln.mu.Unlock()
 	if open := len(s.ln.conns); open > MaxConnections {
-		t.Errorf("%d connections are open", open)
+		t.Errorf("%d connections are open, more than MaxConnections", open)
 	}
 }
 
@@ -109,7 +110,7 @@
 	if _, err := io.WriteString(nc, "GET /ops/stats HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	answer, err := io.ReadAll(br) // to the close
+	answer, err := io.ReadAll(br) // until the server closes the connection
 	if err != nil || !strings.HasSuffix(string(answer), "router.active:14|g\n") {
 		t.Errorf("got %q, %v", answer, err)
 	}
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging makes the program's logger: one event name and stable keys a line, as text or JSON, with a level
-// that may be changed while it runs and repeated warnings sampled. docs/logs.md lists the events.
+// Package logging creates the program's structured logger. Each line has one event name and stable keys, as text or
+// JSON. The level can be changed at run time, and repeated warnings are sampled. docs/logs.md lists the events.
 package logging
 
 import (
@@ -8,8 +8,8 @@
 	"log/slog"
 )
 
-// New makes a logger that writes lines to w. format is "json", or text for anything else; level is one of debug, info,
-// warn and error, empty for info. The level may be set again at any time.
+// New returns a logger that writes to w, and its level, which may be changed at any time. format is "json"; any other
+// value selects text. level is debug, info, warn or error; empty means info.
 func New(w io.Writer, level, format string) (*slog.Logger, *slog.LevelVar, error) {
 	v := new(slog.LevelVar)
 	if err := SetLevel(v, level); err != nil {
@@ -28,12 +28,12 @@
 	return slog.New(newSampler(h)), v, nil
 }
 
-// SetLevel sets the least level that is logged, by name; empty is info. After an error nothing has changed.
+// SetLevel sets the minimum level that is logged, by name; empty means info. On an error the level is unchanged.
 func SetLevel(v *slog.LevelVar, name string) error {
 	level := slog.LevelInfo
 	if name != "" {
 		if err := level.UnmarshalText([]byte(name)); err != nil {
-			return fmt.Errorf("log level %q: one of debug, info, warn, error", name)
+			return fmt.Errorf("log level %q: must be one of debug, info, warn, error", name)
 		}
 	}
 	v.Set(level)
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -40,19 +40,19 @@
 			}
 			counts[one["event"].(string)]++
 			if n, ok := one["left_out"]; ok && n != 99.0 {
-				t.Errorf("left out: %v", n)
+				t.Errorf("left_out is %v, want 99", n)
 			}
 		}
 		if got := fmt.Sprint(counts); got != "map[ended:1 heard:1 journal_waiting:2 serving:100]" {
 			t.Error(got)
 		}
 		if SetLevel(level, "loud") == nil {
-			t.Error("any word is taken for a level")
+			t.Error("an unknown level name is accepted")
 		}
 	})
 }
 
-// Every event that the program may log is in the page for operators, and none besides.
+// docs/logs.md lists exactly the events that the program can log.
 func TestLogPageListsEveryEvent(t *testing.T) {
 	page, err := os.ReadFile("../../docs/logs.md")
 	if err != nil {
@@ -79,14 +79,14 @@
 			}
 			for _, m := range calls.FindAllStringSubmatch(string(raw), -1) {
 				if found[m[1]] = true; !listed[m[1]] {
-					t.Errorf("%s logs %q, which docs/logs.md lacks", f, m[1])
+					t.Errorf("%s logs %q, which is missing from docs/logs.md", f, m[1])
 				}
 			}
 		}
 	}
 	for event := range listed {
 		if !found[event] {
-			t.Errorf("docs/logs.md has %q, which nothing logs", event)
+			t.Errorf("docs/logs.md lists %q, which no code logs", event)
 		}
 	}
 }
--- a/internal/logging/sampler.go
+++ b/internal/logging/sampler.go
@@ -8,23 +8,25 @@
 )
 
 const (
-	// A warning that repeats is written so often, and its next line counts those that were left out.
+	// A repeated warning is written at most once per sampleInterval. Its next line says how many were suppressed.
 	sampleInterval   = 5 * time.Second
-	maxSampledEvents = 256 // events that are told apart; names are fixed in the code, so there are fewer
+	maxSampledEvents = 256 // distinct events that are tracked; event names are constants in the code, and there are fewer than this
 )
 
-// sampler lets each warning and error through once in sampleEvery, by the name of its event. What is below a warning
-// passes as it is.
+// sampler is a slog.Handler that writes each warning and error at most once per sampleInterval, by event name. Records
+// below the level warn are always written.
 type sampler struct {
 	slog.Handler
 	state *sampleState
 }
 
+// sampleState holds the sampling state of all events. Handlers derived from one logger share it.
 type sampleState struct {
 	mu     sync.Mutex
 	events map[string]*eventState
 }
 
+// eventState is the sampling state of one event.
 type eventState struct {
 	nextWrite  time.Time
 	suppressed int
@@ -34,7 +36,7 @@
 	return &sampler{h, &sampleState{events: map[string]*eventState{}}}
 }
 
-// Handle writes the record, or counts it as left out. (slog.Handler)
+// Handle writes the record or counts it as suppressed. It implements slog.Handler.
 func (s *sampler) Handle(ctx context.Context, r slog.Record) error {
 	if r.Level >= slog.LevelWarn {
 		suppressed, write := s.state.admit(r.Message, r.Time)
@@ -49,6 +51,8 @@
 	return s.Handler.Handle(ctx, r)
 }
 
+// admit decides whether a record of an event is written, and returns how many were suppressed since the last one.
+// Events beyond maxSampledEvents are always written.
 func (s *sampleState) admit(event string, now time.Time) (suppressed int, write bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,12 +72,12 @@
 	return suppressed, true
 }
 
-// WithAttrs shares the counts. (slog.Handler)
+// WithAttrs returns a handler with additional attributes that shares the sampling state. It implements slog.Handler.
 func (s *sampler) WithAttrs(a []slog.Attr) slog.Handler {
 	return &sampler{s.Handler.WithAttrs(a), s.state}
 }
 
-// WithGroup shares the counts. (slog.Handler)
+// WithGroup returns a handler with a group that shares the sampling state. It implements slog.Handler.
 func (s *sampler) WithGroup(name string) slog.Handler {
 	return &sampler{s.Handler.WithGroup(name), s.state}
 }
--- a/internal/metrics/export.go
+++ b/internal/metrics/export.go
@@ -10,7 +10,7 @@
 	"github.com/prometheus/common/expfmt"
 )
 
-// figure is one number of a Set, under its two names: the platform's StatsD lines and Prometheus.
+// metric is the current value of one counter or gauge, with its StatsD name and its Prometheus name.
 type metric struct {
 	statsdName string
 	name       string // without the namespace
@@ -22,7 +22,7 @@
 
 const namespace = "harrierramp_"
 
-// figures are all numbers of now, in the order of the StatsD lines.
+// snapshot returns the current value of every counter and gauge, in the order of the StatsD lines.
 func (s *Set) snapshot() []metric {
 	var out []metric
 	counter := func(statsd, name, help string, labels prometheus.Labels, v int64) {
@@ -74,7 +74,7 @@
 	return out
 }
 
-// Text writes the figures as StatsD lines.
+// StatsD returns the counters and gauges as StatsD lines.
 func (s *Set) StatsD() []byte {
 	var b bytes.Buffer
 	for _, m := range s.snapshot() {
@@ -87,10 +87,11 @@
 	return b.Bytes()
 }
 
-// Describe sends nothing: which figures there are hangs on the configuration. (prometheus.Collector)
+// Describe sends no descriptors, because the set of metrics depends on the configuration. It implements
+// prometheus.Collector.
 func (f *Set) Describe(chan<- *prometheus.Desc) {}
 
-// Collect sends the numbers of now. (prometheus.Collector)
+// Collect sends the current values. It implements prometheus.Collector.
 func (s *Set) Collect(ch chan<- prometheus.Metric) {
 	for _, m := range s.snapshot() {
 		kind := prometheus.GaugeValue
@@ -102,7 +103,7 @@
 	s.histograms.collect(ch)
 }
 
-// WriteMetrics writes everything in the Prometheus text format.
+// WriteMetrics writes all metrics in the Prometheus text format.
 func (s *Set) WriteMetrics(w io.Writer) error {
 	r := prometheus.NewRegistry()
 	if err := r.Register(s); err != nil {
--- a/internal/metrics/histograms.go
+++ b/internal/metrics/histograms.go
@@ -7,14 +7,15 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// MaxDests is how many destinations have a histogram of their own; those that come later share one, "other", so that
-// neither memory nor what a scrape reads grows with the number of destinations.
+// MaxDestHistograms is the number of destinations that get a histogram of their own. All further destinations share the
+// histogram "other", so that neither memory nor the size of a scrape grows with the number of destinations.
 const MaxDestHistograms = 32
 
-// OutcomeNames label attempts, by the number of the module's outcome.
+// OutcomeLabels are the label values of attempt outcomes, indexed by the numeric outcome of package choice.
 var OutcomeLabels = []string{"pass", "fault", "no_room", "too_slow", "no_route", "cut", "undone", "stale"}
 
-// times are the histograms. Their methods may be called from any goroutine, but for First, which the loop owns.
+// histograms holds the latency histograms of a Set. They may be observed from any goroutine, except firstAttempt and
+// byDest, which belong to the event loop.
 type histograms struct {
 	intakeAnswer  prometheus.Histogram
 	firstAttempt  *prometheus.HistogramVec
@@ -53,10 +54,11 @@
 	h.loopStep.Collect(ch)
 }
 
-// Answered takes the time from a request's first byte to its answer.
+// ObserveIntakeAnswer records the time from the first byte of a client's request to its answer.
 func (s *Set) ObserveIntakeAnswer(d time.Duration) { s.histograms.intakeAnswer.Observe(d.Seconds()) }
 
-// First takes the time from a message's hand-in to its first attempt. Only the loop may call it.
+// ObserveFirstAttempt records the time from the hand-in of a message to its first delivery attempt. Only the event loop
+// may call it.
 func (s *Set) ObserveFirstAttempt(dest int, d time.Duration) {
 	observer := s.histograms.byDest[dest]
 	if observer == nil {
@@ -72,15 +74,15 @@
 	observer.Observe(d.Seconds())
 }
 
-// Attempted takes the time of an attempt with this number of outcome.
+// ObserveAttempt records the duration of a delivery attempt that ended with the given numeric outcome.
 func (s *Set) ObserveAttempt(outcome int, d time.Duration) {
 	if outcome >= 0 && outcome < len(s.histograms.byOutcome) {
 		s.histograms.byOutcome[outcome].Observe(d.Seconds())
 	}
 }
 
-// Appended takes the time of one write of the journal.
+// ObserveJournalAppend records the duration of one write to the journal.
 func (s *Set) ObserveJournalAppend(d time.Duration) { s.histograms.journalAppend.Observe(d.Seconds()) }
 
-// Stepped takes the time of one step of the loop.
+// ObserveLoopStep records the duration of one step of the event loop.
 func (s *Set) ObserveLoopStep(d time.Duration) { s.histograms.loopStep.Observe(d.Seconds()) }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,4 +1,5 @@
-// Package metrics counts what a node does, for its operators.
+// Package metrics collects the counters, gauges and latency histograms of a node and exports them as StatsD lines and
+// in the Prometheus text format.
 package metrics
 
 import (
@@ -8,47 +9,49 @@
 	"harrierramp/internal/membership"
 )
 
-// Set are what the operators read. Counters run from the start of the process, each counted once, where its
-// event happens; the loop publishes the gauges after every step, so that a reader waits for nobody.
+// Set holds all metrics of a node. Counters start at zero with the process and are incremented once, where the event
+// happens. The node's event loop stores the gauges after each step, so reading a metric never waits for the loop.
 type Set struct {
 	classes  []string
 	outcomes []outcomeCounts // by class
-	Attempts atomic.Int64    // messages written whole to endpoints
+	Attempts atomic.Int64    // calls written completely to endpoints
 
 	Active, PoolSize, PoolEjected atomic.Int64
 
-	// Of the other nodes; told only where membership is on.
+	// Metrics of the membership protocol, exported only if MembershipEnabled is set.
 	MembershipEnabled                                                   bool
 	present, suspect, lastAgreementAgoMS, localHealth                   atomic.Int64
 	refutations, probes, missedProbes, invalidDatagrams, UnknownSenders atomic.Int64
-	// Of the list; told only where it is the project's own service's.
+	// Metrics of the endpoint list, exported only if the node follows this project's list service.
 	ListServiceEnabled                                                                             bool
 	ListRevision, OlderListsRefused, SuspiciousListsHeld, ListWatchesEnded                         atomic.Int64
-	lastListActivity                                                                               atomic.Pointer[time.Time] // of a server's last line, on the monotonic clock
+	lastListActivity                                                                               atomic.Pointer[time.Time] // when a list server last sent a line, on the monotonic clock
 	ListRequests, ListRequestsDeferred, ProcessPauses, AuditRecordsLost, TimesFenced, PeersAheadBy atomic.Int64
-	firstListMS, firstCallMS, firstDeliveryMS                                                      atomic.Int64 // milliseconds since the process began, plus 1; 0 for not yet
+	firstListMS, firstCallMS, firstDeliveryMS                                                      atomic.Int64 // milliseconds since the start of the process, plus 1; 0 until the event has happened
 
 	histograms histograms
 }
 
-// ends counts the final answers of a class.
+// outcomeCounts counts the final answers of one message class.
 type outcomeCounts struct{ delivered, shed, failed atomic.Int64 }
 
-// New has a figure for each of the classes.
+// New returns a Set with outcome counters for each of the given message classes.
 func New(classes []string) *Set {
 	s := &Set{classes: classes, outcomes: make([]outcomeCounts, len(classes)), histograms: newHistograms()}
 	s.RecordListActivity()
 	return s
 }
 
-// StartedWith, FirstCall and FirstDelivery note how long after its beginning a process had a server's list, made a call
-// and delivered a message. Only the first time counts.
+// ObserveFirstList records how long after the start of the process the first list from a list server arrived. Calls
+// after the first have no effect.
 func (s *Set) ObserveFirstList(d time.Duration) { setOnce(&s.firstListMS, d) }
 
-// FirstCall: see StartedWith.
+// ObserveFirstCall records how long after the start of the process the first call to an endpoint was made. Calls after
+// the first have no effect.
 func (s *Set) ObserveFirstCall(d time.Duration) { setOnce(&s.firstCallMS, d) }
 
-// FirstDelivery: see StartedWith.
+// ObserveFirstDelivery records how long after the start of the process the first message was delivered. Calls after the
+// first have no effect.
 func (s *Set) ObserveFirstDelivery(d time.Duration) { setOnce(&s.firstDeliveryMS, d) }
 
 func setOnce(v *atomic.Int64, d time.Duration) {
@@ -57,21 +60,22 @@
 	}
 }
 
-// Delivered counts a message's final answer, as Shed and Failed do. A class that the settings don't name has no figure.
+// CountDelivered counts a delivered message. Like CountShed and CountFailed, it ignores classes that the settings don't
+// define.
 func (s *Set) CountDelivered(class int) {
 	if e := s.countsFor(class); e != nil {
 		e.delivered.Add(1)
 	}
 }
 
-// Shed counts a message that was refused or handed back.
+// CountShed counts a message that was refused or returned undelivered.
 func (s *Set) CountShed(class int) {
 	if e := s.countsFor(class); e != nil {
 		e.shed.Add(1)
 	}
 }
 
-// Failed counts a message that failed for good.
+// CountFailed counts a message that failed permanently.
 func (s *Set) CountFailed(class int) {
 	if e := s.countsFor(class); e != nil {
 		e.failed.Add(1)
@@ -85,16 +89,16 @@
 	return &s.outcomes[class]
 }
 
-// ListLine notes that a list server has said something.
+// RecordListActivity records that a list server has just sent a line.
 func (s *Set) RecordListActivity() {
 	now := time.Now()
 	s.lastListActivity.Store(&now)
 }
 
-// ListHeard is when a server's last line came, or the start.
+// LastListActivity returns when a list server last sent a line, or when the Set was created if none has.
 func (s *Set) LastListActivity() time.Time { return *s.lastListActivity.Load() }
 
-// PublishFellows brings the figures of membership up to date.
+// PublishMembership updates the metrics of the membership protocol from its state.
 func (s *Set) PublishMembership(core *membership.Core, now time.Duration) {
 	present, suspects := core.MemberCounts()
 	agreed, health := core.Health()
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -20,7 +20,7 @@
 		s.ObserveFirstAttempt(dest, 3*time.Millisecond)
 	}
 	s.ObserveAttempt(0, time.Millisecond)
-	s.ObserveAttempt(99, time.Millisecond) // no outcome
+	s.ObserveAttempt(99, time.Millisecond) // not a valid outcome; must be ignored
 	s.ObserveIntakeAnswer(time.Millisecond)
 	s.ObserveJournalAppend(time.Millisecond)
 	s.ObserveLoopStep(time.Millisecond)
@@ -31,7 +31,8 @@
 	return s, b.String()
 }
 
-// Both forms tell the same numbers, and destinations beyond a bound share one histogram.
+// Every counter and gauge appears in both the StatsD and the Prometheus output, and destinations beyond
+// MaxDestHistograms share one histogram.
 func TestStatsDAndPrometheusAgree(t *testing.T) {
 	s, text := newPopulatedSet(t)
 	stats := string(s.StatsD())
@@ -50,11 +51,11 @@
 		}
 	}
 	if n := strings.Count(text, "harrierramp_first_attempt_seconds_count"); n != MaxDestHistograms+1 {
-		t.Errorf("%d destinations are told apart", n)
+		t.Errorf("%d histograms of first attempts; at most MaxDestHistograms and one shared one are expected", n)
 	}
 }
 
-// The alerting rules ask for what there is, and tell what to do in a page that exists.
+// Every metric that the alerting rules query exists, and the on-call page describes every alert.
 func TestAlertsUseExistingMetrics(t *testing.T) {
 	_, text := newPopulatedSet(t)
 	rules, err := os.ReadFile("../../deploy/alerts.yaml")
@@ -67,7 +68,7 @@
 	}
 	names := regexp.MustCompile(`harrierramp_[a-z_]+`).FindAllString(string(rules), -1)
 	if len(names) < 5 {
-		t.Fatalf("only %v", names)
+		t.Fatalf("too few metric names found in the alerting rules: %v", names)
 	}
 	for _, name := range names {
 		if !regexp.MustCompile(`(?m)^` + name + `[ {]`).MatchString(text) {
@@ -76,7 +77,7 @@
 	}
 	for _, m := range regexp.MustCompile(`alert: (\w+)`).FindAllStringSubmatch(string(rules), -1) {
 		if !strings.Contains(string(page), "`"+m[1]+"`") {
-			t.Errorf("docs/on-call.md does not tell of %s", m[1])
+			t.Errorf("docs/on-call.md does not describe the alert %s", m[1])
 		}
 	}
 }
--- a/internal/testkit/sockets.go
+++ b/internal/testkit/sockets.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// Pair is a connection on loopback, both ends of it.
+// TCPPair returns both ends of a TCP connection on loopback.
 func TCPPair(t *testing.T) (near, far *net.TCPConn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -37,17 +37,17 @@
 	return in.(*net.TCPConn), out.(*net.TCPConn)
 }
 
-// Queued waits until bytes, an end or a reset lie in a socket, and leaves them there.
+// WaitForPendingData waits until a socket has received data, an end of stream or a reset, without consuming it.
 func WaitForPendingData(t *testing.T, nc syscall.Conn) {
 	t.Helper()
 	raw, err := nc.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
-	Eventually(t, "something lies in the socket", func() bool {
+	Eventually(t, "the socket has received data, an end of stream or a reset", func() bool {
 		var peeked error
 		err := raw.Control(func(fd uintptr) {
-			// MSG_PEEK takes a pending error away: a reset is known by the state of the connection instead.
+			// MSG_PEEK would clear a pending error, so a reset is detected by the state of the connection instead.
 			if isReset(int(fd)) {
 				return
 			}
@@ -57,14 +57,14 @@
 	})
 }
 
-// closed tells that the other side has reset the connection.
+// isReset reports whether the peer has reset the connection.
 func isReset(fd int) bool {
 	state, err := syscall.GetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_INFO)
 	const tcpClose = 7
 	return err == nil && state&0xff == tcpClose
 }
 
-// Stop is a connection that calls a function of the test's once, before its own side ends: at the half-close, or at the
+// CloseHookConn is a connection that calls BeforeClose once, before its local side ends: at the half-close, or at the
 // close if that comes first.
 type CloseHookConn struct {
 	*net.TCPConn
@@ -72,19 +72,19 @@
 	once        sync.Once
 }
 
-// CloseWrite ends the sending side.
+// CloseWrite runs the hook and shuts down the sending side.
 func (s *CloseHookConn) CloseWrite() error {
 	s.once.Do(func() { s.BeforeClose(s.TCPConn) })
 	return s.TCPConn.CloseWrite()
 }
 
-// Close ends the connection.
+// Close runs the hook, if it has not run yet, and closes the connection.
 func (s *CloseHookConn) Close() error {
 	s.once.Do(func() { s.BeforeClose(s.TCPConn) })
 	return s.TCPConn.Close()
 }
 
-// StopListener accepts connections that are Stops.
+// CloseHookListener accepts connections as CloseHookConns.
 type CloseHookListener struct {
 	*net.TCPListener
 	BeforeClose func(nc *net.TCPConn)
@@ -99,7 +99,8 @@
 	return &CloseHookConn{TCPConn: nc, BeforeClose: l.BeforeClose}, nil
 }
 
-// Deaf is an address where connections never come up: its queue is full, and nobody accepts.
+// UnresponsiveAddr returns an address to which no connection is ever established: its accept queue is full and is never
+// emptied.
 func UnresponsiveAddr(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -128,11 +129,11 @@
 		}
 		t.Cleanup(func() { nc.Close() })
 	}
-	t.Fatal("connections come up all the same")
+	t.Fatal("connections are still established although the accept queue should be full")
 	return ""
 }
 
-// Dialing counts this process's connections to addr that have not come up yet.
+// CountPendingDials returns how many connections to addr are still being established (state SYN_SENT).
 func CountPendingDials(t *testing.T, addr string) int {
 	t.Helper()
 	at, err := netip.ParseAddrPort(addr)
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -1,4 +1,5 @@
-// Package testkit is what the tests of several packages share: stand-in endpoints, a client, waits without a race.
+// Package testkit holds helpers shared by the tests of several packages: stand-in endpoints, a client for the node's
+// protocol, calls to the admin API, and waits for conditions.
 package testkit
 
 import (
@@ -16,10 +17,11 @@
 	"harrierramp/internal/wire"
 )
 
-// Patience is how long a test waits
-const WaitTimeout = 30 * time.Second // nothing is asserted of how fast
+// WaitTimeout is how long a test waits for something before it fails. It is long because no test uses it to assert
+// speed.
+const WaitTimeout = 30 * time.Second
 
-// Partner is an endpoint on a loopback socket. serve answers each request it reads; false closes the connection.
+// Partner is a stand-in endpoint on a loopback socket. It calls serve for each request; false closes the connection.
 type Partner struct {
 	ln    net.Listener
 	serve func(nc net.Conn, req *http.Request) bool
@@ -30,7 +32,7 @@
 	Received chan *http.Request
 }
 
-// NewPartner serves until the test ends.
+// NewPartner starts a partner that serves until the test ends.
 func NewPartner(t *testing.T, serve func(nc net.Conn, req *http.Request) bool) *Partner {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -76,29 +78,29 @@
 	}
 }
 
-// Addr is where it listens.
+// Addr returns the address that the partner listens on.
 func (p *Partner) Addr() string { return p.ln.Addr().String() }
 
-// Counts are its calls and connections so far.
+// Counts returns the numbers of calls and connections so far.
 func (p *Partner) Counts() (calls, conns int) {
 	p.Mu.Lock()
 	defer p.Mu.Unlock()
 	return len(p.Calls), p.conns
 }
 
-// Next waits for the next call.
+// Next waits for the next call and returns its request.
 func (p *Partner) Next(t *testing.T) *http.Request {
 	t.Helper()
 	select {
 	case req := <-p.Received:
 		return req
 	case <-time.After(WaitTimeout):
-		t.Fatal("no call came")
+		t.Fatal("no call arrived within WaitTimeout")
 		return nil
 	}
 }
 
-// Says answers every request with text.
+// RespondWith returns a serve function that answers every request with text.
 func RespondWith(text string) func(net.Conn, *http.Request) bool {
 	return func(nc net.Conn, _ *http.Request) bool {
 		_, err := io.WriteString(nc, text)
@@ -106,15 +108,16 @@
 	}
 }
 
+// DeliveredResponse is the HTTP response that confirms a delivery.
 const DeliveredResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// Silent takes a request and never answers.
+// NeverRespond is a serve function that keeps the connection open and never answers.
 func NeverRespond(nc net.Conn, _ *http.Request) bool {
 	io.Copy(io.Discard, nc)
 	return false
 }
 
-// Eventually waits until ok says so, and fails the test if it never does.
+// Eventually waits until condition returns true, and fails the test if it does not within WaitTimeout.
 func Eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(WaitTimeout); !condition(); time.Sleep(time.Millisecond) {
@@ -124,9 +127,10 @@
 	}
 }
 
+// TestNames are the names of classes and tenants that tests use.
 var TestNames = wire.Names{Classes: []string{"notice"}, Tenants: []string{"acme", "globex"}}
 
-// DialTest connects to a node as a client.
+// Dial connects to a node as a client. The connection closes when the test ends.
 func Dial(t *testing.T, addr string) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	nc, err := net.Dial("tcp", addr)
@@ -140,7 +144,7 @@
 	return nc, bufio.NewReader(nc)
 }
 
-// Resp writes words as an array of bulk strings.
+// EncodeRESP encodes words as a RESP array of bulk strings.
 func EncodeRESP(words ...string) string {
 	var b strings.Builder
 	b.WriteString("*" + strconv.Itoa(len(words)) + "\r\n")
@@ -150,12 +154,12 @@
 	return b.String()
 }
 
-// Enqueue is the request that hands one message in.
+// EnqueueRequest returns the request that hands in one message.
 func EnqueueRequest(id, fields, body string) string {
 	return EncodeRESP("ENQUEUE", "0000", id, fields, body)
 }
 
-// Ask sends text on a connection of its own and returns the first line of the answer.
+// Exchange sends text on a new connection and returns the first line of the answer.
 func Exchange(t *testing.T, addr, text string) string {
 	t.Helper()
 	nc, br := Dial(t, addr)
@@ -169,7 +173,7 @@
 	return strings.TrimRight(line, "\r\n")
 }
 
-// MustSay sends text and fails the test unless the next line is want.
+// MustExchange sends text on an open connection and fails the test unless the next line read is want.
 func MustExchange(t *testing.T, w io.Writer, br *bufio.Reader, text, want string) {
 	t.Helper()
 	if _, err := io.WriteString(w, text); err != nil {
@@ -180,7 +184,7 @@
 	}
 }
 
-// Operate makes one call at a door and returns its status and body.
+// CallAdmin makes one request to the admin API at addr and returns the status and body of its response.
 func CallAdmin(t *testing.T, addr, method, path string) (int, string) {
 	t.Helper()
 	req, err := http.NewRequest(method, "http://"+addr+path, nil)
@@ -200,7 +204,7 @@
 	return resp.StatusCode, string(body)
 }
 
-// MustOperate makes one call at a door and fails the test unless it has this status.
+// MustCallAdmin makes one request to the admin API at addr and fails the test unless the response has the status want.
 func MustCallAdmin(t *testing.T, addr, method, path string, want int) {
 	t.Helper()
 	if got, body := CallAdmin(t, addr, method, path); got != want {
--- a/internal/testkit/wallclock.go
+++ b/internal/testkit/wallclock.go
@@ -5,10 +5,10 @@
 	"unsafe"
 )
 
-// StepWallClock is what the clock would have shown at t if the wall clock, and not the monotonic one, had been stepped by
-// whole seconds. t has to bear a monotonic reading.
+// StepWallClock returns t as the clock would have read it if the wall clock had been stepped by a whole number of
+// seconds while the monotonic clock ran on. t must have a monotonic reading.
 func StepWallClock(t time.Time, by time.Duration) time.Time {
-	const secondsAt = 30 // time.Time's first word holds the seconds of the wall clock above this bit, nanoseconds below it
+	const secondsAt = 30 // the first word of time.Time holds the wall clock's seconds above this bit and its nanoseconds below
 	wall := (*uint64)(unsafe.Pointer(&t))
 	*wall += uint64(int64(by/time.Second) << secondsAt)
 	return t
