--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,7 @@
-// Package config is what a node is told at its start: by the platform as JSON, by people as TOML, and by the
-// environment and the command line over both. All are read into one structure, whose tags give each value's name,
-// default, bounds and meaning; the example, the schema and the checks are made from the same tags.
+// Package config reads the configuration of a node. The platform writes it as JSON and people write it as TOML; the
+// environment and the command line override single values of either. All sources are read into the structure Config,
+// whose tags give the name, default, bounds and meaning of each value. The example file, the JSON schema and the checks
+// are generated from the same tags.
 package config
 
 import (
@@ -17,7 +18,8 @@
 	"harrierramp/internal/wire"
 )
 
-// Config is what a node is told. The json tags are the platform's names, the toml tags those for people.
+// Config is the configuration of a node. The json tags are the names in the platform's JSON, the toml tags those in
+// TOML files, in the environment and on the command line.
 type Config struct {
 	Name        string          `json:"name" toml:"name" default:"node" need:"yes" doc:"the node's name, the same after a restart"`
 	Listen      string          `json:"listen" toml:"listen" default:"127.0.0.1:6379" need:"yes" check:"address" doc:"where clients connect (RESP2)"`
@@ -34,12 +36,12 @@
 	Membership  *Membership     `json:"membership" toml:"membership" doc:"nodes tell each other who is there"`
 	Audit       *Audit          `json:"audit" toml:"audit" doc:"nodes tell the list service what they act on"`
 	Delivery    wire.Config     `json:"settings" toml:"delivery"`
-	KnownList   listwatch.List  `json:"known" toml:"-"` // the list as the node last held it
-	Settings    choice.Settings `json:"-" toml:"-"`     // Deployment, for the module
-	Names       wire.Names      `json:"-" toml:"-"`     // of Deployment
+	KnownList   listwatch.List  `json:"known" toml:"-"` // the endpoint list as the node last held it, which the platform passes to it at a start
+	Settings    choice.Settings `json:"-" toml:"-"`     // Delivery, converted for package choice
+	Names       wire.Names      `json:"-" toml:"-"`     // the names of classes, zones and so on in Delivery
 }
 
-// Limits are what the process may use. Zero means not given.
+// Limits are the resources that the process may use. Zero means that no limit is given.
 type Limits struct {
 	Cores   float64 `json:"cores" toml:"cores" default:"1" min:"0.05" max:"1024" doc:"of processor time"`
 	Memory  MiB     `json:"memory_mb" toml:"memory" default:"192MiB" min:"16MiB" max:"64GiB" doc:"over it the platform kills the node"`
@@ -47,30 +49,31 @@
 	Disk    MiB     `json:"disk_mb" toml:"disk" default:"3MiB" min:"512KiB" max:"64GiB" doc:"of the lasting folder"`
 }
 
-// Log is what is logged, and how.
+// Log is the level and the format of the log.
 type Log struct {
 	Level  string `json:"level" toml:"level" default:"info" one:"debug info warn error" reload:"yes" doc:"the least that is logged"`
 	Format string `json:"format" toml:"format" default:"text" one:"text json" doc:"of the lines"`
 }
 
-// ListService is the section for the project's own list service. Its servers tell the same list, with revisions that
-// only rise, whichever of them is asked.
+// ListService is the section for this project's list service, which replaces the platform's discovery. All its servers
+// serve the same list, with revisions that only increase.
 type ListService struct {
 	Addresses         []string     `json:"addresses" toml:"addresses" check:"address" reload:"yes" doc:"of all its servers, in any order"`
 	KeepList          bool         `json:"keep" toml:"keep" doc:"keep the last good list in the lasting folder"`
 	HeartbeatInterval units.Millis `json:"beat_ms" toml:"beat" min:"0s" max:"2s" doc:"list servers are asked to say something so often, and doubted after three times that in silence; 0s for as they like"`
-	// What a start does with a kept list.
+	// How a starting node uses the list that it has kept on disk.
 	KeptListWait   units.Millis `json:"kept_after_ms" toml:"kept_after" min:"0s" max:"1h" doc:"a start waits so long for a server's list before it serves on the kept one"`
 	KeptListMaxAge units.Millis `json:"kept_most_ms" toml:"kept_most" min:"0s" max:"8760h" doc:"a kept list that is older is not served on; 0s for any age"`
 }
 
-// Membership is the section by which nodes tell each other who is there.
+// Membership is the section for the membership protocol, by which nodes detect which other nodes are alive.
 type Membership struct {
 	Period  units.Millis `json:"period_ms" toml:"period" default:"500ms" doc:"between pings; 50 ms to 1 min"`
 	Timeout units.Millis `json:"timeout_ms" toml:"timeout" doc:"for an answer, before others are asked; at most half of the period; 0s for a third of it, and 150 ms at most"`
 }
 
-// Audit is the section by which a node tells the list service what it acts on. It needs the section registry.
+// Audit is the section by which a node reports to the list service which revision of the list it acts on. It requires
+// the section registry.
 type Audit struct {
 	MarkCalls  bool `json:"mark" toml:"mark" doc:"calls say which list they rest on, in a header"`
 	Fencing    bool `json:"shut_out" toml:"shut_out" doc:"nodes tell each other by datagrams which list they act on, and one that can't follow stops calling"`
@@ -79,10 +82,10 @@
 
 func (a *Audit) check(c *Config) error {
 	if a != nil && c.Registry == nil {
-		return errors.New("audit needs the section registry")
+		return errors.New("the section audit requires the section registry")
 	}
 	if a != nil && a.RecordSize > c.Limits.Disk/2 {
-		return fmt.Errorf("audit.record is %v MiB: half of limits.disk at most", float64(a.RecordSize))
+		return fmt.Errorf("audit.record is %v MiB: must be at most half of limits.disk", float64(a.RecordSize))
 	}
 	return nil
 }
@@ -97,7 +100,7 @@
 	minMemory          = MiB(16)
 )
 
-// finish derives what the rest of the program reads, and checks what hangs together.
+// finish derives the values that the rest of the program reads, and checks the rules that involve several values.
 func (c *Config) finish() error {
 	var err error
 	if c.Settings, err = c.Delivery.Settings(); err != nil {
@@ -109,12 +112,12 @@
 
 func (c *Config) checkSource() error {
 	if c.SourceIP != "" && net.ParseIP(c.SourceIP) == nil {
-		return fmt.Errorf("source is %q: an IP address without a port", c.SourceIP)
+		return fmt.Errorf("source is %q: must be an IP address without a port", c.SourceIP)
 	}
 	return nil
 }
 
-// From is where the node's own connections come from; nil for the system's choice.
+// SourceAddr returns the local address for outgoing connections, or nil to let the system choose.
 func (c *Config) SourceAddr() net.Addr {
 	if ip := net.ParseIP(c.SourceIP); ip != nil {
 		return &net.TCPAddr{IP: ip}
@@ -122,18 +125,18 @@
 	return nil
 }
 
-// check tells what is too small to run with. Zero is no limit.
+// check returns an error if a limit is too small for a node to run. Zero means no limit.
 func (l Limits) check() error {
 	if l.Sockets > 0 && l.Sockets < minSockets {
-		return fmt.Errorf("limits.sockets is %d: a node needs %d", l.Sockets, minSockets)
+		return fmt.Errorf("limits.sockets is %d: must be at least %d", l.Sockets, minSockets)
 	}
 	if l.Memory > 0 && l.Memory < minMemory {
-		return fmt.Errorf("limits.memory is %v MiB: a node needs %v", float64(l.Memory), float64(minMemory))
+		return fmt.Errorf("limits.memory is %v MiB: must be at least %v MiB", float64(l.Memory), float64(minMemory))
 	}
 	return nil
 }
 
-// DiscoveryAt is where the list is to be had and notices are taken.
+// DiscoveryAddrs returns the addresses of the servers that provide the endpoint list and accept notices.
 func (c *Config) DiscoveryAddrs() []string {
 	if c.Registry != nil {
 		return c.Registry.Addresses
@@ -146,14 +149,14 @@
 		return nil
 	}
 	if len(s.Addresses) == 0 || len(s.Addresses) > maxListServers {
-		return fmt.Errorf("registry.addresses names %d servers: from 1 to %d", len(s.Addresses), maxListServers)
+		return fmt.Errorf("registry.addresses has %d addresses: must be from 1 to %d", len(s.Addresses), maxListServers)
 	}
 	for i, addr := range s.Addresses {
 		if _, port, err := net.SplitHostPort(addr); err != nil || port == "" {
-			return fmt.Errorf("registry.addresses: %q is no address with a port", addr)
+			return fmt.Errorf("registry.addresses: %q is not an address with a port", addr)
 		}
 		if slices.Contains(s.Addresses[:i], addr) {
-			return fmt.Errorf("registry.addresses names %s twice", addr)
+			return fmt.Errorf("registry.addresses contains %s twice", addr)
 		}
 	}
 	return nil
@@ -164,29 +167,29 @@
 		return nil
 	}
 	if c.PeerListen == "" || len(c.Peers) < 2 || !c.Settings.PeerDatagrams {
-		return errors.New("membership needs peer_listen, peers, and settings that allow notes")
+		return errors.New("membership requires peer_listen, at least two peers, and settings that allow notes (delivery.limits.notes)")
 	}
 	if c.Settings.Number < 0 || c.Settings.Number >= len(c.Peers) {
-		return fmt.Errorf("membership: number %d is none of %d peers", c.Settings.Number, len(c.Peers))
+		return fmt.Errorf("membership: the node's number is %d, which is not an index into its %d peers", c.Settings.Number, len(c.Peers))
 	}
 	seen := map[membership.ID]string{}
 	for _, addr := range c.Peers {
 		id := membership.IDOf(addr)
 		if before, ok := seen[id]; ok {
-			return fmt.Errorf("membership: the peers %s and %s can't be told apart", before, addr)
+			return fmt.Errorf("membership: the peers %s and %s have the same identifier", before, addr)
 		}
 		seen[id] = addr
 	}
 	if p := m.PingPeriod(); p < minPingPeriod || p > maxPingPeriod {
-		return fmt.Errorf("membership.period_ms is %v: from %d to %d", m.Period, minPingPeriod.Milliseconds(), maxPingPeriod.Milliseconds())
+		return fmt.Errorf("membership.period_ms is %v: must be from %d to %d", m.Period, minPingPeriod.Milliseconds(), maxPingPeriod.Milliseconds())
 	}
 	if t := m.PingTimeout(); t <= 0 || t > m.PingPeriod()/2 {
-		return fmt.Errorf("membership.timeout_ms is %v: over 0, at most half of the period", m.Timeout)
+		return fmt.Errorf("membership.timeout_ms is %v: must be over 0 and at most half of the period", m.Timeout)
 	}
 	return nil
 }
 
-// PingPeriod is the pause between pings.
+// PingPeriod returns the interval between pings.
 func (m *Membership) PingPeriod() time.Duration {
 	if m.Period == 0 {
 		return defaultPingPeriod
@@ -194,7 +197,7 @@
 	return m.Period.Duration()
 }
 
-// PingTimeout is how long an answer may take before others are asked.
+// PingTimeout returns how long to wait for the answer to a ping before other nodes are asked to ping the silent one.
 func (m *Membership) PingTimeout() time.Duration {
 	if m.Timeout == 0 {
 		return min(defaultPingTimeout, m.PingPeriod()/3)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -61,18 +61,18 @@
 		t.Fatal(err)
 	}
 	if fromJSON.Limits != fromTOML.Limits || fromJSON.StateDir != fromTOML.StateDir || fromJSON.Listen != fromTOML.Listen || !slices.Equal(fromJSON.Names.Classes, fromTOML.Names.Classes) {
-		t.Errorf("platform %+v, people %+v", fromJSON, fromTOML.Config)
+		t.Errorf("from JSON %+v, from TOML %+v", fromJSON, fromTOML.Config)
 	}
 	a, b := fromJSON.Settings, fromTOML.Settings
 	if a.Classes[0] != b.Classes[0] || a.Slots != b.Slots || a.IdleConnTimeout != b.IdleConnTimeout || a.MaxRetryAfter != b.MaxRetryAfter || a.FleetSize != b.FleetSize {
-		t.Errorf("platform %+v, people %+v", a, b)
+		t.Errorf("from JSON %+v, from TOML %+v", a, b)
 	}
 	if a.Classes[0].Aim != 1500500*time.Microsecond || a.MaxAttempts != 0 || b.MaxAttempts != 12 {
-		t.Errorf("aim %v, attempts %d and %d", a.Classes[0].Aim, a.MaxAttempts, b.MaxAttempts)
+		t.Errorf("aim %v, maximum attempts %d from JSON and %d from TOML", a.Classes[0].Aim, a.MaxAttempts, b.MaxAttempts)
 	}
 }
 
-// A running node takes what may change and names what may not.
+// Diff tells apart the changed keys that a running node can apply and those that require a restart.
 func TestDiffSeparatesReloadableKeys(t *testing.T) {
 	load := func(text string, sets ...string) *Loaded {
 		l, err := Load(Sources{File: writeFile(t, "c.toml", text), Overrides: sets})
@@ -84,15 +84,15 @@
 	before := load(operatorTOML)
 	reloadable, restartOnly := before.Diff(load(strings.Replace(operatorTOML, `"127.0.0.1:2"`, `"127.0.0.1:3"`, 1), "log.level=debug", "limits.sockets=300", "seed=5"))
 	if !slices.Equal(reloadable, []string{"discovery", "log.level"}) || !slices.Equal(restartOnly, []string{"limits.sockets"}) {
-		t.Errorf("taken %v, kept %v", reloadable, restartOnly)
+		t.Errorf("reloadable keys %v, restart-only keys %v", reloadable, restartOnly)
 	}
 	_, restartOnly = before.Diff(load(operatorTOML+"[membership]\n[[delivery.class]]\nname=\"b\"\naim=\"1s\"\ndeadline=\"2s\"\neffect=\"idempotent\"\n", "peers=127.0.0.1:5,127.0.0.1:6", "peer_listen=127.0.0.1:5", "delivery.limits.notes=true"))
 	if !slices.Contains(restartOnly, "membership.period") || !slices.Contains(restartOnly, "delivery.class[1].name") {
-		t.Errorf("kept %v", restartOnly)
+		t.Errorf("restart-only keys %v", restartOnly)
 	}
 }
 
-// Every value of the structure is in the example and in the schema, with its meaning.
+// The example and the schema contain every value of the structure with its description, and the example can be loaded.
 func TestExampleAndSchemaDescribeEveryValue(t *testing.T) {
 	var b strings.Builder
 	if err := Example(&b); err != nil {
@@ -129,13 +129,13 @@
 	f.Fuzz(func(t *testing.T, text string) { checkLoad(t, "c.json", "{"+text) })
 }
 
-// load reads a text that may be anything: it is good, or its faults are told.
+// checkLoad loads an arbitrary text, and checks that Load returns either a configuration or a non-empty error.
 func checkLoad(t *testing.T, name, text string) {
 	if len(text) > 1<<16 {
 		t.Skip()
 	}
 	l, err := Load(Sources{File: writeFile(t, name, text)})
 	if (err == nil) == (l == nil) || err != nil && err.Error() == "" {
-		t.Errorf("%v, %v", l, err)
+		t.Errorf("Load returns %v and the error %v", l, err)
 	}
 }
--- a/internal/config/field.go
+++ b/internal/config/field.go
@@ -10,19 +10,19 @@
 	"strings"
 )
 
-// field is one value that can be configured. Those inside lists of tables have no default and no place in the
-// environment; their path has [] where the number stands.
+// field describes one value that can be configured. Fields inside lists of tables have no default and can't be set by
+// the environment; their path has [] in place of the index.
 type field struct {
 	path            string
 	typ             reflect.Type
 	tag             reflect.StructTag
-	optionalSection string // the optional section that it lies in, or empty
-	inList          bool   // in a list of tables
+	optionalSection string // the optional section that contains it, or empty
+	inList          bool   // inside a list of tables
 }
 
 var textType = reflect.TypeFor[encoding.TextUnmarshaler]()
 
-// fields are all values, in the order of the structure.
+// fields returns all configurable values, in the order of the structure Config.
 func fields() []field { return fieldsOf(reflect.TypeFor[Config](), "", "", false) }
 
 func fieldsOf(t reflect.Type, prefix, optional string, listed bool) (out []field) {
@@ -52,8 +52,8 @@
 	return t.Kind() == reflect.Struct && !reflect.PointerTo(t).Implements(textType)
 }
 
-// parse reads a value of the field from text, as the environment, the command line and the tags have it. Lists are
-// separated by commas.
+// parse parses a value of the field from its text form, which the environment, the command line and the tags use. The
+// elements of a list are separated by commas.
 func (f field) parse(text string) (any, error) {
 	v := reflect.New(f.typ)
 	if err := parseInto(v.Elem(), text); err != nil {
@@ -78,13 +78,13 @@
 	case reflect.Int:
 		n, err := strconv.Atoi(text)
 		if err != nil {
-			return fmt.Errorf("%q is no whole number", text)
+			return fmt.Errorf("%q is not a whole number", text)
 		}
 		v.SetInt(int64(n))
 	case reflect.Float64:
 		x, err := strconv.ParseFloat(text, 64)
 		if err != nil || x != x {
-			return fmt.Errorf("%q is no number", text)
+			return fmt.Errorf("%q is not a number", text)
 		}
 		v.SetFloat(x)
 	case reflect.Slice:
@@ -105,11 +105,11 @@
 	return nil
 }
 
-// check tells what is wrong with a value that was given; set tells that it was.
+// check returns what is wrong with a value according to its tags. set says whether the value was given by some source.
 func (f field) check(v reflect.Value, set bool) []string {
 	var violations []string
 	if f.tag.Get("need") != "" && v.IsZero() {
-		return []string{"is needed"}
+		return []string{"is required"}
 	}
 	if !set || v.IsZero() && f.tag.Get("min") == "" {
 		return nil
@@ -118,20 +118,20 @@
 		if bound := f.tag.Get(side); bound != "" && v.Kind() != reflect.Slice {
 			limit, err := f.parse(bound)
 			if err != nil {
-				panic(fmt.Sprintf("the tag of %s: %v", f.path, err)) // seen by any test that reads a configuration
+				panic(fmt.Sprintf("invalid bound in the tag of %s: %v", f.path, err)) // any test that loads a configuration finds it
 			}
 			if side == "min" && less(v, reflect.ValueOf(limit)) || side == "max" && less(reflect.ValueOf(limit), v) {
-				violations = append(violations, fmt.Sprintf("is %s: from %s to %s", formatTOML(v), f.tag.Get("min"), f.tag.Get("max")))
+				violations = append(violations, fmt.Sprintf("is %s: must be from %s to %s", formatTOML(v), f.tag.Get("min"), f.tag.Get("max")))
 			}
 		}
 	}
 	if one := f.tag.Get("one"); one != "" && !slices.Contains(strings.Fields(one), v.String()) {
-		violations = append(violations, fmt.Sprintf("is %q: one of %s%s", v.String(), strings.Join(strings.Fields(one), ", "), suggest(v.String(), strings.Fields(one))))
+		violations = append(violations, fmt.Sprintf("is %q: must be one of %s%s", v.String(), strings.Join(strings.Fields(one), ", "), suggest(v.String(), strings.Fields(one))))
 	}
 	if f.tag.Get("check") == "address" {
 		for _, addr := range stringValues(v) {
 			if host, port, err := net.SplitHostPort(addr); err != nil || port == "" || host == "" {
-				violations = append(violations, fmt.Sprintf("is %q: an address with a port is needed, as \"127.0.0.1:6379\"", addr))
+				violations = append(violations, fmt.Sprintf("is %q: must be an address with a port, such as \"127.0.0.1:6379\"", addr))
 			}
 		}
 	}
@@ -152,7 +152,7 @@
 	return a.Float() < b.Float()
 }
 
-// show is a value as it stands in a TOML file.
+// formatTOML formats a value as it is written in a TOML file.
 func formatTOML(v reflect.Value) string {
 	if m, ok := v.Interface().(encoding.TextMarshaler); ok {
 		if text, err := m.MarshalText(); err == nil {
--- a/internal/config/keylines.go
+++ b/internal/config/keylines.go
@@ -7,8 +7,8 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// keyLines tells at which line of a TOML text each key and table stands. A table in a list has its number in the path:
-// delivery.class[1].aim.
+// keyLines returns the line of each key and table in a TOML text, by path. The path of a table in a list contains its
+// index, as in delivery.class[1].aim.
 func keyLines(raw []byte) map[string]int {
 	lines, counts := map[string]int{}, map[string]int{}
 	var p unstable.Parser
@@ -44,7 +44,7 @@
 	return lines
 }
 
-// numbered puts the number of the last table into each part of a path that is a list of tables.
+// withTableIndexes adds the index of the most recent table to each part of a path that is a list of tables.
 func withTableIndexes(path string, counts map[string]int) string {
 	out := ""
 	parts := strings.Split(path, ".")
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -19,27 +19,30 @@
 	"harrierramp/internal/units"
 )
 
-// maxFile bounds a configuration file; the platform's hold the list of endpoints as well.
+// maxFileBytes bounds the size of a configuration file. It leaves room for the list of endpoints that the platform's
+// files contain.
 const maxFileBytes = 16 << 20
 
-// EnvPrefix begins the names of variables that set one value each: HARRIERRAMP_LIMITS_SOCKETS for limits.sockets.
+// EnvPrefix is the prefix of environment variables that set one value each: HARRIERRAMP_LIMITS_SOCKETS sets
+// limits.sockets.
 const EnvPrefix = "HARRIERRAMP_"
 
-// Sources are where a configuration comes from; the later ones win over the file.
+// Sources are the sources of a configuration. Later fields take precedence over earlier ones.
 type Sources struct {
-	File      string              // TOML, or JSON as the platform writes it; empty for none
-	Env       func(string) string // as os.Getenv
-	Overrides []string            // from the command line, "limits.sockets=512"
+	File      string              // path of a TOML file, or of a JSON file as the platform writes it; empty for none
+	Env       func(string) string // looks up a variable, like os.Getenv
+	Overrides []string            // KEY=VALUE pairs from the command line, such as "limits.sockets=512"
 }
 
-// Loaded is a configuration and where each of its values came from.
+// Loaded is a configuration with the origin of each of its values.
 type Loaded struct {
 	Config
-	Origin map[string]string // by path; a path without one was never given and has no default
-	Strict bool              // it was written by people, so that defaults hold and unknown keys are faults
+	Origin map[string]string // by path; a path that is missing was not given and has no default
+	Strict bool              // the file is not the platform's JSON: defaults apply and unknown keys are errors
 }
 
-// Load reads a configuration. Its error is Faults where the text can be read, and names them all.
+// Load reads and checks a configuration. If the file can be parsed, the error is of type Problems and holds everything
+// that is wrong with single values.
 func Load(s Sources) (*Loaded, error) {
 	l := &Loaded{Origin: map[string]string{}, Strict: true}
 	var problems Problems
@@ -61,7 +64,7 @@
 		l.applyDefaults(nil)
 	}
 	problems = append(problems, l.applyOverrides(s)...)
-	unreadable := map[string]bool{} // a value that could not be read has its fault already
+	unreadable := map[string]bool{} // keys that could not be parsed; they already have a problem
 	for _, f := range problems {
 		unreadable[f.Key] = true
 	}
@@ -84,24 +87,24 @@
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
 	if info.IsDir() {
-		return nil, fmt.Errorf("configuration %s: it is a folder; name the file in it", path)
+		return nil, fmt.Errorf("configuration %s: is a directory; give the path of a file", path)
 	}
 	if info.Size() > maxFileBytes {
-		return nil, fmt.Errorf("configuration %s: %d bytes, and at most %d are read", path, info.Size(), maxFileBytes)
+		return nil, fmt.Errorf("configuration %s: is %d bytes long, and the limit is %d", path, info.Size(), maxFileBytes)
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
 	if len(bytes.TrimSpace(raw)) == 0 {
-		return nil, fmt.Errorf("configuration %s: it is empty; 'harrierramp config example' prints one", path)
+		return nil, fmt.Errorf("configuration %s: is empty; 'harrierramp config example' prints an example", path)
 	}
 	return raw, nil
 }
 
 func looksLikeJSON(raw []byte) bool { return bytes.HasPrefix(bytes.TrimSpace(raw), []byte("{")) }
 
-// readTOML reads what people write: over the defaults, with every unknown key and unreadable value a fault.
+// readTOML decodes a TOML text over the defaults. Every unknown key and every value that can't be parsed is a problem.
 func (l *Loaded) readTOML(file string, raw []byte) (lines map[string]int, problems Problems, err error) {
 	var tree map[string]any
 	if err := toml.Unmarshal(raw, &tree); err != nil {
@@ -139,7 +142,7 @@
 	return lines, problems, nil
 }
 
-// leaves are the errors that others join.
+// flattenErrors returns the single errors of which err is joined.
 func flattenErrors(err error) (out []error) {
 	if _, ok := err.(*mapstructure.DecodeError); ok {
 		return []error{err}
@@ -158,18 +161,20 @@
 	return []error{err}
 }
 
-// strictly refuses what would be read as something else than what stands there.
+// rejectLossyConversions is a decode hook that refuses values which would be converted to something other than what the
+// file says: sizes and durations without a unit, and fractions where a whole number is required.
 func rejectLossyConversions(from, to reflect.Type, value any) (any, error) {
 	switch {
 	case (to == reflect.TypeFor[units.Millis]() || to == reflect.TypeFor[MiB]()) && from.Kind() != reflect.String && from != to:
-		return nil, fmt.Errorf("%v has no unit, as in \"150ms\" or \"64MiB\"", value)
+		return nil, fmt.Errorf("%v has no unit; write it as in \"150ms\" or \"64MiB\"", value)
 	case to.Kind() == reflect.Int && from.Kind() == reflect.Float64:
-		return nil, fmt.Errorf("%v is no whole number", value)
+		return nil, fmt.Errorf("%v is not a whole number", value)
 	}
 	return value, nil
 }
 
-// unknown are the keys that no field has. Of a table that is not known only its head is told.
+// unknownKeys returns a problem for each key that matches no field. For an unknown table it reports only the table, not
+// its keys.
 func unknownKeys(file string, lines map[string]int) (problems Problems) {
 	all := fields()
 	known := map[string]bool{}
@@ -190,7 +195,8 @@
 
 var listIndex = regexp.MustCompile(`\[\d+\]`)
 
-// siblings are the paths among which a wrong one was most likely meant, with its own numbers in them.
+// candidateKeys returns the known paths at the depth of an unknown key, with its list indexes filled in, as candidates
+// for a suggestion.
 func candidateKeys(known []field, key string) (out []string) {
 	depth := strings.Count(key, ".")
 	numbers := listIndex.FindAllString(key, -1)
@@ -206,7 +212,7 @@
 	return out
 }
 
-// defaults sets what is not given: in the sections that are always there, and in the optional ones of the tree.
+// applyDefaults sets the default values of the mandatory sections, and of those optional sections that tree contains.
 func (l *Loaded) applyDefaults(tree map[string]any) {
 	for _, f := range fields() {
 		text := f.tag.Get("default")
@@ -214,13 +220,13 @@
 			continue
 		}
 		if err := l.setValue(f, text); err != nil {
-			panic(fmt.Sprintf("the default of %s: %v", f.path, err)) // seen by any test that reads a configuration
+			panic(fmt.Sprintf("invalid default in the tag of %s: %v", f.path, err)) // any test that loads a configuration finds it
 		}
 		l.Origin[f.path] = "default"
 	}
 }
 
-// set gives a field a value as text; an optional section comes into being by it.
+// setValue sets a field from its text form. It creates the optional section that contains the field if necessary.
 func (l *Loaded) setValue(f field, text string) error {
 	v := reflect.ValueOf(&l.Config).Elem()
 	for part := range strings.SplitSeq(f.path, ".") {
@@ -241,10 +247,10 @@
 			return v.Field(i)
 		}
 	}
-	panic("no field " + name)
+	panic("no field with the TOML name " + name)
 }
 
-// overlay puts the environment and the command line over the file.
+// applyOverrides applies the environment and then the command line over the values of the file.
 func (l *Loaded) applyOverrides(s Sources) (problems Problems) {
 	known := map[string]field{}
 	var paths []string
@@ -283,7 +289,7 @@
 		f, exists := known[path]
 		switch {
 		case !ok:
-			problems = append(problems, Problem{Key: one, Text: "is not of the form key=value (command line)"})
+			problems = append(problems, Problem{Key: one, Text: "does not have the form key=value (command line)"})
 		case !exists:
 			problems = append(problems, Problem{Key: path, Text: "is not known (command line)" + suggest(path, paths)})
 		default:
@@ -293,9 +299,9 @@
 	return problems
 }
 
-// checked holds every value against what its tags say.
+// validate checks every value against its tags, and the rules between several values. Keys in unreadable are skipped.
 func (l *Loaded) validate(file string, lines map[string]int, unreadable map[string]bool) (problems Problems) {
-	_ = l.visitValues(func(path string, v reflect.Value, tag reflect.StructTag) error { // visit has no error
+	_ = l.visitValues(func(path string, v reflect.Value, tag reflect.StructTag) error { // the visitor returns no error
 		if unreadable[path] {
 			return nil
 		}
@@ -303,7 +309,7 @@
 			problem := Problem{File: file, Line: lines[path], Key: path, Text: text}
 			if from := l.Origin[path]; from != "" && !strings.HasPrefix(from, file+":") {
 				problem = Problem{Key: path, Text: text + " (" + from + ")"}
-			} else if problem.Line == 0 { // a table's line, where the value is missing
+			} else if problem.Line == 0 { // the value is missing: use the line of its table
 				problem.Line = lines[path[:max(strings.LastIndexByte(path, '.'), 0)]]
 			}
 			problems = append(problems, problem)
@@ -315,20 +321,20 @@
 		problems = append(problems, Problem{File: file, Line: lines[key], Key: key, Text: text})
 	}
 	if len(d.Classes) == 0 {
-		addProblem("delivery.class", "there is none; a node needs one class of messages at least")
+		addProblem("delivery.class", "no class is defined; a node needs at least one message class")
 	}
 	names := map[string]bool{}
 	for i, c := range d.Classes {
 		if names[c.Name] {
-			addProblem(fmt.Sprintf("delivery.class[%d].name", i), fmt.Sprintf("is %q, which another class has", c.Name))
+			addProblem(fmt.Sprintf("delivery.class[%d].name", i), fmt.Sprintf("is %q, which is already the name of another class", c.Name))
 		}
 		names[c.Name] = true
 		if c.Deadline < c.Aim && !unreadable[fmt.Sprintf("delivery.class[%d].deadline", i)] {
-			addProblem(fmt.Sprintf("delivery.class[%d].deadline", i), "comes before the aim")
+			addProblem(fmt.Sprintf("delivery.class[%d].deadline", i), "is shorter than the aim")
 		}
 	}
 	if l.Registry == nil && l.Discovery == "" {
-		addProblem("discovery", "is needed, or a section registry")
+		addProblem("discovery", "is required unless there is a section registry")
 	}
 	return problems
 }
--- a/internal/config/print.go
+++ b/internal/config/print.go
@@ -11,8 +11,9 @@
 	"github.com/invopop/jsonschema"
 )
 
-// Example writes a whole configuration with every value, its meaning, bounds and default. What has a default is
-// commented out; what has none is filled in so that the result can be loaded once state is a folder that exists.
+// Example writes a complete TOML configuration with every value, its meaning, bounds and default. Values that have a
+// default are commented out. The others are filled in, so that a node can run with the result once the directory that
+// state names exists.
 func Example(w io.Writer) error {
 	sample := map[string]string{
 		"state": `"/var/lib/harrierramp"`, "discovery": `"127.0.0.1:8500"`,
@@ -22,7 +23,7 @@
 		"delivery.zones": `["a", "b"]`, "delivery.kinds": `["office"]`,
 	}
 	out := &strings.Builder{}
-	out.WriteString("# A node of harrierramp. 'harrierramp config check FILE' tells what is wrong with one.\n")
+	out.WriteString("# Configuration of a harrierramp node. 'harrierramp config check FILE' reports all errors in one.\n")
 	table, commentPrefix := "", ""
 	for _, f := range fields() {
 		tablePath, name := "", f.path
@@ -59,7 +60,7 @@
 	return err
 }
 
-// bounds are what the tags say of the field's values.
+// describeBounds returns the bounds or the allowed values in the field's tags, in parentheses, or an empty string.
 func (f field) describeBounds() string {
 	switch {
 	case f.tag.Get("min") != "":
@@ -70,8 +71,8 @@
 	return ""
 }
 
-// Show writes the configuration that holds, a line a value, with its origin if that is asked for. The seed, from which
-// a node's random numbers could be foretold, is left out.
+// Show writes the effective configuration, one value per line, and with each value's origin if origin is set. The seed
+// is left out, because the node's random numbers could be predicted from it.
 func (l *Loaded) Show(w io.Writer, origin bool) error {
 	return l.visitValues(func(path string, v reflect.Value, _ reflect.StructTag) error {
 		if path == "seed" {
@@ -89,7 +90,7 @@
 	})
 }
 
-// each visits every value that has a place; those of absent sections have none.
+// visitValues calls visit for every value, except those in optional sections that are absent.
 func (l *Loaded) visitValues(visit func(path string, v reflect.Value, tag reflect.StructTag) error) error {
 	var walk func(v reflect.Value, prefix string) error
 	walk = func(v reflect.Value, prefix string) error {
@@ -126,12 +127,12 @@
 	return walk(reflect.ValueOf(&l.Config).Elem(), "")
 }
 
-// Moved compares a configuration that has replaced this one: the values that differ and may be taken by a running
-// node, and those that only a start reads.
+// Diff compares this configuration with next. It returns the keys of changed values that a running node can apply, and
+// of those that only take effect at a restart.
 func (l *Loaded) Diff(next *Loaded) (reloadable, restartOnly []string) {
 	collect := func(l *Loaded) (map[string]string, map[string]bool) {
 		texts, reload := map[string]string{}, map[string]bool{}
-		_ = l.visitValues(func(path string, v reflect.Value, tag reflect.StructTag) error { // visit has no error
+		_ = l.visitValues(func(path string, v reflect.Value, tag reflect.StructTag) error { // the visitor returns no error
 			texts[path], reload[path] = formatTOML(v), tag.Get("reload") != ""
 			return nil
 		})
@@ -141,7 +142,7 @@
 	after, reloadableAfter := collect(next)
 	for _, f := range sortedUnion(before, after) {
 		switch {
-		case before[f] == after[f] || f == "seed": // the platform writes a new one with each start
+		case before[f] == after[f] || f == "seed": // the platform writes a new seed for each start
 		case reloadableBefore[f] && reloadableAfter[f]:
 			reloadable = append(reloadable, f)
 		default:
@@ -151,7 +152,7 @@
 	return reloadable, restartOnly
 }
 
-// Schema is the JSON schema of the TOML form.
+// Schema returns the JSON schema of the TOML form of a configuration.
 func Schema() ([]byte, error) {
 	r := jsonschema.Reflector{
 		FieldNameTag: "toml", ExpandedStruct: true, DoNotReference: true, RequiredFromJSONSchemaTags: true, Anonymous: true,
@@ -163,14 +164,14 @@
 		},
 	}
 	s := r.Reflect(&Config{})
-	s.Title, s.Description = "harrierramp", "a node's configuration"
+	s.Title, s.Description = "harrierramp", "configuration of a node"
 	for _, f := range fields() {
 		describe(s, strings.Split(f.path, "."), f)
 	}
 	return s.MarshalJSON()
 }
 
-// describe puts what a field's tags say into its place in the schema.
+// describe adds the information in a field's tags to the field's place in the schema.
 func describe(s *jsonschema.Schema, path []string, f field) {
 	name, listed := strings.CutSuffix(path[0], "[]")
 	property, ok := s.Properties.Get(name)
--- a/internal/config/problem.go
+++ b/internal/config/problem.go
@@ -7,14 +7,15 @@
 	"github.com/agnivade/levenshtein"
 )
 
-// Fault is one thing that is wrong with a configuration, and where.
+// Problem is one error in a configuration, with its location.
 type Problem struct {
 	File string
-	Line int // 0 if it is no line of the file
+	Line int // 0 if the problem does not belong to a line of the file
 	Key  string
 	Text string
 }
 
+// String returns the problem as "FILE:LINE: KEY: TEXT", without the parts that are not known.
 func (f Problem) String() string {
 	var b strings.Builder
 	if f.File != "" {
@@ -30,7 +31,7 @@
 	return b.String() + f.Text
 }
 
-// Faults are all that is wrong with a configuration, a line each.
+// Problems are all errors found in a configuration. As an error, they are formatted one per line.
 type Problems []Problem
 
 func (f Problems) Error() string {
@@ -41,7 +42,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// nearest suggests which of the known words was meant, if one is near.
+// suggest returns a hint with the known word that is closest to word, or an empty string if none is close.
 func suggest(word string, known []string) string {
 	closest, leastDistance := "", max(2, len(word)/3)+1
 	for _, k := range known {
--- a/internal/config/size.go
+++ b/internal/config/size.go
@@ -9,23 +9,23 @@
 	"github.com/alecthomas/units"
 )
 
-// MiB is a number of bytes. As a JSON number it is in units of 2^20; as text it has its unit, "64MiB".
+// MiB is a size in units of 2^20 bytes. In JSON it is a plain number of MiB; as text it has a unit, as in "64MiB".
 type MiB float64
 
-// Bytes is the number of bytes.
+// Bytes returns the size in bytes.
 func (m MiB) Bytes() int64 { return int64(float64(m) * (1 << 20)) }
 
-// UnmarshalText reads "64MiB", "512KiB" or "2GiB".
+// UnmarshalText parses a size with a unit, such as "64MiB", "512KiB" or "2GiB".
 func (m *MiB) UnmarshalText(text []byte) error {
 	b, err := units.ParseBase2Bytes(string(text))
 	if err != nil {
-		return fmt.Errorf("%q is no size with a unit, as \"64MiB\"", text)
+		return fmt.Errorf("%q is not a size with a unit, such as \"64MiB\"", text)
 	}
 	*m = MiB(float64(b) / (1 << 20))
 	return nil
 }
 
-// MarshalText writes what UnmarshalText reads.
+// MarshalText formats the size in the form that UnmarshalText parses.
 func (m MiB) MarshalText() ([]byte, error) {
 	if m == MiB(math.Trunc(float64(m))) {
 		return []byte(strconv.FormatFloat(float64(m), 'f', -1, 64) + "MiB"), nil
@@ -33,8 +33,8 @@
 	return []byte(strconv.FormatInt(m.Bytes()/1024, 10) + "KiB"), nil
 }
 
-// UnmarshalJSON reads a number of MiB.
+// UnmarshalJSON parses a number of MiB.
 func (m *MiB) UnmarshalJSON(b []byte) error { return json.Unmarshal(b, (*float64)(m)) }
 
-// MarshalJSON writes the number of MiB.
+// MarshalJSON formats the size as a number of MiB.
 func (m MiB) MarshalJSON() ([]byte, error) { return json.Marshal(float64(m)) }
