--- a/cmd/harrierramp/main.go
+++ b/cmd/harrierramp/main.go
@@ -1,4 +1,5 @@
-// Command harrierramp is a delivery node and what belongs to it: 'harrierramp help' lists its commands.
+// Command harrierramp runs a delivery node, a list server, or a tool for operators. 'harrierramp help' lists its
+// commands.
 package main
 
 import (
--- a/internal/cli/audit.go
+++ b/internal/cli/audit.go
@@ -19,10 +19,10 @@
 
 const (
 	maxConcurrentFetches = 16
-	maxAuditRecordBytes  = 128 << 20 // a record's bound is lower
+	maxAuditRecordBytes  = 128 << 20 // nodes bound their records to less
 )
 
-// fleetGet reads what a list server or a door says.
+// httpGet returns the body of the response of a list server or a node's admin API, up to maxBytes bytes.
 func httpGet(ctx context.Context, url string, maxBytes int64) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, listServerTimeout)
 	defer cancel()
@@ -42,7 +42,7 @@
 	return io.ReadAll(io.LimitReader(resp.Body, maxBytes))
 }
 
-// changes is what the list servers remember: of the one that knows most.
+// fetchHistory returns the history of list changes of the server that remembers most.
 func (o *fleetOptions) fetchHistory(ctx context.Context) (best auditlog.History, err error) {
 	addrs, err := o.serverAddrs()
 	if err != nil {
@@ -67,7 +67,7 @@
 	return best, nil
 }
 
-// auditOptions say whose records are read and what counts as late.
+// auditOptions select the records to read and define which calls count as late.
 type auditOptions struct {
 	stateDirs    []string
 	adminAddrs   []string
@@ -78,11 +78,12 @@
 func (o *fleetOptions) auditCommand() *cobra.Command {
 	var a auditOptions
 	c := &cobra.Command{
-		Use: "audit", Short: "Print which calls went to endpoints that had been withdrawn, by whom and why", Args: noArgs,
-		Long: `Gather the records of acts of running nodes, by their doors, and of folders, hold them against what the list service
-remembers, and print the calls that were made to endpoints after they had been withdrawn or drained and the grace was over:
-by whom, on which revision, and why that node did not know. What can't be told is printed as unknown. The status is 0 if there
-is no such call. Doors are those that nodes tell the list service, or --doors.`,
+		Use: "audit", Short: "Print calls to endpoints that had been withdrawn, with the calling node and the reason", Args: noArgs,
+		Long: `Collect the call records of running nodes through their HTTP API for operators (the door), and from state directories, and
+compare them with the list service's history. Print the calls that were made to endpoints after they had been withdrawn or
+drained and the grace period was over: by which node, based on which revision, and why the node did not know. Nodes for which
+this can't be determined are printed as unknown. The exit status is 0 if there is no such call. The addresses of the nodes
+are those that they have reported to the list service, unless --doors is given.`,
 		Example: "  harrierramp fleet audit --servers 127.0.0.1:8500\n  harrierramp fleet audit --servers 127.0.0.1:8500 --folders /var/lib/node-7",
 		RunE: func(c *cobra.Command, _ []string) error {
 			h, err := o.fetchHistory(c.Context())
@@ -104,15 +105,15 @@
 			return err
 		},
 	}
-	c.Flags().StringSliceVar(&a.stateDirs, "folders", nil, "lasting folders of nodes that don't run")
-	c.Flags().StringSliceVar(&a.adminAddrs, "doors", nil, "doors of nodes (default: those that the list service knows)")
-	c.Flags().DurationVar(&a.since, "since", 0, "leave earlier calls out (0s for all on record)")
-	c.Flags().DurationVar(&a.grace, "grace", time.Second, "for calls after a withdrawal")
-	c.Flags().DurationVar(&a.slack, "slack", 250*time.Millisecond, "what lies so close to the grace is told as unsure")
+	c.Flags().StringSliceVar(&a.stateDirs, "folders", nil, "state directories of nodes that don't run")
+	c.Flags().StringSliceVar(&a.adminAddrs, "doors", nil, "addresses of the nodes' HTTP APIs for operators (default: those that the list service knows)")
+	c.Flags().DurationVar(&a.since, "since", 0, "only consider calls of this last period (0s: all recorded calls)")
+	c.Flags().DurationVar(&a.grace, "grace", time.Second, "time after a withdrawal in which calls are still allowed")
+	c.Flags().DurationVar(&a.slack, "slack", 250*time.Millisecond, "calls that are closer than this to the end of the grace period are reported as unsure")
 	return c
 }
 
-// gather reads all records and holds them against a history.
+// collectReport reads all call records and audits them against a history of list changes.
 func (o *fleetOptions) collectReport(ctx context.Context, a auditOptions, h auditlog.History) (auditlog.Report, error) {
 	audit := auditlog.Auditor{History: h, Grace: a.grace, Slack: a.slack}
 	if a.since > 0 {
@@ -133,11 +134,11 @@
 			return auditlog.Report{}, err
 		}
 		for _, s := range unanswered {
-			audit.AddMissing(s, "the list server does not answer: nodes that told only it are not looked at")
+			audit.AddMissing(s, "the list server does not answer: nodes that report only to it are not audited")
 		}
 		for _, n := range v.Nodes {
 			if n.AdminAddr == "" {
-				audit.AddMissing(n.Name, "it has no door: give its folder")
+				audit.AddMissing(n.Name, "it has no door: give its state directory with --folders")
 				continue
 			}
 			addrs, names[n.AdminAddr] = append(addrs, n.AdminAddr), n.Name
@@ -180,6 +181,6 @@
 	for _, u := range r.Unknown {
 		fmt.Fprintf(out, "unknown: %s: %s\n", u.Node, u.Text)
 	}
-	_, err := fmt.Fprintf(out, "%d calls of %d nodes on record\n", r.Calls, r.Nodes)
+	_, err := fmt.Fprintf(out, "%d recorded calls of %d nodes\n", r.Calls, r.Nodes)
 	return err
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli is the command line of harrierramp. It decides nothing: each command reads its flags and calls the
-// package that does the work.
+// Package cli is the command line of harrierramp. Each command parses its flags and calls the package that does the
+// work.
 package cli
 
 import (
@@ -14,17 +14,17 @@
 	"github.com/spf13/pflag"
 )
 
-// The exit statuses.
+// Exit statuses.
 const (
-	exitFailed = 1 // the command did not do what it was asked
-	exitUsage  = 2 // the command line is wrong
+	exitFailed = 1 // the command failed
+	exitUsage  = 2 // the command line is invalid
 )
 
-// usageError is a fault of the command line.
+// usageError is an error in the command line.
 type usageError struct{ error }
 
-// Main runs a command line and returns the exit status. Without arguments, and with a configuration in the
-// environment, it is a node, as the platform starts it.
+// Main runs a command line and returns the exit status. Without arguments, and with ROUTER_CONFIG in the environment,
+// it runs a node; this is how the platform starts one.
 func Main(args []string, stdout, stderr io.Writer) int {
 	var err error
 	if len(args) == 0 && os.Getenv("ROUTER_CONFIG") != "" {
@@ -52,9 +52,9 @@
 func newRoot() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "harrierramp",
-		Short: "Takes messages from clients, keeps them safe, and delivers each to its partner by one HTTP call",
-		Long: `harrierramp is a delivery node and what belongs to it: the list service, the operators' tools and a demonstration.
-Without arguments, and with ROUTER_CONFIG in the environment, it serves as a node.`,
+		Short: "Takes messages from clients, stores them safely, and delivers each to its partner by one HTTP call",
+		Long: `harrierramp contains the delivery node, the list service, the tools for operators and a demonstration.
+Without arguments, and with ROUTER_CONFIG in the environment, it runs as a node.`,
 		Example:       "  harrierramp demo\n  harrierramp config example > node.toml\n  harrierramp serve --config node.toml",
 		SilenceErrors: true, SilenceUsage: true, SuggestionsMinimumDistance: 3,
 		Args: rejectUnknownCommand, RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
@@ -66,7 +66,7 @@
 	return root
 }
 
-// noUnknown refuses words that are no command, with the nearest that is.
+// rejectUnknownCommand returns a usage error for an unknown command, with the closest known command as a suggestion.
 func rejectUnknownCommand(c *cobra.Command, args []string) error {
 	if len(args) == 0 {
 		return nil
@@ -78,7 +78,7 @@
 	return usageError{fmt.Errorf("unknown command %q for %q%s", args[0], c.CommandPath(), hint)}
 }
 
-// exactly asks for arguments with these names.
+// exactArgs requires one argument for each of the names.
 func exactArgs(names ...string) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if len(args) != len(names) {
@@ -88,15 +88,15 @@
 	}
 }
 
-// none refuses arguments.
+// noArgs accepts no arguments.
 func noArgs(c *cobra.Command, args []string) error {
 	if len(args) > 0 {
-		return usageError{fmt.Errorf("%s takes no argument %q; see '%s --help'", c.CommandPath(), args[0], c.CommandPath())}
+		return usageError{fmt.Errorf("%s takes no arguments, got %q; see '%s --help'", c.CommandPath(), args[0], c.CommandPath())}
 	}
 	return nil
 }
 
-// group is a command that only has others under it.
+// newGroup returns a command that only groups subcommands.
 func newGroup(use, short, example string, subs ...*cobra.Command) *cobra.Command {
 	c := &cobra.Command{
 		Use: use, Short: short, Example: example, Args: rejectUnknownCommand, SuggestionsMinimumDistance: 3,
@@ -106,7 +106,7 @@
 	return c
 }
 
-// nearestFlag suggests a flag for one that is not known.
+// suggestFlag returns a hint with the known flag that is closest to the unknown flag which the error message names.
 func suggestFlag(c *cobra.Command, message string) string {
 	_, unknown, ok := strings.Cut(message, "unknown flag: --")
 	if !ok {
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -16,14 +16,14 @@
 func newConfigCheck() *cobra.Command {
 	var o serveOptions
 	c := &cobra.Command{
-		Use: "check [FILE]", Short: "Tell everything that is wrong with a configuration; status 0 if nothing is",
+		Use: "check [FILE]", Short: "Report all errors in a configuration; exit status 0 if there are none",
 		Example: "  harrierramp config check node.toml\n  harrierramp config check node.toml --set limits.sockets=512",
 		Args:    optionalFileArg(&o),
 		RunE: func(c *cobra.Command, _ []string) error {
 			if _, err := config.Load(o.sources()); err != nil {
 				return err
 			}
-			fmt.Fprintln(c.OutOrStdout(), "the configuration is good")
+			fmt.Fprintln(c.OutOrStdout(), "the configuration is valid")
 			return nil
 		},
 	}
@@ -35,7 +35,7 @@
 	var o serveOptions
 	var origin bool
 	c := &cobra.Command{
-		Use: "show [FILE]", Short: "Print every value that holds",
+		Use: "show [FILE]", Short: "Print every effective value",
 		Example: "  harrierramp config show node.toml --origin",
 		Args:    optionalFileArg(&o),
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -46,14 +46,14 @@
 			return l.Show(c.OutOrStdout(), origin)
 		},
 	}
-	c.Flags().BoolVar(&origin, "origin", false, "say where each value came from")
+	c.Flags().BoolVar(&origin, "origin", false, "print where each value came from")
 	addConfigFlags(c, &o)
 	return c
 }
 
 func newConfigExample() *cobra.Command {
 	return &cobra.Command{
-		Use: "example", Short: "Print a whole configuration with the meaning of every value", Args: noArgs,
+		Use: "example", Short: "Print a complete configuration with the meaning of every value", Args: noArgs,
 		Example: "  harrierramp config example > node.toml",
 		RunE:    func(c *cobra.Command, _ []string) error { return config.Example(c.OutOrStdout()) },
 	}
@@ -73,11 +73,11 @@
 	}
 }
 
-// atMostFile takes the configuration file as an argument as well.
+// optionalFileArg accepts the configuration file as an optional argument.
 func optionalFileArg(o *serveOptions) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if len(args) > 1 {
-			return usageError{fmt.Errorf("%s takes one file; see '%s --help'", c.CommandPath(), c.CommandPath())}
+			return usageError{fmt.Errorf("%s takes at most one file; see '%s --help'", c.CommandPath(), c.CommandPath())}
 		}
 		if len(args) == 1 {
 			o.configFile = args[0]
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -16,7 +16,7 @@
 	var o demo.Options
 	var verbose bool
 	c := &cobra.Command{
-		Use: "demo", Short: "Play a small fleet on loopback: list service, three nodes, stand-in partners, traffic", Args: noArgs,
+		Use: "demo", Short: "Run a small fleet on loopback: list service, three nodes, stand-in partners, traffic", Args: noArgs,
 		Example: "  harrierramp demo\n  harrierramp demo --for 20s --rate 100 --verbose",
 		RunE: func(c *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
@@ -31,8 +31,8 @@
 			return err
 		},
 	}
-	c.Flags().DurationVar(&o.TrafficDuration, "for", o.TrafficDuration, "how long messages are handed in (default 6s, at most 1m)")
-	c.Flags().Float64Var(&o.Rate, "rate", o.Rate, "messages a second at each node (default 40, at most 500)")
-	c.Flags().BoolVar(&verbose, "verbose", false, "show the logs of the processes")
+	c.Flags().DurationVar(&o.TrafficDuration, "for", o.TrafficDuration, "how long messages are sent (default 6s, at most 1m)")
+	c.Flags().Float64Var(&o.Rate, "rate", o.Rate, "messages per second at each node (default 40, at most 500)")
+	c.Flags().BoolVar(&verbose, "verbose", false, "print the logs of the processes")
 	return c
 }
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -22,12 +22,12 @@
 )
 
 const (
-	listServerTimeout = 3 * time.Second // for one list server
+	listServerTimeout = 3 * time.Second // for one request to a list server or to a node
 	fleetPollInterval = 250 * time.Millisecond
 	maxFleetBodyBytes = 16 << 20
 )
 
-// fleetOptions say which list servers are asked.
+// fleetOptions are the flags shared by the fleet commands.
 type fleetOptions struct {
 	servers []string
 	asJSON  bool
@@ -35,15 +35,15 @@
 
 func newFleet() *cobra.Command {
 	var o fleetOptions
-	c := newGroup("fleet", "Ask the list service who of the fleet has applied what",
+	c := newGroup("fleet", "Query the list service for the state of the fleet, and set what it requires of nodes",
 		"  harrierramp fleet status --servers 127.0.0.1:8500,127.0.0.1:8510\n  harrierramp fleet wait 68719476799 --share 0.99 --timeout 30s",
 		o.statusCommand(), o.waitCommand(), o.historyCommand(), o.auditCommand(), o.requireCommand(), o.releaseCommand())
 	c.PersistentFlags().StringSliceVar(&o.servers, "servers", nil, "addresses of the list servers (default: registry.addresses of $ROUTER_CONFIG)")
-	c.PersistentFlags().BoolVar(&o.asJSON, "json", false, "answer as JSON")
+	c.PersistentFlags().BoolVar(&o.asJSON, "json", false, "print JSON")
 	return c
 }
 
-// at are the servers' addresses.
+// serverAddrs returns the addresses of the list servers.
 func (o *fleetOptions) serverAddrs() ([]string, error) {
 	if len(o.servers) > 0 {
 		return o.servers, nil
@@ -60,7 +60,8 @@
 	return nil, usageError{errors.New("no list servers: give --servers, or set $ROUTER_CONFIG to a configuration with a section registry")}
 }
 
-// view joins what all servers know. Servers that don't answer are named; all of them is an error.
+// fetchView merges the views of all list servers. It also returns the addresses of servers that did not answer. If none
+// answered, it returns an error.
 func (o *fleetOptions) fetchView(ctx context.Context) (rollout.Snapshot, []string, error) {
 	addrs, err := o.serverAddrs()
 	if err != nil {
@@ -99,7 +100,7 @@
 	return &v, nil
 }
 
-// state is a node's in one word.
+// nodeState names the state of a node.
 func nodeState(r rollout.NodeStatus) string {
 	switch {
 	case r.Silent:
@@ -116,10 +117,10 @@
 
 func (o *fleetOptions) statusCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "status", Short: "Print each node's state; status 0 if all are current", Args: noArgs,
-		Long: `Print each node's state: current, behind and since when, silent, or not ready; and how many run which build and
-configuration. A node that has never told is not in the table, which is why silent list servers are named. The status is
-0 if all nodes are current and all servers answer.`,
+		Use: "status", Short: "Print the state of each node; exit status 0 if all are current", Args: noArgs,
+		Long: `Print the state of each node: current, behind and since when, silent, shut out, or not ready; and how many nodes run which
+build and configuration. A node that has never reported to an answering list server is missing from the table, so list
+servers that don't answer are named. The exit status is 0 if all nodes are current and all servers answer.`,
 		Example: "  harrierramp fleet status --servers 127.0.0.1:8500,127.0.0.1:8510",
 		RunE: func(c *cobra.Command, _ []string) error {
 			v, unanswered, err := o.fetchView(c.Context())
@@ -144,7 +145,7 @@
 				return err
 			}
 			if notCurrent := len(v.Nodes) - states["current"]; notCurrent > 0 || len(unanswered) > 0 || len(v.Nodes) == 0 {
-				return fmt.Errorf("%d of %d nodes are not current, list servers that don't answer: %v", notCurrent, len(v.Nodes), unanswered)
+				return fmt.Errorf("%d of %d nodes are not current; list servers that don't answer: %v", notCurrent, len(v.Nodes), unanswered)
 			}
 			return nil
 		},
@@ -185,13 +186,13 @@
 	var timeout time.Duration
 	c := &cobra.Command{
 		Use: "wait REVISION", Short: "Wait until the fleet has applied a revision", Args: cobra.ExactArgs(1),
-		Long: `Wait until all nodes that are not silent, or a share of them, act on a revision or a later one; for scripts that replace
-endpoints. The status is 1 if that does not happen in time.`,
+		Long: `Wait until all nodes that are not silent, or a share of them, act on a revision or a later one. Meant for scripts that
+replace endpoints. The exit status is 1 if that does not happen within the timeout.`,
 		Example: "  harrierramp fleet wait 68719476799 --share 0.99 --timeout 30s --servers 127.0.0.1:8500",
 		RunE: func(c *cobra.Command, args []string) error {
 			revision, err := strconv.ParseInt(args[0], 10, 64)
 			if err != nil || revision <= 0 || !(share > 0 && share <= 1) {
-				return usageError{fmt.Errorf("revision %q and share %v: a number over 0, and a share up to 1", args[0], share)}
+				return usageError{fmt.Errorf("revision %q, share %v: the revision must be a number over 0, and the share over 0 and at most 1", args[0], share)}
 			}
 			ctx, cancel := context.WithTimeout(c.Context(), timeout)
 			defer cancel()
@@ -224,14 +225,14 @@
 			}
 		},
 	}
-	c.Flags().Float64Var(&share, "share", 1, "of the nodes that are not silent")
-	c.Flags().DurationVar(&timeout, "timeout", time.Minute, "how long to wait at most")
+	c.Flags().Float64Var(&share, "share", 1, "share of the nodes that are not silent")
+	c.Flags().DurationVar(&timeout, "timeout", time.Minute, "maximum time to wait")
 	return c
 }
 
 func (o *fleetOptions) historyCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "history", Short: "Print how recent revisions went through the fleet", Args: noArgs,
+		Use: "history", Short: "Print how recent revisions spread through the fleet", Args: noArgs,
 		Example: "  harrierramp fleet history --servers 127.0.0.1:8500",
 		RunE: func(c *cobra.Command, _ []string) error {
 			v, _, err := o.fetchView(c.Context())
--- a/internal/cli/journal.go
+++ b/internal/cli/journal.go
@@ -13,11 +13,12 @@
 )
 
 func newJournal() *cobra.Command {
-	return newGroup("journal", "Look into a node's folder, whether the node runs or not", "  harrierramp journal show /var/lib/harrierramp",
+	return newGroup("journal", "Inspect the journal in a node's state directory, whether the node runs or not", "  harrierramp journal show /var/lib/harrierramp",
 		newJournalShow(), newJournalVerify())
 }
 
-// owed is a message as it is shown: neither its body nor its key.
+// owedMessage is the printed form of a message that the node still has to finish. It leaves out the body and the
+// deduplication key.
 type owedMessage struct {
 	ID       string        `json:"msg_id"`
 	Class    int           `json:"class"`
@@ -29,6 +30,7 @@
 	Attempts []owedAttempt `json:"attempts,omitempty"`
 }
 
+// owedAttempt is the printed form of one delivery attempt of an owedMessage.
 type owedAttempt struct {
 	At      time.Time `json:"at"`
 	Zone    int       `json:"zone"`
@@ -62,7 +64,7 @@
 func newJournalShow() *cobra.Command {
 	var asJSON bool
 	c := &cobra.Command{
-		Use: "show DIR", Short: "List the messages that a node owes, with their attempts and deadlines",
+		Use: "show DIR", Short: "List the unfinished messages of a node, with their attempts and deadlines",
 		Example: "  harrierramp journal show /var/lib/harrierramp --json", Args: exactArgs("DIR"),
 		RunE: func(c *cobra.Command, args []string) error {
 			contents, err := journal.Read(args[0])
@@ -91,13 +93,13 @@
 			return reportDamage(contents, c)
 		},
 	}
-	c.Flags().BoolVar(&asJSON, "json", false, "as JSON")
+	c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	return c
 }
 
 func newJournalVerify() *cobra.Command {
 	return &cobra.Command{
-		Use: "verify DIR", Short: "Read a journal to its end; status 0 if every record is whole",
+		Use: "verify DIR", Short: "Read a journal to its end; exit status 0 unless it is damaged",
 		Example: "  harrierramp journal verify /var/lib/harrierramp", Args: exactArgs("DIR"),
 		RunE: func(c *cobra.Command, args []string) error {
 			contents, err := journal.Read(args[0])
@@ -110,16 +112,17 @@
 	}
 }
 
-// complain tells of damage. A torn tail is none: a kill leaves one, and so does reading while a node writes.
+// reportDamage returns an error if the journal is damaged. A torn last record is not damage and is only reported: a
+// kill leaves one, and reading while a node writes finds one.
 func reportDamage(contents journal.Contents, c *cobra.Command) error {
 	switch {
 	case contents.Damage == nil:
 		return nil
 	case contents.Torn:
-		fmt.Fprintf(c.ErrOrStderr(), "harrierramp: %v; a kill leaves that, and what it would have guarded was not done\n", contents.Damage)
+		fmt.Fprintf(c.ErrOrStderr(), "harrierramp: %v; a kill leaves such a record, and the action that it would have recorded was not taken\n", contents.Damage)
 		return nil
 	}
 	return fmt.Errorf("%w: %w", errDamagedJournal, contents.Damage)
 }
 
-var errDamagedJournal = errors.New("the journal is damaged: a node would go on with what comes before")
+var errDamagedJournal = errors.New("the journal is damaged: a node would continue with the records before the damage")
--- a/internal/cli/ops.go
+++ b/internal/cli/ops.go
@@ -18,11 +18,11 @@
 )
 
 const (
-	adminTimeout      = 3 * time.Second // the door answers within 1 s
+	adminTimeout      = 3 * time.Second // the admin API answers within 1 s
 	maxAdminBodyBytes = 4 << 20
 )
 
-// doorOptions say which door is meant.
+// adminOptions are the flags shared by the ops commands.
 type adminOptions struct {
 	addr   string
 	asJSON bool
@@ -30,26 +30,26 @@
 
 func newOps() *cobra.Command {
 	var o adminOptions
-	c := newGroup("ops", "Ask and tell a running node by its operators' door",
+	c := newGroup("ops", "Query and control a running node through its operators' HTTP API (the door)",
 		"  harrierramp ops ready --door 127.0.0.1:9090\n  harrierramp ops endpoint down s-1 --door 127.0.0.1:9090",
-		o.getCommand("ready", "Say whether the process is ready to serve; status 0 if it is", "/ops/readiness", nil),
-		o.getCommand("stats", "Print the figures", "/ops/stats", statsJSON),
-		o.getCommand("metrics", "Print the figures as Prometheus reads them", "/metrics", nil),
-		o.getCommand("members", "Print who of the fleet is there", "/ops/members", func(b []byte) (any, error) { return json.RawMessage(b), nil }),
-		newGroup("drain", "Send clients away, or take them again", "  harrierramp ops drain start",
-			o.putCommand("start", "Send clients away; what was taken on is delivered", "/ops/drain/start", ""),
-			o.putCommand("stop", "Take clients again", "/ops/drain/stop", "")),
-		newGroup("endpoint", "Take an endpoint out by hand, or put it back", "  harrierramp ops endpoint down s-1",
-			o.putCommand("down ID", "Send the endpoint nothing new", "/ops/endpoints/down", "id"),
-			o.putCommand("up ID", "Put the endpoint back", "/ops/endpoints/up", "id")),
-		o.putCommand("log-level LEVEL", "Set the least level that the node logs", "/ops/log/level", "level"),
+		o.getCommand("ready", "Print whether the process is ready to serve; exit status 0 if it is", "/ops/readiness", nil),
+		o.getCommand("stats", "Print the metrics as StatsD lines", "/ops/stats", statsJSON),
+		o.getCommand("metrics", "Print the metrics in the Prometheus text format", "/metrics", nil),
+		o.getCommand("members", "Print the node's view of the fleet's members", "/ops/members", func(b []byte) (any, error) { return json.RawMessage(b), nil }),
+		newGroup("drain", "Stop or resume accepting clients", "  harrierramp ops drain start",
+			o.putCommand("start", "Stop accepting clients; messages already accepted are still delivered", "/ops/drain/start", ""),
+			o.putCommand("stop", "Accept clients again", "/ops/drain/stop", "")),
+		newGroup("endpoint", "Disable an endpoint by hand, or enable it again", "  harrierramp ops endpoint down s-1",
+			o.putCommand("down ID", "Start no new calls to the endpoint", "/ops/endpoints/down", "id"),
+			o.putCommand("up ID", "Enable the endpoint again", "/ops/endpoints/up", "id")),
+		o.putCommand("log-level LEVEL", "Set the minimum level that the node logs", "/ops/log/level", "level"),
 	)
-	c.PersistentFlags().StringVar(&o.addr, "door", "", "address of the door (default $ROUTER_CONSOLE, else door of $ROUTER_CONFIG)")
-	c.PersistentFlags().BoolVar(&o.asJSON, "json", false, "answer as JSON")
+	c.PersistentFlags().StringVar(&o.addr, "door", "", "address of the node's HTTP API for operators (default $ROUTER_CONSOLE, else the setting door in $ROUTER_CONFIG)")
+	c.PersistentFlags().BoolVar(&o.asJSON, "json", false, "print JSON")
 	return c
 }
 
-// at is the door's address.
+// resolveAddr returns the address of the admin API from the flag, the environment or the configuration.
 func (o *adminOptions) resolveAddr() (string, error) {
 	if o.addr != "" {
 		return o.addr, nil
@@ -66,10 +66,11 @@
 			return l.AdminListen, nil
 		}
 	}
-	return "", usageError{errors.New("which door? give --door ADDRESS, or set ROUTER_CONSOLE")}
+	return "", usageError{errors.New("no address of the door: give --door ADDRESS, or set ROUTER_CONSOLE")}
 }
 
-// get is a command that prints what the door says. parse makes JSON of it where the door does not.
+// getCommand returns a command that prints the response to a GET request. parse converts a response that is not JSON,
+// for --json; nil means that the response is wrapped as text.
 func (o *adminOptions) getCommand(use, short, path string, parse func([]byte) (any, error)) *cobra.Command {
 	return &cobra.Command{
 		Use: use, Short: short, Args: noArgs, Example: "  harrierramp ops " + use + " --door 127.0.0.1:9090",
@@ -97,7 +98,8 @@
 	}
 }
 
-// put is a command that gives an order; param names its argument, empty for none.
+// putCommand returns a command that sends a PUT request. param is the query parameter for the command's argument; if it
+// is empty, the command has no argument.
 func (o *adminOptions) putCommand(use, short, path, param string) *cobra.Command {
 	verb, argName, _ := strings.Cut(use, " ")
 	c := &cobra.Command{Use: use, Short: short, Args: noArgs, Example: "  harrierramp ops " + strings.ToLower(use) + " --door 127.0.0.1:9090"}
@@ -126,7 +128,7 @@
 	return json.NewEncoder(c.OutOrStdout()).Encode(map[string]any{"ok": true, "text": string(body)})
 }
 
-// call makes one call at the door.
+// request sends one request to the admin API and returns the body of a successful response.
 func (o *adminOptions) request(ctx context.Context, method, path string) ([]byte, error) {
 	addr, err := o.resolveAddr()
 	if err != nil {
@@ -151,19 +153,19 @@
 		return nil, fmt.Errorf("door %s: %w", addr, err)
 	}
 	if resp.StatusCode/100 != 2 {
-		return nil, fmt.Errorf("the node says no: %s (%d)", strings.TrimSpace(string(body)), resp.StatusCode)
+		return nil, fmt.Errorf("the node refuses: %s (HTTP status %d)", strings.TrimSpace(string(body)), resp.StatusCode)
 	}
 	return body, nil
 }
 
-// statsJSON reads StatsD lines into names and values.
+// statsJSON parses StatsD lines into a map from names to values.
 func statsJSON(body []byte) (any, error) {
 	values := map[string]json.Number{}
 	for line := range strings.Lines(string(body)) {
 		name, rest, ok := strings.Cut(strings.TrimSpace(line), ":")
 		value, _, _ := strings.Cut(rest, "|")
 		if !ok {
-			return nil, fmt.Errorf("a figure that can't be read: %q", line)
+			return nil, fmt.Errorf("invalid StatsD line %q", line)
 		}
 		values[name] = json.Number(value)
 	}
--- a/internal/cli/registry.go
+++ b/internal/cli/registry.go
@@ -25,7 +25,7 @@
 	maxRegistryConsoleConns = 16
 )
 
-// registryOptions are what the command line says.
+// registryOptions are the flags of the command registry.
 type registryOptions struct {
 	level, format   string
 	listen, console string
@@ -36,11 +36,11 @@
 func newRegistry() *cobra.Command {
 	o := registryOptions{server: registry.Config{Options: registry.DefaultOptions()}}
 	c := &cobra.Command{
-		Use: "registry", Short: "Run a list service, with which instances register and which nodes follow", Args: noArgs,
+		Use: "registry", Short: "Run a list server, where instances register and whose list nodes follow", Args: noArgs,
 		Example: "  harrierramp registry --state /var/lib/registry --listen 127.0.0.1:8500 --console 127.0.0.1:8501 --bootstrap",
 		RunE: func(c *cobra.Command, _ []string) error {
 			if o.server.State == "" {
-				return usageError{errors.New("--state is needed; see 'harrierramp registry --help'")}
+				return usageError{errors.New("--state is required; see 'harrierramp registry --help'")}
 			}
 			log, _, err := logging.New(c.ErrOrStderr(), o.level, o.format)
 			if err != nil {
@@ -51,28 +51,28 @@
 	}
 	f := c.Flags()
 	f.StringVar(&o.listen, "listen", "127.0.0.1:8500", "address for nodes, instances and other servers")
-	f.StringVar(&o.console, "console", "", "address for operators; none if empty")
-	f.StringVar(&o.server.State, "state", "", "folder that outlasts the process; needed")
-	f.StringSliceVar(&o.server.Peers, "servers", nil, "addresses of all servers in the order of their numbers, with commas; empty for a single one")
-	f.IntVar(&o.server.Number, "number", 0, "this server's place among them, from 0")
-	f.BoolVar(&o.server.Bootstrap, "bootstrap", false, "with an empty folder, begin a list; for one server only")
-	f.Int64Var((*int64)(&o.server.After), "after-epoch", 0, "with --bootstrap: begin after this epoch, which nodes have heard of")
-	f.DurationVar(&o.server.Coalesce, "coalesce", 20*time.Millisecond, "changes so close together are told at once")
-	f.IntVar(&o.server.MaxWatchers, "watchers", 4096, "watches at most")
-	f.DurationVar(&o.server.Settle, "settle", 5*time.Second, "a list that is begun anew is told as not whole for so long")
+	f.StringVar(&o.console, "console", "", "address of the HTTP API for operators; none if empty")
+	f.StringVar(&o.server.State, "state", "", "state directory, which persists across restarts; required")
+	f.StringSliceVar(&o.server.Peers, "servers", nil, "addresses of all servers, separated by commas, in the order of their numbers; empty for a single server")
+	f.IntVar(&o.server.Number, "number", 0, "this server's index in --servers, from 0")
+	f.BoolVar(&o.server.Bootstrap, "bootstrap", false, "begin a new list if the state directory is empty; for one server only")
+	f.Int64Var((*int64)(&o.server.After), "after-epoch", 0, "with --bootstrap: begin after this epoch, the last one that nodes know")
+	f.DurationVar(&o.server.Coalesce, "coalesce", 20*time.Millisecond, "changes within this time are sent to nodes together")
+	f.IntVar(&o.server.MaxWatchers, "watchers", 4096, "maximum number of watches")
+	f.DurationVar(&o.server.Settle, "settle", 5*time.Second, "a new list is announced as incomplete for this long")
 	f.Float64Var(&o.server.StartRate, "start-rate", admission.DefaultRate,
-		"whole lists a second for nodes that begin; the others are told when to come (0: no bound)")
-	f.Int64Var(&o.maxConns, "connections", 8192, "connections at most")
-	f.Int64Var(&o.server.MaxReports, "report-bytes", 16<<20, "bytes of notices that are kept")
-	f.IntVar(&o.server.Options.MaxInstances, "instances", o.server.Options.MaxInstances, "instances at most")
-	f.DurationVar(&o.server.Options.Grace, "grace", o.server.Options.Grace, "what leases get on top after a start or a promotion")
+		"full lists per second that are sent to starting nodes; further nodes are told when to retry (0: no limit)")
+	f.Int64Var(&o.maxConns, "connections", 8192, "maximum number of connections")
+	f.Int64Var(&o.server.MaxReports, "report-bytes", 16<<20, "maximum size of the stored notices, in bytes")
+	f.IntVar(&o.server.Options.MaxInstances, "instances", o.server.Options.MaxInstances, "maximum number of instances")
+	f.DurationVar(&o.server.Options.Grace, "grace", o.server.Options.Grace, "extension of all leases after a start or a promotion")
 	f.Float64Var(&o.server.Options.PreserveShare, "preserve-share", o.server.Options.PreserveShare,
-		"no lease lapses while more than this share of the instances is silent")
-	f.DurationVar(&o.server.Options.PreserveFor, "preserve-for", o.server.Options.PreserveFor, "for so long at most")
-	f.Func("source", "IP address that connections to the other servers come from (default: the system's choice)", func(v string) error {
+		"no lease expires while more than this share of the instances is silent")
+	f.DurationVar(&o.server.Options.PreserveFor, "preserve-for", o.server.Options.PreserveFor, "maximum time that --preserve-share keeps leases from expiring")
+	f.Func("source", "local IP address for connections to the other servers (default: chosen by the system)", func(v string) error {
 		ip := net.ParseIP(v)
 		if ip == nil {
-			return fmt.Errorf("%q is no IP address", v)
+			return fmt.Errorf("%q is not an IP address", v)
 		}
 		o.server.Source = &net.TCPAddr{IP: ip}
 		return nil
@@ -85,7 +85,7 @@
 func runRegistry(log *slog.Logger, o registryOptions) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	signal.Ignore(syscall.SIGXFSZ) // a bound on the size of files is met as an error of the write, like a full disk
+	signal.Ignore(syscall.SIGXFSZ) // exceeding a file size limit then fails the write, like a full disk, and does not end the process
 	s, err := registry.New(o.server, log)
 	if err != nil {
 		return err
@@ -113,7 +113,7 @@
 		err = open(o.console, s.Console(), maxRegistryConsoleConns)
 	}
 	if err != nil {
-		stop() // what is open closes again
+		stop() // Run then returns at once, and the servers that are open are shut down
 	}
 	err = errors.Join(err, s.Run(ctx))
 	shutdownCtx, cancel := context.WithTimeout(context.Background(), registryShutdownTimeout)
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -28,19 +28,20 @@
 	"harrierramp/internal/transient"
 )
 
-// startPatience is how long a start repeats what fails for a reason that may pass.
+// startRetryTimeout is how long a start retries steps that fail with a transient error.
 const startRetryTimeout = 5 * time.Second
 
-// lockPatience is how long a process that was told to end may still hold the folder of the one that comes.
+// stateLockTimeout is how long a start waits for a previous process, which has been told to end, to release the state
+// directory.
 const stateLockTimeout = 5 * time.Second
 
-// serveOptions are what the command line says beside the configuration.
+// serveOptions are the flags that select a configuration and override its values.
 type serveOptions struct {
 	configFile string
 	overrides  []string
 }
 
-// sources are where the configuration comes from.
+// sources returns the sources of the configuration.
 func (o serveOptions) sources() config.Sources {
 	if o.configFile == "" {
 		o.configFile = os.Getenv("ROUTER_CONFIG")
@@ -48,13 +49,13 @@
 	return config.Sources{File: o.configFile, Env: os.Getenv, Overrides: o.overrides}
 }
 
-// addConfigFlags adds the flags by which a configuration is named and changed.
+// addConfigFlags adds the flags that select a configuration file and override its values.
 func addConfigFlags(c *cobra.Command, o *serveOptions) {
 	c.Flags().StringVarP(&o.configFile, "config", "c", "", "configuration file, TOML or the platform's JSON (default $ROUTER_CONFIG)")
-	c.Flags().StringArrayVar(&o.overrides, "set", nil, "set one value, as limits.sockets=512; may be given often")
+	c.Flags().StringArrayVar(&o.overrides, "set", nil, "set one value, such as limits.sockets=512; may be repeated")
 	for _, short := range []struct{ flag, key, help string }{
-		{"listen", "listen", "address for clients"}, {"door", "door", "address of the operators' door"},
-		{"state", "state", "the folder that outlasts the process"}, {"discovery", "discovery", "address of the list"},
+		{"listen", "listen", "address for clients"}, {"door", "door", "address of the operators' HTTP API (the door)"},
+		{"state", "state", "state directory, which persists across restarts"}, {"discovery", "discovery", "address of the service that provides the list of endpoints"},
 		{"log-level", "log.level", "debug, info, warn or error"}, {"log-format", "log.format", "text or json"},
 	} {
 		c.Flags().Func(short.flag, short.help+" (sets "+short.key+")", func(v string) error {
@@ -68,9 +69,9 @@
 	var o serveOptions
 	c := &cobra.Command{
 		Use: "serve", Short: "Run a delivery node", Args: noArgs,
-		Long: `Run a delivery node. A value comes from the command line, else from the environment (HARRIERRAMP_LIMITS_SOCKETS for
-limits.sockets), else from the file, else it has its default. SIGHUP reads the configuration again, SIGTERM lets the
-node finish what is out and leave the rest to its journal.`,
+		Long: `Run a delivery node. Values on the command line take precedence over the environment (HARRIERRAMP_LIMITS_SOCKETS for
+limits.sockets), then over the file, then over the defaults. SIGHUP reloads the configuration. On SIGTERM the node lets
+calls in progress finish and leaves all other messages to its journal.`,
 		Example: "  harrierramp serve --config node.toml --state /var/lib/harrierramp --log-level debug",
 		RunE:    func(c *cobra.Command, _ []string) error { return serve(o, c.ErrOrStderr()) },
 	}
@@ -81,12 +82,12 @@
 func serve(o serveOptions, stderr io.Writer) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	signal.Ignore(syscall.SIGXFSZ) // a bound on the size of files is met as an error of the write, like a full disk
+	signal.Ignore(syscall.SIGXFSZ) // exceeding a file size limit then fails the write, like a full disk, and does not end the process
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	s := o.sources()
 	if s.File == "" && len(s.Overrides) == 0 {
-		return errors.New("no configuration: give --config FILE or set ROUTER_CONFIG; 'harrierramp config example' prints one")
+		return errors.New("no configuration: give --config FILE or set ROUTER_CONFIG; 'harrierramp config example' prints an example")
 	}
 	cfg, err := loadWithRetry(ctx, s)
 	if err != nil {
@@ -108,10 +109,11 @@
 	}
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Limits.Cores))))
 	if cfg.Limits.Memory > 0 {
-		// Half of the limit: sockets' buffers, stacks and the journal's two files count against it as well.
+		// The heap gets half of what remains after the disk limit, because socket buffers, stacks and the journal's two
+		// files count against the same memory limit.
 		debug.SetMemoryLimit((cfg.Limits.Memory - cfg.Limits.Disk).Bytes() / 2)
 	}
-	// What can't be opened ends the node before it has taken anything on or written anything.
+	// Sockets are opened first: if one can't be opened, the node ends before it has accepted or written anything.
 	var adminListener net.Listener
 	if cfg.AdminListen != "" {
 		err := retry(func() (err error) {
@@ -119,7 +121,7 @@
 			return err
 		})
 		if err != nil {
-			return fmt.Errorf("operators' door (door): %w", err)
+			return fmt.Errorf("operators' HTTP API (door): %w", err)
 		}
 	}
 	var clientListener net.Listener
@@ -128,10 +130,10 @@
 		return err
 	})
 	if err != nil {
-		return fmt.Errorf("clients (listen): %w", err)
+		return fmt.Errorf("socket for clients (listen): %w", err)
 	}
 	if err := statedir.Mark(cfg.StateDir, cfg.Name); err != nil {
-		log.Warn("state_not_marked", "err", err) // a full disk must not keep a node from what it owes
+		log.Warn("state_not_marked", "err", err) // a full disk must not stop a node from delivering the messages in its journal
 	}
 	n := node.New(cfg.Config, log)
 	n.Level = level
@@ -139,7 +141,7 @@
 		defer n.ServeAdmin(adminListener)()
 	}
 	log.Info("serving", "addr", clientListener.Addr())
-	go func() { // ends with the process
+	go func() { // runs until the process ends
 		for range hangups {
 			cfg = reload(ctx, n, cfg, s, level, log)
 		}
@@ -147,7 +149,7 @@
 	return n.Run(ctx, clientListener)
 }
 
-// patientLoad reads a configuration, again as long as its file can't be read for a reason that may pass.
+// loadWithRetry loads a configuration. It retries while the file can't be read because of a transient error.
 func loadWithRetry(ctx context.Context, s config.Sources) (loaded *config.Loaded, err error) {
 	err = transient.Retry(ctx, startRetryTimeout, nil, func() (err error) {
 		loaded, err = config.Load(s)
@@ -156,8 +158,8 @@
 	return loaded, err
 }
 
-// reload reads the configuration again, and returns the one that holds. One that can't be read must not end the node,
-// which has a good one.
+// reload loads the configuration again and applies the values that a running node can change. It returns the
+// configuration now in effect. If the new one can't be loaded, the node keeps the old one.
 func reload(
 	ctx context.Context, n *node.Node, old *config.Loaded, s config.Sources, level *slog.LevelVar, log *slog.Logger,
 ) *config.Loaded {
@@ -177,14 +179,16 @@
 		}
 	}
 	log.Info("config_taken", "keys", reloaded)
-	// What waits for a restart is told each time until it is taken back.
+	// Only the reloadable values are carried over, so that each reload warns again of values that need a restart, until
+	// the file has their old values again.
 	effective := *old
 	effective.Discovery, effective.Registry, effective.Log.Level = next.Discovery, next.Registry, next.Log.Level
 	return &effective
 }
 
-// aloneIn refuses a folder that another process owns, unless this one comes to take over from it: then the platform
-// has passed it the clients' socket. A process that is about to end is waited for.
+// awaitStateUnlocked waits up to stateLockTimeout for another process to release the state directory, and returns an
+// error if it does not. A process that takes over from a running one does not wait: the platform has passed it the
+// clients' socket.
 func awaitStateUnlocked(ctx context.Context, dir string) error {
 	if os.Getenv("ROUTER_PASSED_SOCKET") != "" {
 		return nil
@@ -200,18 +204,18 @@
 		case <-time.After(stateLockTimeout / 50):
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("state folder %s is in use by a running node (%s is locked); stop that one, or upgrade as docs/on-call.md says",
+			return fmt.Errorf("state directory %s is in use by a running node (%s is locked); stop that node, or upgrade as described in docs/on-call.md",
 				dir, filepath.Join(dir, "lock"))
 		}
 	}
 }
 
-// listenToClients opens the clients' socket, or takes the one that the platform holds and passes on.
+// openClientListener opens the socket for clients, or takes over the one that the platform has passed to this process.
 func openClientListener(addr string) (net.Listener, error) {
 	if passed := os.Getenv("ROUTER_PASSED_SOCKET"); passed != "" {
 		fd, err := strconv.Atoi(passed)
 		if err != nil || fd < 3 {
-			fd = 3 // the only one that is ever passed
+			fd = 3 // the only descriptor that the platform passes
 		}
 		return ingress.InheritedListener(fd)
 	}
--- a/internal/cli/version.go
+++ b/internal/cli/version.go
@@ -11,7 +11,7 @@
 
 func newVersion() *cobra.Command {
 	return &cobra.Command{
-		Use: "version", Short: "Print what this program was built from", Args: noArgs,
+		Use: "version", Short: "Print the version and the build information of this program", Args: noArgs,
 		Example: "  harrierramp version",
 		RunE: func(c *cobra.Command, _ []string) error {
 			out := c.OutOrStdout()
