--- a/cmd/harrierramp/constants_test.go
+++ b/cmd/harrierramp/constants_test.go
@@ -13,7 +13,8 @@
 	"testing"
 )
 
-// Formats and exit statuses bear on no time, count or share.
+// noFigures lists, by package, the constants that docs/constants.md leaves out: formats and exit statuses, which are no
+// times, counts or shares.
 var noFigures = map[string]string{
 	"choice":              "datagramRequest datagramGrant datagramCallEnd datagramHandOver datagramOutage maxDatagramSize",
 	"internal/auditlog":   "Format checksumLen",
@@ -24,7 +25,8 @@
 	"internal/staleness":  "Magic version datagramSize",
 }
 
-// docs/constants.md has each constant of the decisions and of the node's packages, with its value, and no others.
+// docs/constants.md lists exactly the numeric constants of package choice and of the node's packages, with their
+// values.
 func TestConstantsPageIsComplete(t *testing.T) {
 	const root = "../.."
 	deploy, err := os.ReadFile(root + "/deploy/balancer.toml")
@@ -33,7 +35,7 @@
 	}
 	node := regexp.MustCompile(`(?m)^node = \[(.*?)\]`).FindSubmatch(deploy)
 	if node == nil {
-		t.Fatal("the deploy file names no packages")
+		t.Fatal("deploy/balancer.toml does not list the node's packages")
 	}
 	want := map[string]string{}
 	for _, m := range regexp.MustCompile(`"([^"]+)"`).FindAllStringSubmatch(string(node[1])+`, "choice"`, -1) {
@@ -54,17 +56,17 @@
 		}
 		name := section + "." + m[1]
 		if seen[name] = true; want[name] != m[2] {
-			t.Errorf("the page says that %s is %s, and it is %q", name, m[2], want[name])
+			t.Errorf("docs/constants.md says that %s is %s, but it is %q", name, m[2], want[name])
 		}
 	}
 	for name := range want {
 		if !seen[name] {
-			t.Errorf("the page lacks %s", name)
+			t.Errorf("docs/constants.md lacks %s", name)
 		}
 	}
 }
 
-// constants notes the figures among a package's constants, as they are written.
+// collectConstants adds the numeric constants of a package to into, with their values as written in the source.
 func collectConstants(t *testing.T, root, dir string, into map[string]string) {
 	files, err := filepath.Glob(filepath.Join(root, dir, "*.go"))
 	if err != nil {
--- a/cmd/harrierramp/faultledger_test.go
+++ b/cmd/harrierramp/faultledger_test.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	reportSlack  = 350 * time.Millisecond // after a message's time, of which 50 ms are the rules' on sockets
+	reportSlack  = 350 * time.Millisecond // after a message's deadline; 50 ms of it are the tolerance that the rules allow for sockets
 	restartSlack = 1500 * time.Millisecond
 	timingSlack  = 50 * time.Millisecond
 )
 
-// faultLedger is what a play sees from outside, and holds it to the rules.
+// faultLedger records what clients, endpoints and the platform observe in a scenario, and checks it against the rules.
 type faultLedger struct {
 	mu         sync.Mutex
 	startedAt  time.Time
@@ -24,19 +24,20 @@
 	counts     map[string]int
 }
 
-// handedIn is a message as the play has seen it. Times are since the play's begin; 0 for never.
+// messageRecord is what a scenario has observed of one message. Times are relative to the start of the scenario; 0
+// means that the event has not happened.
 type messageRecord struct {
 	id, class    string
-	deadline     time.Duration // its time is up
-	accepted     bool          // its client heard so
+	deadline     time.Duration // when the message expires
+	accepted     bool          // the client was told that the message is accepted
 	deliveredAt  time.Duration
-	finalAt      time.Duration // the first final answer but a delivery
+	finalAt      time.Duration // the first final answer other than a delivery
 	runs         int
 	lastCalledAt time.Duration
 	events       []string
 }
 
-// restartSpan is from the end of a process to when the next is ready.
+// restartWindow is the time from the end of a process until the next one is ready; to is 0 until then.
 type restartWindow struct{ from, to time.Duration }
 
 func newFaultLedger() *faultLedger {
@@ -45,7 +46,7 @@
 
 func (l *faultLedger) now() time.Duration { return time.Since(l.startedAt) }
 
-// breaks notes a broken rule.
+// recordViolation records the violation of a rule.
 func (l *faultLedger) recordViolation(rule, format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -56,7 +57,7 @@
 	l.violations = append(l.violations, fmt.Sprintf("%.3f %s: %s", l.now().Seconds(), rule, text))
 }
 
-// of is a message, which may have come before its client has been noted.
+// message returns the record of a message. It creates the record if an event arrives before the submission is recorded.
 func (l *faultLedger) message(id string) *messageRecord {
 	m := l.messages[id]
 	if m == nil {
@@ -70,7 +71,7 @@
 	m.events = append(m.events, fmt.Sprintf("%.3f ", at.Seconds())+fmt.Sprintf(format, args...))
 }
 
-// sent notes that a client begins to hand a message in.
+// recordSubmission records that a client starts to submit a message.
 func (l *faultLedger) recordSubmission(id, class string, ttl time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -80,12 +81,12 @@
 	l.counts["handed in"]++
 }
 
-// answered notes what the client has heard.
+// recordAnswer records the answer that the client received.
 func (l *faultLedger) recordAnswer(id, line string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	m := l.message(id)
-	m.addEvent(l.now(), "its client hears %q", line)
+	m.addEvent(l.now(), "its client is answered %q", line)
 	l.counts["client hears "+strings.Fields(line + " ?")[0]]++
 	switch {
 	case strings.HasPrefix(line, "+"):
@@ -95,7 +96,7 @@
 	}
 }
 
-// noticed notes a report of a final answer.
+// recordReport records a report of a final answer to the platform.
 func (l *faultLedger) recordReport(id, state string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -107,7 +108,7 @@
 	}
 }
 
-// called notes a call whose last byte has come.
+// recordCall records a call that an endpoint has received completely. runs says whether the endpoint executes it.
 func (l *faultLedger) recordCall(id string, runs bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -118,10 +119,10 @@
 		m.runs++
 	}
 	if m.finalAt > 0 && now > m.finalAt+timingSlack {
-		l.recordViolationLocked("lost", fmt.Sprintf("%s is forwarded %v after it ended:\n\t%s", id, now-m.finalAt, strings.Join(m.events, "\n\t")))
+		l.recordViolationLocked("lost", fmt.Sprintf("%s is forwarded %v after its final answer:\n\t%s", id, now-m.finalAt, strings.Join(m.events, "\n\t")))
 	}
 	if m.class == "payout" && m.runs > 1 && runs {
-		l.recordViolationLocked("duplicate", fmt.Sprintf("%s runs again:\n\t%s", id, strings.Join(m.events, "\n\t")))
+		l.recordViolationLocked("duplicate", fmt.Sprintf("%s is executed more than once:\n\t%s", id, strings.Join(m.events, "\n\t")))
 	}
 }
 
@@ -136,14 +137,14 @@
 	}
 }
 
-// down notes that the node is told to end, or killed.
+// recordDown records that the node is told to end, or killed.
 func (l *faultLedger) recordDown() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.restarts = append(l.restarts, restartWindow{l.now(), 0})
 }
 
-// ready notes that it answers again.
+// recordReady records that the node answers again.
 func (l *faultLedger) recordReady() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -153,7 +154,7 @@
 	}
 }
 
-// restarting tells whether the node was down, or told to end, at some time since a moment.
+// restartedSince reports whether the node was down or shutting down at any time since the given one.
 func (l *faultLedger) restartedSince(since time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -165,7 +166,7 @@
 	return false
 }
 
-// closed notes that a request's connection ended without an answer.
+// recordClosedConnection records that the connection of a request ended without an answer, which is a violation.
 func (l *faultLedger) recordClosedConnection(id string, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -174,14 +175,14 @@
 	l.recordViolationLocked("lost", fmt.Sprintf("%s gets no answer:\n\t%s", id, strings.Join(m.events, "\n\t")))
 }
 
-// noteFor adds to a message's story.
+// recordEvent adds an event to a message's record.
 func (l *faultLedger) recordEvent(id, format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.message(id).addEvent(l.now(), format, args...)
 }
 
-// settle holds every message that was taken on to its final answer, and returns the rules that were broken.
+// verify checks that every accepted message was delivered or got its final answer in time. It returns all violations.
 func (l *faultLedger) verify() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -204,7 +205,7 @@
 		if m.finalAt == 0 {
 			l.recordViolationLocked("lost", fmt.Sprintf("%s has no final answer:\n\t%s", id, strings.Join(m.events, "\n\t")))
 		} else if m.finalAt > due {
-			l.recordViolationLocked("lost", fmt.Sprintf("%s has its final answer %v late:\n\t%s", id, m.finalAt-due, strings.Join(m.events, "\n\t")))
+			l.recordViolationLocked("lost", fmt.Sprintf("%s got its final answer %v late:\n\t%s", id, m.finalAt-due, strings.Join(m.events, "\n\t")))
 		}
 	}
 	return l.violations
--- a/cmd/harrierramp/faultnode_test.go
+++ b/cmd/harrierramp/faultnode_test.go
@@ -30,9 +30,9 @@
 )
 
 const (
-	restartDelay    = 600 * time.Millisecond  // from SIGKILL to the next start
+	restartDelay    = 600 * time.Millisecond  // from the kill to the next start
 	shutdownTimeout = 3700 * time.Millisecond // from SIGTERM to SIGKILL
-	startTimeout    = 10 * time.Second        // to be ready
+	startTimeout    = 10 * time.Second        // from the start until the node answers PING
 )
 
 // faultyNode is a real process on loopback whose system calls a schedule decides on. It starts again after it has
@@ -52,7 +52,7 @@
 	exited   chan error
 }
 
-// newFaultyNode prepares a node for the platform's stand-in, and starts it.
+// newFaultyNode configures a node for the fake platform and starts it.
 func newFaultyNode(t *testing.T, p *fakePlatform, state, settings string, decide func(sysfault.Call) sysfault.Verdict, l *faultLedger) *faultyNode {
 	t.Helper()
 	dir := t.TempDir()
@@ -67,7 +67,7 @@
 
 var nodeCount atomic.Int64
 
-// nodeAddress is one that no other node gets, of this test or another: nodes that start again have to find theirs free.
+// nodeAddress returns an address that no other node of any test gets, so that it is still free when a node restarts.
 func nodeAddress(t *testing.T) string {
 	t.Helper()
 	block, err := nodeBlock()
@@ -107,7 +107,7 @@
 	n.injector, err = sysfault.Start(cmd, n.decide)
 	if err != nil {
 		n.mu.Unlock()
-		n.t.Errorf("the node does not start: %v", err)
+		n.t.Errorf("starting the node: %v", err)
 		return
 	}
 	ended := make(chan error, 1)
@@ -116,12 +116,12 @@
 	go func() { ended <- cmd.Wait() }()
 	for began := time.Now(); !n.respondsToPing(); time.Sleep(5 * time.Millisecond) {
 		if time.Since(began) > startTimeout {
-			n.ledger.recordViolation("crash", "not ready %v after its start", startTimeout)
+			n.ledger.recordViolation("crash", "the node is not ready %v after its start", startTimeout)
 			return
 		}
 		select {
 		case err := <-ended:
-			n.ledger.recordViolation("crash", "it ended at its start: %v", err)
+			n.ledger.recordViolation("crash", "the node exited during its start: %v", err)
 			ended <- err
 			return
 		default:
@@ -146,7 +146,7 @@
 	return err == nil && strings.HasPrefix(line, "+PONG")
 }
 
-// handInUnheard hands a message in to a node that may be killed meanwhile.
+// submitIgnoringAnswer sends a request to a node that may be killed before it answers.
 func (n *faultyNode) submitIgnoringAnswer(request string) {
 	nc, err := net.Dial("tcp", n.addr)
 	if err != nil {
@@ -158,7 +158,7 @@
 	io.Copy(io.Discard, nc)
 }
 
-// threads tells what each thread of the process waits for.
+// threadStates returns what each thread of the process is waiting for.
 func (n *faultyNode) threadStates() string {
 	n.mu.Lock()
 	pid := n.cmd.Process.Pid
@@ -185,12 +185,12 @@
 	if cmd == nil {
 		return
 	}
-	cmd.Process.Kill() // an error means that it has ended
+	cmd.Process.Kill() // an error means that the process has already ended
 	ended <- <-ended
 	<-injector.Done()
 }
 
-// running tells whether the process is there.
+// isRunning reports whether the process has not ended.
 func (n *faultyNode) isRunning() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -211,7 +211,8 @@
 	}
 }
 
-// restart ends the process, by SIGTERM first if it is asked to, and starts it again. Its folder stays.
+// restart ends the process and starts it again on the same state directory. If graceful is set, it sends SIGTERM first
+// and kills the process after shutdownTimeout.
 func (n *faultyNode) restart(graceful bool) {
 	n.ledger.recordDown()
 	if graceful {
@@ -223,15 +224,15 @@
 	n.start()
 }
 
-// platform stands in for discovery: a list that does not change, and reports of final answers.
+// fakePlatform is a stand-in for the discovery service. It serves a fixed list and accepts reports of final answers.
 type fakePlatform struct {
 	srv                 *httptest.Server
 	ledger              *faultLedger
 	members             []string
-	ignoreReportsBefore atomic.Int64 // Unix time in nanoseconds: posts that come before it get no answer and are not heard
+	ignoreReportsBefore atomic.Int64 // Unix time in nanoseconds; reports that arrive earlier are ignored and get no answer
 }
 
-// silence has posts that come before a moment wait for good.
+// ignoreReportsUntil makes reports that arrive before the given time go unanswered and unrecorded.
 func (p *fakePlatform) ignoreReportsUntil(until time.Time) {
 	p.ignoreReportsBefore.Store(until.UnixNano())
 }
@@ -263,7 +264,7 @@
 			return
 		}
 		if time.Now().UnixNano() < p.ignoreReportsBefore.Load() {
-			<-r.Context().Done() // only once its body has been read does a request hear of its connection's end
+			<-r.Context().Done() // the context ends with the connection, but only once the request body has been read
 			return
 		}
 		lines := bufio.NewScanner(bytes.NewReader(body))
@@ -291,7 +292,7 @@
 	return fmt.Sprintf(`{"revision":1,"complete":true,"members":[%s]}`, strings.Join(p.members, ","))
 }
 
-// member is an endpoint's entry in the list.
+// member returns the list entry of an endpoint.
 func member(id, addr string, dest int) string {
 	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"z","flavor":"m","cell":%d,"phase":"SERVING","size":1000}`, id, addr, dest)
 }
@@ -310,7 +311,7 @@
 
 const slowReplyDelay = 300 * time.Millisecond
 
-// newFaultEndpoint is an endpoint whose answers choose decides.
+// newFaultEndpoint starts an endpoint that answers each call as choose returns, and returns its address.
 func newFaultEndpoint(t *testing.T, l *faultLedger, choose func() reply) string {
 	return testkit.NewPartner(t, func(nc net.Conn, req *http.Request) bool {
 		id, answer := req.Header.Get("X-Trace-Id"), choose()
@@ -340,24 +341,24 @@
 	}).Addr()
 }
 
-// fault is a span of the play in which some system calls fail.
+// injectedFault is a period of a scenario in which some system calls fail.
 type injectedFault struct {
 	name        string
 	from, to    time.Duration
 	decide      func(sysfault.Call, *rand.Rand) sysfault.Verdict
-	struckCalls int // calls that it has struck
+	struckCalls int // number of calls that the fault has affected
 }
 
-// schedule decides on a node's calls by the faults of a play.
+// faultSchedule decides the outcome of a node's system calls according to the faults of a scenario.
 type faultSchedule struct {
 	mu            sync.Mutex
 	rng           *rand.Rand
 	startedAt     time.Time
 	faults        []*injectedFault
-	killNextWrite bool // in the next write to the folder
+	killNextWrite bool // kill the process during its next write to the state directory
 }
 
-// fail adds a fault that lasts from now on for a while.
+// addFault adds a fault that starts now and lasts for span.
 func (s *faultSchedule) addFault(span time.Duration, decide func(sysfault.Call, *rand.Rand) sysfault.Verdict) *injectedFault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -367,14 +368,14 @@
 	return f
 }
 
-// over ends a fault.
+// endFault ends a fault now.
 func (s *faultSchedule) endFault(f *injectedFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f.to = time.Since(s.startedAt)
 }
 
-// struck is how many calls a fault has met.
+// struckCalls returns how many calls a fault has affected.
 func (s *faultSchedule) struckCalls(f *injectedFault) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -401,14 +402,14 @@
 	return sysfault.Verdict{}
 }
 
-// killInWrite has the next write to the folder torn by a kill.
+// setKillNextWrite sets whether the process is killed in the middle of its next write to the state directory.
 func (s *faultSchedule) setKillNextWrite(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.killNextWrite = on
 }
 
-// stateDirectory is a part of the path of every folder that lasts.
+// stateDirectory is the name of every node's state directory. It identifies system calls on files in it.
 const stateDirectory = "lasting-state"
 
 func inStateDir(c sysfault.Call) bool { return strings.Contains(c.Path, stateDirectory) }
@@ -417,7 +418,7 @@
 	return inStateDir(c) && (c.Number == unix.SYS_WRITE || c.Number == unix.SYS_PWRITE64)
 }
 
-// fails has calls of some numbers fail with any of some errors.
+// failMatching returns a decision function that fails the matching calls, each with one of the errors drawn at random.
 func failMatching(matches func(sysfault.Call) bool, errnos ...syscall.Errno) func(sysfault.Call, *rand.Rand) sysfault.Verdict {
 	return func(c sysfault.Call, rng *rand.Rand) sysfault.Verdict {
 		if !matches(c) {
@@ -443,7 +444,8 @@
 	return func(c sysfault.Call) bool { return inStateDir(c) && matches(c) }
 }
 
-// tornWrites has the first write to the folder stop half way, and it and all others fail.
+// tearWrites returns a decision function that cuts the first write to the state directory short and fails all later
+// ones. Unless truncates is set, truncation of files fails too.
 func tearWrites(truncates bool, errno syscall.Errno) func(sysfault.Call, *rand.Rand) sysfault.Verdict {
 	torn := false
 	return func(c sysfault.Call, rng *rand.Rand) sysfault.Verdict {
@@ -458,7 +460,7 @@
 	}
 }
 
-// interrupted has a third of the calls that may be interrupted fail so.
+// interruptCalls fails a third of the interruptible calls with EINTR.
 func interruptCalls(c sysfault.Call, rng *rand.Rand) sysfault.Verdict {
 	may := c.Socket || hasNumber(unix.SYS_ACCEPT4, unix.SYS_CONNECT)(c) || isStateCall(unix.SYS_OPENAT, unix.SYS_FTRUNCATE, unix.SYS_READ,
 		unix.SYS_WRITE, unix.SYS_PREAD64, unix.SYS_PWRITE64)(c)
@@ -468,7 +470,7 @@
 	return sysfault.Verdict{}
 }
 
-// short has reads and writes transfer a part of what they ask for.
+// shortenTransfers makes half of the reads and writes transfer only a part of the requested bytes.
 func shortenTransfers(c sysfault.Call, rng *rand.Rand) sysfault.Verdict {
 	if (c.Socket || inStateDir(c)) && c.Size > 1 && rng.IntN(2) == 0 {
 		return sysfault.Verdict{Most: 1 + rng.IntN(min(c.Size-1, 64))}
@@ -476,7 +478,7 @@
 	return sysfault.Verdict{}
 }
 
-// withoutMemory has a third of the reads and writes of sockets fail for want of memory or buffers.
+// failWithoutMemory fails a third of the reads and writes on sockets for lack of memory or buffers.
 func failWithoutMemory(c sysfault.Call, rng *rand.Rand) sysfault.Verdict {
 	if !c.Socket || rng.IntN(3) > 0 {
 		return sysfault.Verdict{}
--- a/cmd/harrierramp/faults_test.go
+++ b/cmd/harrierramp/faults_test.go
@@ -15,12 +15,12 @@
 	"harrierramp/internal/testkit"
 )
 
-// always has endpoints answer in one way.
+// alwaysReply makes every endpoint give the same reply.
 func alwaysReply(r reply) func(*faultLedger, int) func() reply {
 	return func(*faultLedger, int) func() reply { return func() reply { return r } }
 }
 
-// handIn hands one message in on a connection of its own and returns the answer.
+// submit submits one message on a new connection and returns the answer.
 func (p *faultScenario) submit(t *testing.T, id, class string, ttl time.Duration) string {
 	t.Helper()
 	p.ledger.recordSubmission(id, class, ttl)
@@ -30,15 +30,15 @@
 	return line
 }
 
-// mustHaveStruck says that a play gives no verdict where a fault has met fewer calls than it takes to show something.
+// requireStruck fails the test if a fault has affected fewer than least calls: the scenario then proves nothing.
 func (p *faultScenario) requireStruck(t *testing.T, f *injectedFault, least int) {
 	t.Helper()
 	if struck := p.schedule.struckCalls(f); struck < least {
-		t.Errorf("no verdict: %d calls have failed, and it takes %d", struck, least)
+		t.Errorf("no verdict: the fault affected %d calls, and at least %d are needed", struck, least)
 	}
 }
 
-// mustKeepTheRules ends the play.
+// requireNoViolations fails the test if the ledger holds any violation of the rules.
 func (p *faultScenario) requireNoViolations(t *testing.T) {
 	t.Helper()
 	for _, broken := range p.ledger.verify() {
@@ -63,7 +63,8 @@
 func TestRefusedMessageIsNotForwardedAfterRestart(t *testing.T) {
 	t.Parallel()
 	p := newFaultScenario(t, 1, nil, alwaysReply(replyDelivered))
-	// The record is written whole, the write fails all the same, and nothing can be mended before the kill.
+	// The record is written completely, but the write reports an error, and the node can't repair the journal before
+	// the kill.
 	outage := p.schedule.addFault(time.Minute, func(c sysfault.Call, _ *rand.Rand) sysfault.Verdict {
 		switch {
 		case isStateWrite(c):
@@ -84,7 +85,7 @@
 	if line, err := br.ReadString('\n'); err == nil {
 		p.ledger.recordAnswer("refused", strings.TrimSpace(line))
 	} else {
-		p.ledger.recordEvent("refused", "its client hears nothing: %v", err)
+		p.ledger.recordEvent("refused", "its client gets no answer: %v", err)
 	}
 	p.requireStruck(t, outage, 1)
 	p.schedule.endFault(outage)
@@ -93,7 +94,7 @@
 	p.requireNoViolations(t)
 }
 
-// What is owed is found again, also where the journal can't be read to its end at first.
+// A start recovers every unfinished message even if reading the journal fails at first, in the middle of the file.
 func TestReadErrorAtStartLosesNoMessages(t *testing.T) {
 	t.Parallel()
 	var answers atomic.Bool
@@ -114,7 +115,7 @@
 	reads := 0
 	p.schedule.addFault(time.Minute, func(c sysfault.Call, _ *rand.Rand) sysfault.Verdict {
 		if c.Number == unix.SYS_READ && strings.HasSuffix(c.Path, stateDirectory+"/journal") {
-			if reads++; reads <= 6 { // half of the first read arrives, and then none for a while
+			if reads++; reads <= 6 { // three times, 500 bytes are read and the next read fails
 				if reads%2 == 1 {
 					return sysfault.Verdict{Most: 500}
 				}
@@ -124,7 +125,7 @@
 		return sysfault.Verdict{}
 	})
 	p.node.restart(false)
-	testkit.Eventually(t, "all are delivered", func() bool {
+	testkit.Eventually(t, "all messages are delivered", func() bool {
 		p.ledger.mu.Lock()
 		defer p.ledger.mu.Unlock()
 		return p.ledger.counts["delivered"] == 20
@@ -150,7 +151,7 @@
 			if got := p.submit(t, "m", "order", 4*time.Second); got != "+OK" {
 				t.Fatal(got)
 			}
-			p.schedule.setKillNextWrite(true) // the journal ends within a record
+			p.schedule.setKillNextWrite(true) // leaves a journal that ends inside a record
 			p.node.submitIgnoringAnswer(testkit.EnqueueRequest("torn", "c=status,d=4000,dest=1", "body"))
 			f := p.schedule.addFault(restartDelay+700*time.Millisecond, decide)
 			p.node.restart(false)
@@ -166,7 +167,7 @@
 func TestNoticesAreOnTimeAfterConnectionFailures(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		until  time.Duration // after the message's time
+		until  time.Duration // how long after the message's deadline the fault lasts
 		decide func(sysfault.Call, *rand.Rand) sysfault.Verdict
 	}{
 		"no address":               {270 * time.Millisecond, failMatching(hasNumber(unix.SYS_CONNECT), syscall.EADDRNOTAVAIL)},
@@ -210,7 +211,7 @@
 		return c.Number == unix.SYS_OPENAT && c.Path == p.node.config
 	}, syscall.ENFILE, syscall.EIO))
 	p.node.signal(syscall.SIGHUP)
-	time.Sleep(1500 * time.Millisecond) // then the old address ends
+	time.Sleep(1500 * time.Millisecond) // the node must have switched when the old address goes away
 	p.platform.srv.Listener.Close()
 	p.platform.srv.CloseClientConnections()
 	time.Sleep(1500 * time.Millisecond)
@@ -218,7 +219,7 @@
 	p.requireStruck(t, f, 1)
 }
 
-// A request that has been read is answered, although reads and writes of its connection fail for a moment.
+// A request that has been read is answered even if reads and writes on its connection fail temporarily.
 func TestRequestsAreAnsweredDespiteSocketMemoryErrors(t *testing.T) {
 	t.Parallel()
 	p := newFaultScenario(t, 1, nil, alwaysReply(replyDelivered))
--- a/cmd/harrierramp/faultscenario_test.go
+++ b/cmd/harrierramp/faultscenario_test.go
@@ -22,19 +22,19 @@
 )
 
 var (
-	faultSeed  = flag.Uint64("faults.seed", 1, "the first seed of TestSoakWhileCallsFail")
-	faultSeeds = flag.Uint64("faults.seeds", 0, "how many seeds it plays")
+	faultSeed  = flag.Uint64("faults.seed", 1, "first seed of TestSoakWhileCallsFail")
+	faultSeeds = flag.Uint64("faults.seeds", 0, "number of seeds that TestSoakWhileCallsFail runs")
 )
 
 const (
-	clientTimeout    = 400 * time.Millisecond // of clients
+	clientTimeout    = 400 * time.Millisecond // how long clients wait for a connection or an answer
 	clientCount      = 8
-	seedCount        = 12 // of TestNothingIsLostWhileCallsFail
+	seedCount        = 12 // number of seeds of TestNoMessageIsLostUnderSyscallFaults
 	scenarioDuration = 12 * time.Second
-	quietDuration    = 2500 * time.Millisecond // at the end, for what is owed
+	quietDuration    = 2500 * time.Millisecond // without faults at the end, so that all messages can finish
 )
 
-// faultSettings are the platform's, with short times so that many messages end by them.
+// faultSettings are the platform's settings, with short times so that many messages expire.
 const faultSettings = `{"fleetSize":1,"categories":[
 	{"name":"status","effect":"idempotent","group":"all","aim":400,"deadline":1500,"worth":1,"lateWorth":0.3,"window":1000},
 	{"name":"order","effect":"deduplicated","group":"all","aim":400,"deadline":1500,"worth":1,"lateWorth":0.3,"window":1000},
@@ -52,13 +52,13 @@
 	least, most time.Duration
 	fault       func(rng *rand.Rand) *injectedFault
 }{
-	{"writes: no space", 100 * time.Millisecond, 2500 * time.Millisecond, func(*rand.Rand) *injectedFault {
+	{"writes: no space left", 100 * time.Millisecond, 2500 * time.Millisecond, func(*rand.Rand) *injectedFault {
 		return &injectedFault{decide: tearWrites(true, syscall.ENOSPC)}
 	}},
-	{"writes: input/output error, truncation too", 100 * time.Millisecond, 2500 * time.Millisecond, func(*rand.Rand) *injectedFault {
+	{"writes and truncation: input/output error", 100 * time.Millisecond, 2500 * time.Millisecond, func(*rand.Rand) *injectedFault {
 		return &injectedFault{decide: tearWrites(false, syscall.EIO)}
 	}},
-	{"opening files of the folder", 50 * time.Millisecond, 2500 * time.Millisecond, func(*rand.Rand) *injectedFault {
+	{"opening files of the state directory", 50 * time.Millisecond, 2500 * time.Millisecond, func(*rand.Rand) *injectedFault {
 		return &injectedFault{decide: failMatching(isStateCall(unix.SYS_OPENAT), syscall.ENFILE, syscall.EIO, syscall.ENOSPC, syscall.EMFILE)}
 	}},
 	{"renames", 50 * time.Millisecond, 2500 * time.Millisecond, func(*rand.Rand) *injectedFault {
@@ -73,22 +73,22 @@
 	{"accepts", 20 * time.Millisecond, 200 * time.Millisecond, func(*rand.Rand) *injectedFault {
 		return &injectedFault{decide: failMatching(hasNumber(unix.SYS_ACCEPT4), syscall.ECONNABORTED, syscall.ENFILE, syscall.ENOBUFS, syscall.EMFILE)}
 	}},
-	{"streams without memory", 20 * time.Millisecond, 200 * time.Millisecond, func(*rand.Rand) *injectedFault { return &injectedFault{decide: failWithoutMemory} }},
+	{"socket reads and writes without memory", 20 * time.Millisecond, 200 * time.Millisecond, func(*rand.Rand) *injectedFault { return &injectedFault{decide: failWithoutMemory} }},
 	{"interrupted calls", 200 * time.Millisecond, 2 * time.Second, func(*rand.Rand) *injectedFault { return &injectedFault{decide: interruptCalls} }},
 	{"short reads and writes", 200 * time.Millisecond, 2 * time.Second, func(*rand.Rand) *injectedFault { return &injectedFault{decide: shortenTransfers} }},
 }
 
-// nodeEnd is an end of the process within a play, after which it starts again.
+// processExit is an exit of the process during a scenario, after which it is restarted.
 type processExit struct {
 	at                    time.Duration
-	graceful, duringWrite bool // by SIGTERM first; in the middle of a write
+	graceful, duringWrite bool // graceful: SIGTERM comes before the kill; duringWrite: the kill comes in the middle of a write
 }
 
-// faultPlan is what a seed says of a play.
+// faultPlan is the sequence of faults and exits that is drawn from a seed.
 type faultPlan struct {
 	faults []*injectedFault
 	exits  []processExit
-	hang   [2]time.Duration // in which the second destination does not answer
+	hang   [2]time.Duration // start and end of the period in which the second destination does not answer
 }
 
 func newFaultPlan(rng *rand.Rand) faultPlan {
@@ -98,7 +98,7 @@
 		f := kind.fault(rng)
 		f.name, f.from = kind.name, at
 		f.to = min(at+kind.least+time.Duration(rng.Int64N(int64(kind.most-kind.least))), scenarioDuration-quietDuration)
-		if rng.IntN(4) > 0 { // else the next one comes beside it
+		if rng.IntN(4) > 0 { // otherwise the next fault overlaps this one
 			at = f.to + time.Duration(rng.IntN(500))*time.Millisecond
 		}
 		p.faults = append(p.faults, f)
@@ -123,20 +123,20 @@
 		fmt.Fprintf(&b, "%6.3f to %6.3f s %s (%d calls)\n", f.from.Seconds(), f.to.Seconds(), f.name, f.struckCalls)
 	}
 	for _, e := range p.exits {
-		fmt.Fprintf(&b, "%6.3f s the process ends, by SIGTERM %v, in a write %v\n", e.at.Seconds(), e.graceful, e.duringWrite)
+		fmt.Fprintf(&b, "%6.3f s the process is ended, by SIGTERM: %v, during a write: %v\n", e.at.Seconds(), e.graceful, e.duringWrite)
 	}
 	fmt.Fprintf(&b, "%6.3f to %6.3f s the second destination hangs\n", p.hang[0].Seconds(), p.hang[1].Seconds())
 	return b.String()
 }
 
-// Whatever fails for a moment, a message that was taken on is delivered or reported in time, nothing is forwarded after
-// its end, every request that was read is answered, and the node stays up.
+// While system calls fail temporarily, every accepted message is delivered or reported in time, no message is forwarded
+// after its final answer, every request that was read is answered, and the node does not crash.
 func TestNoMessageIsLostUnderSyscallFaults(t *testing.T) { runFaultSeeds(t, 1, seedCount) }
 
-// The same by hand, on seeds of one's own.
+// The same test, run by hand with seeds given by flags.
 func TestSoakWhileCallsFail(t *testing.T) {
 	if *faultSeeds == 0 {
-		t.Skip("by hand, with -faults.seeds and -faults.seed")
+		t.Skip("run by hand with -faults.seeds and -faults.seed")
 	}
 	runFaultSeeds(t, *faultSeed, *faultSeeds)
 }
@@ -151,7 +151,7 @@
 	}
 }
 
-// faultPlay is one node with its platform, two destinations of two endpoints each, and a ledger.
+// faultScenario is one node with a fake platform, two destinations of two endpoints each, and a ledger.
 type faultScenario struct {
 	ledger   *faultLedger
 	schedule *faultSchedule
@@ -159,7 +159,8 @@
 	node     *faultyNode
 }
 
-// newFaultPlay starts one whose endpoints answer as replies says for the number of their destination.
+// newFaultScenario starts a scenario. replies returns, for the number of a destination, the function that chooses the
+// replies of one of its endpoints.
 func newFaultScenario(t *testing.T, seed uint64, faults []*injectedFault, replies func(l *faultLedger, dest int) func() reply) *faultScenario {
 	t.Helper()
 	l := newFaultLedger()
@@ -177,7 +178,7 @@
 	return &faultScenario{l, s, p, newFaultyNode(t, p, state, faultSettings, s.decide, l)}
 }
 
-// playFaults plays one node with clients and endpoints through the plan.
+// runFaultScenario runs one node with clients and endpoints through the plan and checks the ledger.
 func runFaultScenario(t *testing.T, seed uint64, plan faultPlan) {
 	t.Helper()
 	endpoints := uint64(0)
@@ -206,29 +207,30 @@
 	clients.Wait()
 	time.Sleep(quietDuration)
 	if !n.isRunning() {
-		l.recordViolation("crash", "the process has ended")
+		l.recordViolation("crash", "the process has exited")
 	}
 	violations := l.verify()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t.Logf("%v\n%v\nthe play itself was held up for %v at the most, its injector for %v, %d answers were interrupted",
+	t.Logf("%v\n%v\nlongest stall of the test process %v, of the fault injector %v; %d answers were interrupted",
 		plan, l.counts, longestStall(), n.injector.Slowest(), n.injector.Interrupted())
 	if l.counts["delivered"] < 100 || l.counts["reported failed"]+l.counts["reported returned"] == 0 {
-		t.Error("no verdict: too little was seen")
+		t.Error("no verdict: too few messages were delivered or reported")
 	}
 	for _, b := range violations[:min(len(violations), 5)] {
 		t.Error(b)
 	}
 	if len(violations) > 0 {
-		t.Errorf("%d rules broken", len(violations))
+		t.Errorf("%d rule violations", len(violations))
 		if raw, err := os.ReadFile(n.log); err == nil {
 			kept := filepath.Join(os.TempDir(), fmt.Sprintf("faults-seed-%d.log", seed))
-			t.Logf("the node's log is in %s: %v", kept, os.WriteFile(kept, raw, 0o600))
+			t.Logf("writing the node's log to %s: %v", kept, os.WriteFile(kept, raw, 0o600))
 		}
 	}
 }
 
-// watchForStalls begins to watch how long this process does not run, and returns what tells the longest time so far.
+// monitorStalls starts to measure how long this process is not scheduled, and returns a function that returns the
+// longest such time so far.
 func monitorStalls(t *testing.T) func() time.Duration {
 	var longest atomic.Int64
 	const tick = 5 * time.Millisecond
@@ -245,7 +247,7 @@
 
 const (
 	pingInterval   = 50 * time.Millisecond
-	maxPingSilence = 600 * time.Millisecond // more than any fault keeps a node that runs from answering PING
+	maxPingSilence = 600 * time.Millisecond // longer than any fault keeps a running node from answering PING
 )
 
 // watchForSilence begins to ask the node whether it is there. Where it runs and does not answer, it logs what each of
@@ -268,7 +270,7 @@
 	}()
 }
 
-// chooser draws an endpoint's replies.
+// replyChooser returns a function that draws an endpoint's replies at random.
 func replyChooser(l *faultLedger, plan faultPlan, dest int, seed uint64) func() reply {
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(seed, 3))
@@ -295,7 +297,7 @@
 	}
 }
 
-// faultClient hands messages in on one connection, as the platform's clients do.
+// faultClient submits messages one after the other on one connection, like the platform's clients.
 type faultClient struct {
 	n      *faultyNode
 	l      *faultLedger
@@ -304,7 +306,7 @@
 
 	nc       net.Conn
 	br       *bufio.Reader
-	answered bool // it has been answered on this connection
+	answered bool // a request has been answered on this connection
 }
 
 func (c *faultClient) run() {
@@ -320,7 +322,7 @@
 		c.submit(id, class, ttl, testkit.EnqueueRequest(id, fields, strings.Repeat("b", c.rng.IntN(600))))
 		pause := time.Duration(10+c.rng.IntN(60)) * time.Millisecond
 		if c.rng.IntN(100) == 0 {
-			pause = 2200*time.Millisecond + time.Duration(c.rng.IntN(20)-10)*time.Millisecond // where idle connections end
+			pause = 2200*time.Millisecond + time.Duration(c.rng.IntN(20)-10)*time.Millisecond // around the time when the node closes idle connections
 		}
 		time.Sleep(pause)
 	}
@@ -333,13 +335,13 @@
 	c.nc, c.answered = nil, false
 }
 
-// handIn hands one message in, once more on a new connection if an old one has ended meanwhile.
+// submit submits one message. If a reused connection has ended, it tries again on a new one.
 func (c *faultClient) submit(id, class string, ttl time.Duration, request string) {
 	for {
 		if c.nc == nil {
 			nc, err := net.DialTimeout("tcp", c.n.addr, clientTimeout)
 			if err != nil {
-				return // nobody is there
+				return // the node is down
 			}
 			c.nc, c.br, c.answered = nc, bufio.NewReader(nc), false
 		}
@@ -362,15 +364,15 @@
 			c.answered = true
 			return
 		case netErr != nil && netErr.Timeout():
-			c.l.recordEvent(id, "its client has waited long enough")
+			c.l.recordEvent(id, "its client timed out")
 			c.disconnect()
 			return
 		}
 		c.disconnect()
-		time.Sleep(20 * time.Millisecond) // a kill is noted by then
+		time.Sleep(20 * time.Millisecond) // by then, a kill is recorded in the ledger
 		switch {
 		case reused:
-			c.l.recordEvent(id, "the old connection has ended: %v", err)
+			c.l.recordEvent(id, "the reused connection has ended: %v", err)
 			continue
 		case written && !c.l.restartedSince(began):
 			c.l.recordClosedConnection(id, err)
--- a/cmd/harrierramp/imports_test.go
+++ b/cmd/harrierramp/imports_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// docs/architecture.md lists the packages from the programs down; an import that goes up, or a package that is not in
-// the list, is a fault of the one or the other.
+// docs/architecture.md lists the packages in layers, from the programs down. Each package must be listed, and must only
+// import packages of lower layers.
 func TestImportsFollowLayers(t *testing.T) {
 	page, err := os.ReadFile("../../docs/architecture.md")
 	if err != nil {
@@ -47,7 +47,7 @@
 		}
 		for _, i := range f.Imports {
 			if to, ok := strings.CutPrefix(strings.Trim(i.Path.Value, `"`), "harrierramp/"); ok && row[to] <= row[from] && row[to] > 0 && to != from {
-				t.Errorf("%s imports %s, which stands above it or beside it", file, to)
+				t.Errorf("%s imports %s, which is in a higher layer or in the same one", file, to)
 			}
 		}
 	}
--- a/cmd/harrierramp/main_test.go
+++ b/cmd/harrierramp/main_test.go
@@ -24,7 +24,7 @@
 
 const childEnv = "TEST_CHILD_OF_HARRIERRAMP"
 
-// TestMain is the node itself when a test starts this binary as a child.
+// TestMain runs the program itself instead of the tests if a test has started this binary as a child process.
 func TestMain(m *testing.M) {
 	if sysfault.Requested() {
 		fmt.Fprintln(os.Stderr, sysfault.Exec("/proc/self/exe", os.Args))
@@ -36,10 +36,10 @@
 	testscript.Main(m, map[string]func(){"harrierramp": main})
 }
 
-// fakeDiscovery tells of the watches and the notices that reach it.
+// fakeDiscovery is a stand-in for the discovery service. It passes on the watches and the notices that reach it.
 type fakeDiscovery struct {
 	*httptest.Server
-	watches chan string // the revision after which changes are asked for
+	watches chan string // the revision after which the watch requests changes
 	notices chan string
 }
 
@@ -69,7 +69,7 @@
 	return d
 }
 
-// writeConfig puts a configuration in the place of the old one.
+// writeConfig atomically replaces the configuration file.
 func writeConfig(t *testing.T, path, discovery string) {
 	t.Helper()
 	text := fmt.Sprintf(`{"name":"n","listen":"127.0.0.1:0","discovery":%q,"seed":"1",
@@ -92,13 +92,13 @@
 	case v := <-from:
 		return v
 	case <-time.After(waitTimeout):
-		t.Fatalf("never: %s", what)
+		t.Fatalf("did not happen within waitTimeout: %s", what)
 		return ""
 	}
 }
 
-// A replaced configuration and SIGHUP move discovery, notices too, and do not end the node; nor does a file
-// that can't be read.
+// After the configuration was replaced, SIGHUP switches the node to the new discovery address, for notices too, without
+// ending it. SIGHUP with a configuration that can't be parsed does not end the node either.
 func TestSIGHUPSwitchesDiscoveryAddress(t *testing.T) {
 	const draining = `{"id":"e","host_port":"127.0.0.1:9","locality":"z","flavor":"m","cell":7,"phase":"DRAINING","size":1}`
 	before := newFakeDiscovery(t, `{"revision":41,"complete":true,"members":[`+draining+`]}`)
@@ -121,7 +121,7 @@
 	}
 	_, addr, found := strings.Cut(strings.TrimSpace(line), " addr=")
 	if !found || !strings.Contains(line, " event=serving ") {
-		t.Fatalf("the log begins with %q", line)
+		t.Fatalf("the first log line is %q, want the event serving with its address", line)
 	}
 	drained := make(chan struct{})
 	go func() {
@@ -131,7 +131,7 @@
 	t.Cleanup(func() {
 		cmd.Process.Kill()
 		<-drained
-		cmd.Wait() // its error says that it was killed
+		cmd.Wait() // its error reports the kill
 	})
 	receive(t, "a watch", before.watches)
 	send := func(text string) string {
@@ -154,9 +154,9 @@
 		return strings.TrimSpace(line)
 	}
 	const enqueue = "*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$1\r\na\r\n$22\r\nc=status,d=3000,dest=7\r\n$1\r\nb\r\n"
-	for end := time.Now().Add(waitTimeout); send(enqueue) != "+OK"; time.Sleep(time.Millisecond) { // the list has come
+	for end := time.Now().Add(waitTimeout); send(enqueue) != "+OK"; time.Sleep(time.Millisecond) { // until the list has arrived
 		if time.Now().After(end) {
-			t.Fatal("the message is not taken on")
+			t.Fatal("the message is not accepted within waitTimeout")
 		}
 	}
 
@@ -174,7 +174,7 @@
 		t.Fatal(err)
 	}
 	if got := receive(t, "a watch at the new address", after.watches); got != "41" {
-		t.Errorf("changes after %q are asked for", got)
+		t.Errorf("the watch requests changes after revision %q, want 41", got)
 	}
 	if got := receive(t, "the notice", after.notices); !strings.Contains(got, `"id":"a"`) {
 		t.Errorf("the notice is %q", got)
@@ -184,7 +184,7 @@
 	}
 }
 
-// The commands, their faults included, as scripts; see testdata.
+// Runs the commands, including their error cases, as the scripts in testdata.
 func TestCommandScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata",
@@ -194,7 +194,7 @@
 			return nil
 		},
 		Cmds: map[string]func(ts *testscript.TestScript, neg bool, args []string){
-			// exits N COMMAND runs a command that has to end with that status.
+			// "exits N COMMAND" runs a command that must end with exit status N.
 			"exits": func(ts *testscript.TestScript, _ bool, args []string) {
 				want, err := strconv.Atoi(args[0])
 				ts.Check(err)
@@ -203,15 +203,15 @@
 					got = bad.ExitCode()
 				}
 				if got != want {
-					ts.Fatalf("status %d, want %d", got, want)
+					ts.Fatalf("exit status %d, want %d", got, want)
 				}
 			},
 		},
 	})
 }
 
-// A second process on a running node's folder, or on its addresses, says so in one line and changes nothing; the first
-// goes on.
+// A second process on the state directory or the address of a running node exits with a one-line error and changes
+// nothing; the first keeps running.
 func TestSecondProcessOnStateDirIsRefused(t *testing.T) {
 	list := newFakeDiscovery(t, `{"revision":2,"complete":true,"members":[]}`)
 	path, state := filepath.Join(t.TempDir(), "config.json"), t.TempDir()
@@ -241,10 +241,10 @@
 	t.Cleanup(func() {
 		first.Process.Kill()
 		<-ended
-		first.Wait() // its error says that it was killed
+		first.Wait() // its error reports the kill
 	})
 	_, addr, _ := strings.Cut(strings.TrimSpace(line), " addr=")
-	receive(t, "the first is there", list.watches)
+	receive(t, "the watch of the first process", list.watches)
 	files := func() string {
 		names, err := os.ReadDir(state)
 		if err != nil {
@@ -266,11 +266,11 @@
 		}
 	}
 	if after := files(); after != before {
-		t.Errorf("the folder had %s, and has %s", before, after)
+		t.Errorf("the state directory contained %s, and now contains %s", before, after)
 	}
 	nc, err := net.DialTimeout("tcp", addr, waitTimeout)
 	if err != nil {
-		t.Fatal("the first is gone: ", err)
+		t.Fatal("the first process does not accept connections any more: ", err)
 	}
 	nc.Close()
 }
--- a/cmd/harrierramp/registry_test.go
+++ b/cmd/harrierramp/registry_test.go
@@ -19,9 +19,10 @@
 	"time"
 )
 
+// waitTimeout is how long a test waits for something before it fails.
 const waitTimeout = 60 * time.Second
 
-// child is a process of a test, on its own folder, that can be killed and started again.
+// childProcess is a process that a test can kill and start again with the same arguments and environment.
 type childProcess struct {
 	t    *testing.T
 	path string
@@ -51,12 +52,12 @@
 	}
 	c.cmd.Process.Kill()
 	c.log.Wait()
-	c.cmd.Wait() // its error says that it was killed
+	c.cmd.Wait() // its error reports the kill
 	c.cmd = nil
 }
 
-// freeAddrs are addresses for processes that are killed and started again on them. They lie below the ports that the
-// system gives out by itself, so that no connection takes one meanwhile.
+// freeAddrs returns addresses for processes that are restarted on them. Their ports are below the range of ephemeral
+// ports, so that no outgoing connection takes one while its process is down.
 func freeAddrs(t *testing.T, count int) []string {
 	t.Helper()
 	var out []string
@@ -78,12 +79,12 @@
 	t.Helper()
 	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("did not happen within waitTimeout: %s", what)
 		}
 	}
 }
 
-// ask makes a call on a connection of its own.
+// httpCall makes an HTTP request on a new connection and returns the status and body of the response.
 func httpCall(method, url, body string) (int, string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -101,15 +102,15 @@
 	return resp.StatusCode, string(raw), err
 }
 
-// ledger is what the test's own clients and endpoints saw.
+// trafficLog records what the test's clients and endpoints observed.
 type trafficLog struct {
 	mu                   sync.Mutex
 	accepted             map[string]bool
 	delivered            map[string]int
-	callsAfterWithdrawal []string // calls at an endpoint that had been withdrawn for longer than the grace
+	callsAfterWithdrawal []string // IDs of endpoints that were called after they had been withdrawn for longer than the grace period
 }
 
-// endpoint is a stand-in that takes calls, and that registers and renews at whichever server is the primary.
+// fakeEndpoint is a stand-in endpoint that answers calls, and keeps itself registered with the primary list server.
 type fakeEndpoint struct {
 	t       *testing.T
 	id      string
@@ -119,13 +120,13 @@
 	done    sync.WaitGroup
 
 	mu            sync.Mutex
-	registrations int // registrations
+	registrations int // number of successful registrations
 	withdrawnAt   time.Time
 }
 
 const (
-	stopSendingWithin = 250 * time.Millisecond // as the settings below say
-	propagationSlack  = 2 * time.Second        // until a node has heard; the protocol says 6 s at the most
+	stopSendingWithin = 250 * time.Millisecond // as in the settings of nodeConfig
+	propagationSlack  = 2 * time.Second        // time for a node to learn of a withdrawal; the protocol allows at most 6 s
 )
 
 func newFakeEndpoint(t *testing.T, id string, servers []string, l *trafficLog) *fakeEndpoint {
@@ -160,8 +161,8 @@
 	return e
 }
 
-// renew holds the lease as an instance should: it registers when nobody knows it, and asks the next server when one
-// is out or not the primary.
+// maintainLease renews the endpoint's lease as an instance should: it registers if the server does not know it, and
+// tries the next server if one is down or not the primary.
 func (e *fakeEndpoint) maintainLease(ctx context.Context) {
 	at := 0
 	for ctx.Err() == nil {
@@ -192,7 +193,8 @@
 	return e.registrations > 0
 }
 
-// withdraw takes the endpoint off the list. It goes on taking calls, to tell of those that should not come.
+// withdraw removes the endpoint from the list. The endpoint keeps answering calls, to detect those that should not be
+// made any more.
 func (e *fakeEndpoint) withdraw() {
 	e.t.Helper()
 	e.stop()
@@ -210,7 +212,7 @@
 	e.withdrawnAt = time.Now()
 }
 
-// enqueue hands messages to a node for as long as ctx lives, one after the other, and notes those taken on.
+// sendMessages sends messages to a node one after the other until ctx ends, and records those that the node accepts.
 func sendMessages(ctx context.Context, node, addr string, l *trafficLog) {
 	var nc net.Conn
 	var answers *bufio.Reader
@@ -236,7 +238,7 @@
 		if err == nil {
 			line, err = answers.ReadString('\n')
 		}
-		if err != nil { // the node is gone; whether it took the message on is not known
+		if err != nil { // the node is down, and may or may not have accepted the message
 			nc.Close()
 			nc = nil
 			continue
@@ -275,8 +277,9 @@
 	return path
 }
 
-// Three real nodes deliver while the list service is killed, started again and promoted, its old primary returns,
-// and all of it is down while a node starts: nothing taken on is lost, and nothing goes to a withdrawn endpoint.
+// Three real nodes keep delivering while list servers are killed, restarted and promoted, while an old primary returns,
+// and while all list servers are down and a node starts. No accepted message may be lost, and no withdrawn endpoint may
+// be called after its grace period.
 func TestNodesDeliverWhileTheListServiceFails(t *testing.T) {
 	addrs := freeAddrs(t, 7)
 	servers, consoles, clients := addrs[:2], addrs[2:4], addrs[4:]
@@ -316,7 +319,8 @@
 		c.start()
 		senders.Go(func() { sendMessages(sending, name, addr, l) })
 	}
-	// flows waits until each node has delivered some more, and so works with what the test has just done.
+	// awaitDeliveries waits until each node has delivered 20 more messages, which shows that it works after the last
+	// step.
 	awaitDeliveries := func(during string) {
 		t.Helper()
 		count := func() map[string]int {
@@ -330,7 +334,7 @@
 			return by
 		}
 		before := count()
-		eventually(t, "all nodes deliver "+during, func() bool {
+		eventually(t, "deliveries by all nodes "+during, func() bool {
 			now := count()
 			for i := range nodes {
 				if name := fmt.Sprintf("n%d", i); now[name] < before[name]+20 {
@@ -341,7 +345,7 @@
 		})
 	}
 	awaitDeliveries("at first")
-	serversInSync := func() bool { // as an operator sees to before anything is done to a server
+	serversInSync := func() bool { // operators wait for this before they act on a server
 		statuses := map[string]bool{}
 		for _, addr := range servers {
 			var st struct{ Revision int64 }
@@ -353,7 +357,7 @@
 		}
 		return len(statuses) == 1
 	}
-	eventually(t, "the follower has the list", serversInSync)
+	eventually(t, "the servers have the same revision of the list", serversInSync)
 
 	services[0].kill()
 	awaitDeliveries("while the primary is down")
@@ -361,7 +365,7 @@
 	addEndpoint("e5")
 	endpoints["e1"].withdraw()
 	awaitDeliveries("after the primary's restart")
-	eventually(t, "the follower has the list", serversInSync)
+	eventually(t, "the servers have the same revision of the list", serversInSync)
 
 	services[0].kill()
 	eventually(t, "the promotion", func() bool {
@@ -372,29 +376,29 @@
 	endpoints["e2"].withdraw()
 	awaitDeliveries("after the promotion")
 
-	services[0].start() // the old primary, with a list that is no longer true
-	eventually(t, "the old primary follows", func() bool {
+	services[0].start() // the old primary, with an outdated list
+	eventually(t, "the old primary becomes a follower", func() bool {
 		_, said, err := httpCall("GET", "http://"+servers[0]+"/registry/status", "")
 		return err == nil && strings.Contains(said, `"role":"follower"`) && strings.Contains(said, `"primary":"`+servers[1])
 	})
-	eventually(t, "it has the list", serversInSync)
+	eventually(t, "the old primary has the current list", serversInSync)
 	awaitDeliveries("with the old primary back")
 	services[1].kill()
 	awaitDeliveries("from the old primary as a follower")
 	services[0].kill()
 	nodes[0].kill()
 	nodes[0].start()
-	awaitDeliveries("with no list server, one node started anew")
+	awaitDeliveries("with no list server and one node restarted")
 	services[1].start()
 	services[0].start()
 
-	// Traffic goes on for long enough to tell whether a withdrawn endpoint still gets some.
+	// Traffic continues long enough to detect calls to a withdrawn endpoint after its grace period.
 	time.Sleep(time.Until(endpoints["e2"].withdrawnAt.Add(stopSendingWithin + propagationSlack + time.Second)))
-	awaitDeliveries("at last")
+	awaitDeliveries("at the end")
 	stopTraffic()
 	senders.Wait()
 	reported := map[string]bool{}
-	eventually(t, "every message taken on is delivered, or its end is told", func() bool {
+	eventually(t, "every accepted message is delivered or its final answer is reported", func() bool {
 		for _, s := range servers {
 			collectNotices(s, reported)
 		}
@@ -410,19 +414,19 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.callsAfterWithdrawal) > 0 {
-		t.Errorf("%d calls after the grace at withdrawn endpoints: %v", len(l.callsAfterWithdrawal), l.callsAfterWithdrawal[:min(5, len(l.callsAfterWithdrawal))])
+		t.Errorf("%d calls to withdrawn endpoints after the grace period: %v", len(l.callsAfterWithdrawal), l.callsAfterWithdrawal[:min(5, len(l.callsAfterWithdrawal))])
 	}
 	if len(reported) > len(l.accepted)/20 {
-		t.Errorf("%d of %d messages were not delivered", len(reported), len(l.accepted))
+		t.Errorf("%d of %d accepted messages were not delivered, want at most 5%%", len(reported), len(l.accepted))
 	}
-	t.Logf("%d messages taken on, %d of them not delivered and said so; none at a withdrawn endpoint after its grace", len(l.accepted), len(reported))
+	t.Logf("%d messages accepted, %d of them reported as not delivered", len(l.accepted), len(reported))
 }
 
-// noticesAt notes the messages whose end nodes have told a server.
+// collectNotices adds the messages whose final answer nodes have reported to a list server.
 func collectNotices(server string, noticed map[string]bool) {
 	_, page, err := httpCall("GET", "http://"+server+"/reports", "")
 	if err != nil {
-		return // asked again
+		return // the caller tries again
 	}
 	for line := range strings.Lines(page) {
 		var n struct {
--- a/cmd/harrierramp/shutdown_test.go
+++ b/cmd/harrierramp/shutdown_test.go
@@ -17,15 +17,15 @@
 	"harrierramp/internal/testkit"
 )
 
-// held is a list whose one endpoint takes nothing new, so that messages for it are held.
+// drainingEndpointList is a list whose only endpoint is draining, so that messages for it stay queued.
 const drainingEndpointList = `{"revision":41,"complete":true,"members":[{"id":"e","host_port":"127.0.0.1:9","locality":"z","flavor":"m","cell":7,"phase":"DRAINING","size":1}]}`
 
-// leaver is a node as the platform starts it, which is told to leave.
+// stoppingNode is a node, started as the platform does it, which the test tells to shut down.
 type stoppingNode struct {
 	cmd        *exec.Cmd
 	addr       string
 	state      string
-	configPath string // of its configuration
+	configPath string
 	exited     chan error
 }
 
@@ -35,7 +35,7 @@
 	writeConfig(t, l.configPath, d.Listener.Addr().String())
 	l.cmd = exec.Command(os.Args[0])
 	l.cmd.Env = append(os.Environ(), childEnv+"=1", "ROUTER_CONFIG="+l.configPath, "ROUTER_STATE="+l.state,
-		"GORACE=atexit_sleep_ms=0") // the race detector sleeps for a second at the end
+		"GORACE=atexit_sleep_ms=0") // otherwise the race detector sleeps for a second at the exit
 	log, err := l.cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -56,7 +56,7 @@
 	t.Cleanup(func() { l.cmd.Process.Kill() })
 	for end := time.Now().Add(waitTimeout); testkit.Exchange(t, l.addr, enqueueFor("first", 60000)) != "+OK"; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the list does not come")
+			t.Fatal("no message is accepted within waitTimeout")
 		}
 	}
 	return l
@@ -73,20 +73,20 @@
 	}
 }
 
-// leaves waits for the end, which is to be a good one and before SIGKILL would come.
+// awaitExit waits for the process to end. It must end without an error and before the platform would send SIGKILL.
 func (l *stoppingNode) awaitExit(t *testing.T, signaled time.Time) {
 	t.Helper()
 	select {
 	case err := <-l.exited:
 		if took := time.Since(signaled); err != nil || took > 3700*time.Millisecond {
-			t.Errorf("it ends after %v, %v", took, err)
+			t.Errorf("the process ended %v after the signal with error %v, want no error within 3.7 s", took, err)
 		}
 	case <-time.After(waitTimeout):
-		t.Fatal("it does not end")
+		t.Fatal("the process does not end within waitTimeout")
 	}
 }
 
-// owed is what the journal has for the next start.
+// owedMessages returns the IDs of the messages that the journal holds for the next start.
 func (l *stoppingNode) owedMessages(t *testing.T) map[string]bool {
 	t.Helper()
 	j, err := journal.Read(l.state)
@@ -102,8 +102,8 @@
 	return ids
 }
 
-// While a node leaves, a second SIGTERM changes nothing, a new configuration is taken, clients are answered, and what
-// ends in that time is told at the new address.
+// While a node shuts down, a second SIGTERM has no effect, a new configuration is applied, clients are answered, and
+// notices of messages that end meanwhile go to the new address.
 func TestSignalsDuringShutdown(t *testing.T) {
 	t.Parallel()
 	before, after := newFakeDiscovery(t, drainingEndpointList), newFakeDiscovery(t, "")
@@ -123,7 +123,7 @@
 	}
 	l.awaitExit(t, signaled)
 	if owed := l.owedMessages(t); len(owed) != 3 || !owed["first"] || !owed["second"] || !owed["third"] {
-		t.Errorf("the next start finds %v", owed)
+		t.Errorf("the journal holds %v for the next start, want first, second and third", owed)
 	}
 }
 
@@ -143,7 +143,7 @@
 		}
 		signaled := time.Now()
 		l.signal(t, syscall.SIGTERM)
-		time.Sleep(time.Until(signaled.Add(2500 * time.Millisecond))) // it ends connections 2.7 s after the signal
+		time.Sleep(time.Until(signaled.Add(2500 * time.Millisecond))) // the node closes connections 2.7 s after the signal
 		l.signal(t, syscall.SIGSTOP)
 		for i, nc := range conns {
 			if _, err := io.WriteString(nc, enqueueFor(fmt.Sprint("late", i), 60000)); err != nil {
@@ -158,7 +158,7 @@
 		answered := map[string]bool{}
 		for i, br := range readers {
 			text, err := io.ReadAll(br)
-			if err != nil && !kill { // a process that is killed can't see to what it has not read
+			if err != nil && !kill { // after a kill, the system resets connections with unread requests
 				t.Errorf("connection %d: %v", i, err)
 			}
 			if string(text) == "+OK\r\n" {
@@ -173,12 +173,12 @@
 		owed := l.owedMessages(t)
 		for id := range answered {
 			if !owed[id] {
-				t.Errorf("%s was taken on, and the next start does not find it", id)
+				t.Errorf("%s was accepted, but is missing from the journal", id)
 			}
 		}
 		for id := range owed {
 			if strings.HasPrefix(id, "late") && !answered[id] && !kill {
-				t.Errorf("%s was not answered, and the next start finds it", id)
+				t.Errorf("%s was not answered, but is in the journal", id)
 			}
 		}
 	}
--- a/cmd/harrierramp/size_test.go
+++ b/cmd/harrierramp/size_test.go
@@ -59,7 +59,7 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	// Its own descriptors are bounded as the platform does it.
+	// Limits the file descriptors of the node as the platform does.
 	cmd := exec.Command("/bin/sh", "-c", "ulimit -n 256; exec "+program)
 	cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+path, "ROUTER_STATE="+t.TempDir())
 	log, err := cmd.StderrPipe()
@@ -87,14 +87,14 @@
 	}()
 	_, addr, _ := strings.Cut(strings.TrimSpace(line), " addr=")
 	if got := testkit.Exchange(t, addr, testkit.EncodeRESP("PING")); got != "+PONG" {
-		t.Fatalf("PING is answered %q by %q", got, line)
+		t.Fatalf("PING is answered with %q; the first log line is %q", got, line)
 	}
 	ready := time.Since(began)
 	want := map[string]bool{}
 	for i := range size {
 		id := fmt.Sprintf("%016x", i)
 		if got := testkit.Exchange(t, addr, testkit.EnqueueRequest(id, fmt.Sprintf("c=status,d=60000,dest=%d", i), "b")); got != "+OK" {
-			t.Fatalf("the message for destination %d is answered %q", i, got)
+			t.Fatalf("the message for destination %d is answered with %q", i, got)
 		}
 		want[id] = true
 	}
@@ -110,8 +110,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("ready after %v; %d messages delivered after %v; %.1f MB at the most", ready, size, time.Since(began), float64(kb)/1024)
+	t.Logf("ready after %v; %d messages delivered after %v; peak memory %.1f MB", ready, size, time.Since(began), float64(kb)/1024)
 	if kb > maxMB<<10 {
-		t.Errorf("%.1f MB at the most, of %d", float64(kb)/1024, maxMB)
+		t.Errorf("peak memory is %.1f MB, want at most %d MB", float64(kb)/1024, maxMB)
 	}
 }
