--- a/cmd/harrierramp/constants_test.go
+++ b/cmd/harrierramp/constants_test.go
@@ -13,7 +13,7 @@
 	"testing"
 )
 
-// noFigures lists, by package, the constants that docs/constants.md leaves out: formats and exit statuses, which are no
+// noFigures lists, by package, the constants that docs/constants.md leaves out: formats and exit statuses, which are not
 // times, counts or shares.
 var noFigures = map[string]string{
 	"choice":              "datagramRequest datagramGrant datagramCallEnd datagramHandOver datagramOutage maxDatagramSize",
--- a/cmd/harrierramp/faultledger_test.go
+++ b/cmd/harrierramp/faultledger_test.go
@@ -87,7 +87,7 @@
 	defer l.mu.Unlock()
 	m := l.message(id)
 	m.addEvent(l.now(), "its client is answered %q", line)
-	l.counts["client hears "+strings.Fields(line + " ?")[0]]++
+	l.counts["client is told "+strings.Fields(line + " ?")[0]]++
 	switch {
 	case strings.HasPrefix(line, "+"):
 		m.accepted = true
--- a/cmd/harrierramp/faultnode_test.go
+++ b/cmd/harrierramp/faultnode_test.go
@@ -35,8 +35,8 @@
 	startTimeout    = 10 * time.Second        // from the start until the node answers PING
 )
 
-// faultyNode is a real process on loopback whose system calls a schedule decides on. It starts again after it has
-// ended.
+// faultyNode is a real node process on loopback. The function decide determines the outcome of its system calls. The
+// process can be restarted on the same state directory.
 type faultyNode struct {
 	t      *testing.T
 	config string
--- a/cmd/harrierramp/faults_test.go
+++ b/cmd/harrierramp/faults_test.go
@@ -162,8 +162,8 @@
 	}
 }
 
-// A notice is due 300 ms after its message's time. Whatever kept it from being told until 20 ms before that, it is
-// told.
+// A notice is due 300 ms after its message's deadline. It must be on time even if connections failed until shortly
+// before, up to 270 ms after the deadline.
 func TestNoticesAreOnTimeAfterConnectionFailures(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
--- a/cmd/harrierramp/faultscenario_test.go
+++ b/cmd/harrierramp/faultscenario_test.go
@@ -45,8 +45,8 @@
 	"limits":{"cancel":true,"connIdle":5000,"dialTimeout":500,"maxAttempts":12,"maxOpen":400,"maxRetryAfter":1000,"mayDuplicate":true,"retryAfter":true},
 	"tick":5,"weights":"rough"}`
 
-// faultKinds are what may be wrong for a while. Sockets fail for a moment only: a notice that needs a new connection
-// has 300 ms. The lasting folder may fail for longer.
+// faultKinds are the faults that a scenario draws from, with their shortest and longest duration. Socket faults are
+// short, because a notice that needs a new connection has 300 ms. Faults of the state directory may last longer.
 var faultKinds = []struct {
 	name        string
 	least, most time.Duration
@@ -250,8 +250,9 @@
 	maxPingSilence = 600 * time.Millisecond // longer than any fault keeps a running node from answering PING
 )
 
-// watchForSilence begins to ask the node whether it is there. Where it runs and does not answer, it logs what each of
-// its threads waits for, and has the node write down its goroutines, which ends it.
+// monitorResponsiveness starts to ping the node. If a running node does not answer for maxPingSilence, it records a
+// violation with what each of the node's threads is waiting for, and sends SIGQUIT, which makes the node print its
+// goroutines and exit.
 func monitorResponsiveness(t *testing.T, scenario *faultScenario) {
 	go func() {
 		for lastAnswer := time.Now(); t.Context().Err() == nil; time.Sleep(pingInterval) {
--- a/cmd/harrierramp/shutdown_test.go
+++ b/cmd/harrierramp/shutdown_test.go
@@ -127,9 +127,10 @@
 	}
 }
 
-// A node that does not run in the moment in which it is to end its clients' connections finds requests on all of them
-// and the end of their time, in whatever order. Each client reads an answer or an end, never a reset, and what it was
-// told is what the next start finds.
+// Guards against resets and lost messages when a shutting-down node is not scheduled at the moment when it should close
+// its clients' connections. It then finds unread requests on all connections together with the expired timer, in any
+// order. Each client must read an answer or an end of stream, never a reset, and the journal must hold exactly the
+// messages that were accepted.
 func TestUnreadRequestsAtShutdownAreNotReset(t *testing.T) {
 	t.Parallel()
 	for _, kill := range []bool{false, true} {
--- a/cmd/harrierramp/size_test.go
+++ b/cmd/harrierramp/size_test.go
@@ -18,9 +18,10 @@
 	"harrierramp/internal/testkit"
 )
 
-// A node with 1,024 peers and 1,024 endpoints, each of a destination of its own and with names of the platform's
-// length, starts within the least limits that the platform gives, 32 MB and 256 descriptors, and delivers. The program
-// is built anew: one with the race detector in it takes many times the memory.
+// A node with 1,024 peers and 1,024 endpoints starts and delivers within the smallest limits that the platform sets: 32
+// MB of memory and 256 file descriptors. Each endpoint has a destination of its own, and names are as long as the
+// platform's. The test builds the program itself, because a test binary with the race detector needs many times the
+// memory.
 func TestThousandPeersAndEndpointsFitMinimumLimits(t *testing.T) {
 	t.Parallel()
 	const size, maxMB = 1024, 32
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -47,8 +47,8 @@
 window = "1m"
 `
 
-// Both forms say the same to the module; what people leave out has its default, what the platform leaves out stays
-// zero.
+// The JSON and the TOML form of a configuration yield the same settings. A value left out of TOML has its default; a
+// value left out of the platform's JSON stays zero.
 func TestJSONAndTOMLLoadTheSameConfig(t *testing.T) {
 	fromJSON, err := Load(Sources{File: writeFile(t, "c.json", platformJSON), Env: func(name string) string {
 		return map[string]string{"ROUTER_STATE": "/s"}[name]
