--- a/cmd/harrierramp/main_test.go
+++ b/cmd/harrierramp/main_test.go
@@ -26,7 +26,7 @@
 
 // TestMain runs the program itself instead of the tests if a test has started this binary as a child process.
 func TestMain(m *testing.M) {
-	if sysfault.Requested() {
+	if sysfault.ExecRequired() {
 		fmt.Fprintln(os.Stderr, sysfault.Exec("/proc/self/exe", os.Args))
 		os.Exit(1)
 	}
--- a/internal/cli/registry.go
+++ b/internal/cli/registry.go
@@ -39,7 +39,7 @@
 		Use: "registry", Short: "Run a list server, where instances register and whose list nodes follow", Args: noArgs,
 		Example: "  harrierramp registry --state /var/lib/registry --listen 127.0.0.1:8500 --console 127.0.0.1:8501 --bootstrap",
 		RunE: func(c *cobra.Command, _ []string) error {
-			if o.server.State == "" {
+			if o.server.StateDir == "" {
 				return usageError{errors.New("--state is required; see 'harrierramp registry --help'")}
 			}
 			log, _, err := logging.New(c.ErrOrStderr(), o.level, o.format)
@@ -52,18 +52,18 @@
 	f := c.Flags()
 	f.StringVar(&o.listen, "listen", "127.0.0.1:8500", "address for nodes, instances and other servers")
 	f.StringVar(&o.console, "console", "", "address of the HTTP API for operators; none if empty")
-	f.StringVar(&o.server.State, "state", "", "state directory, which persists across restarts; required")
+	f.StringVar(&o.server.StateDir, "state", "", "state directory, which persists across restarts; required")
 	f.StringSliceVar(&o.server.Peers, "servers", nil, "addresses of all servers, separated by commas, in the order of their numbers; empty for a single server")
 	f.IntVar(&o.server.Number, "number", 0, "this server's index in --servers, from 0")
 	f.BoolVar(&o.server.Bootstrap, "bootstrap", false, "begin a new list if the state directory is empty; for one server only")
-	f.Int64Var((*int64)(&o.server.After), "after-epoch", 0, "with --bootstrap: begin after this epoch, the last one that nodes know")
+	f.Int64Var((*int64)(&o.server.AfterEpoch), "after-epoch", 0, "with --bootstrap: begin after this epoch, the last one that nodes know")
 	f.DurationVar(&o.server.Coalesce, "coalesce", 20*time.Millisecond, "changes within this time are sent to nodes together")
 	f.IntVar(&o.server.MaxWatchers, "watchers", 4096, "maximum number of watches")
-	f.DurationVar(&o.server.Settle, "settle", 5*time.Second, "a new list is announced as incomplete for this long")
+	f.DurationVar(&o.server.SettleTime, "settle", 5*time.Second, "a new list is announced as incomplete for this long")
 	f.Float64Var(&o.server.StartRate, "start-rate", admission.DefaultRate,
 		"full lists per second that are sent to starting nodes; further nodes are told when to retry (0: no limit)")
 	f.Int64Var(&o.maxConns, "connections", 8192, "maximum number of connections")
-	f.Int64Var(&o.server.MaxReports, "report-bytes", 16<<20, "maximum size of the stored notices, in bytes")
+	f.Int64Var(&o.server.MaxReportBytes, "report-bytes", 16<<20, "maximum size of the stored notices, in bytes")
 	f.IntVar(&o.server.Options.MaxInstances, "instances", o.server.Options.MaxInstances, "maximum number of instances")
 	f.DurationVar(&o.server.Options.Grace, "grace", o.server.Options.Grace, "extension of all leases after a start or a promotion")
 	f.Float64Var(&o.server.Options.PreserveShare, "preserve-share", o.server.Options.PreserveShare,
@@ -74,7 +74,7 @@
 		if ip == nil {
 			return fmt.Errorf("%q is not an IP address", v)
 		}
-		o.server.Source = &net.TCPAddr{IP: ip}
+		o.server.SourceAddr = &net.TCPAddr{IP: ip}
 		return nil
 	})
 	f.StringVar(&o.level, "log-level", "info", "debug, info, warn or error")
@@ -110,7 +110,7 @@
 	}
 	err = open(o.listen, s.Handler(), o.maxConns)
 	if err == nil && o.console != "" {
-		err = open(o.console, s.Console(), maxRegistryConsoleConns)
+		err = open(o.console, s.OpsHandler(), maxRegistryConsoleConns)
 	}
 	if err != nil {
 		stop() // Run then returns at once, and the servers that are open are shut down
--- a/internal/node/duplicate_test.go
+++ b/internal/node/duplicate_test.go
@@ -9,13 +9,13 @@
 	"harrierramp/internal/ingress"
 )
 
-// A message that is handed in twice within one step is told the same twice: before, the second was told that it is taken on
-// while the first was refused, and nobody had it.
+// All submissions of a message within one step get the same answer. Once, the second was answered as accepted
+// while the first was refused, and the message was lost.
 func TestDuplicatesInOneStepGetSameAnswer(t *testing.T) {
 	for name, c := range map[string]struct {
 		life    time.Duration
 		refused bool
-	}{"taken on": {10 * time.Second, false}, "out of time": {time.Millisecond, true}} {
+	}{"accepted now": {10 * time.Second, false}, "past its deadline": {time.Millisecond, true}} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
 			cfg, err := loadConfig(writeConfig(t, "127.0.0.1:1", "127.0.0.1:1", memberJSON("e", "127.0.0.1:9", 7, "DRAINING")), dir)
@@ -41,11 +41,11 @@
 			n.processBatch(t.Context(), batch)
 			for i, r := range replies {
 				if got := <-r; got.Refused != c.refused {
-					t.Errorf("hand-in %d of 3 is told %+v", i+1, got)
+					t.Errorf("submission %d of 3 got %+v", i+1, got)
 				}
 			}
-			if held := n.messages["x"] != nil; held == c.refused {
-				t.Errorf("the node has the message: %v", held)
+			if open := n.messages["x"] != nil; open == c.refused {
+				t.Errorf("the node has the message: %v", open)
 			}
 		})
 	}
--- a/internal/registry/catalog_test.go
+++ b/internal/registry/catalog_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-const ttl = 10 * time.Second
+const leaseTTL = 10 * time.Second
 
 func instance(n int) Member {
 	return Member{
@@ -17,12 +17,12 @@
 			ID: fmt.Sprintf("s-%04d", n), Addr: fmt.Sprintf("10.0.%d.%d:80", n/250, 1+n%250), Locality: "a", Flavor: "m",
 			Cell: n % 7, Size: 1, UpSince: 1000,
 		},
-		Owner: fmt.Sprintf("p-%d", n), LeaseMS: ttl.Milliseconds(),
+		Owner: fmt.Sprintf("p-%d", n), LeaseMS: leaseTTL.Milliseconds(),
 	}
 }
 
-// newList is a catalog in its first epoch with so many instances registered at time 0.
-func newList(t *testing.T, count int) *Catalog {
+// newTestCatalog returns a catalog in its first epoch with count instances registered at time 0.
+func newTestCatalog(t *testing.T, count int) *Catalog {
 	t.Helper()
 	c := NewCatalog(DefaultOptions())
 	first, err := c.Promote(1, 0)
@@ -46,64 +46,64 @@
 	return l
 }
 
-// apply is what a server does with a list that could be written down.
+// apply applies a list as a server does after it was persisted.
 func (c *Catalog) apply(now time.Duration, l List) {
 	if l.Revision != 0 {
 		c.Apply(now, l)
 	}
 }
 
-func lapse1(c *Catalog, now time.Duration) int {
-	l := c.Lapse(now)
+func expireLeases(c *Catalog, now time.Duration) int {
+	l := c.Expire(now)
 	c.apply(now, l)
-	c.Lapsed(now, l)
+	c.RecordExpired(now, l)
 	return len(l.Members)
 }
 
-func TestALeaseThatIsNotRenewedLapses(t *testing.T) {
-	c := newList(t, 10)
-	for at := time.Second; at < 3*ttl; at += time.Second {
+func TestUnrenewedLeaseExpires(t *testing.T) {
+	c := newTestCatalog(t, 10)
+	for at := time.Second; at < 3*leaseTTL; at += time.Second {
 		for n := 1; n < 10; n++ {
 			if _, err := c.Renew(at, instance(n).ID, instance(n).Owner); err != nil {
 				t.Fatal(err)
 			}
 		}
 		before := c.Head()
-		gone := lapse1(c, at)
-		if want := at == ttl; (gone == 1) != want || gone > 1 {
-			t.Fatalf("%d lapsed at %v", gone, at)
+		expired := expireLeases(c, at)
+		if want := at == leaseTTL; (expired == 1) != want || expired > 1 {
+			t.Fatalf("%d leases expired at %v", expired, at)
 		}
-		if (c.Head() > before) != (gone > 0) {
-			t.Fatalf("revision %d after %d with %d lapsed", c.Head(), before, gone)
+		if (c.Head() > before) != (expired > 0) {
+			t.Fatalf("revision %d after %d with %d leases expired", c.Head(), before, expired)
 		}
 	}
-	if _, err := c.Renew(3*ttl, instance(0).ID, instance(0).Owner); !errors.Is(err, ErrUnknown) {
-		t.Errorf("a lapsed lease was renewed: %v", err)
+	if _, err := c.Renew(3*leaseTTL, instance(0).ID, instance(0).Owner); !errors.Is(err, ErrNotFound) {
+		t.Errorf("an expired lease was renewed: %v", err)
 	}
 }
 
-func TestARenewalAndAClaimSaidTwiceAreNoChange(t *testing.T) {
-	c := newList(t, 1)
+func TestRenewalAndRepeatedRegistrationAreNoChange(t *testing.T) {
+	c := newTestCatalog(t, 1)
 	if l := register(t, c, time.Second, instance(0)); l.Revision != 0 {
-		t.Errorf("a claim said again is revision %d", l.Revision)
+		t.Errorf("a repeated registration made revision %d", l.Revision)
 	}
-	if lapse1(c, ttl) != 0 {
-		t.Error("a claim said again does not renew")
+	if expireLeases(c, leaseTTL) != 0 {
+		t.Error("a repeated registration did not renew the lease")
 	}
 }
 
-// Two processes that claim an id: the second gets it only if it started later at the same address, or once the
-// lease of the first is over.
-func TestTwoClaimsOnAnID(t *testing.T) {
+// If two processes register the same id, the second gets it only if it started later at the same address, or after the
+// lease of the first has ended.
+func TestIDConflict(t *testing.T) {
 	other := instance(0)
 	other.Owner, other.Addr = "other", "10.9.9.9:80"
-	c := newList(t, 1)
-	var conflict *Conflict
+	c := newTestCatalog(t, 1)
+	var conflict *ConflictError
 	if _, err := c.Register(time.Second, 5000, other); !errors.As(err, &conflict) {
 		t.Fatalf("an id was taken from its owner: %v", err)
 	}
-	if conflict.After != ttl-time.Second {
-		t.Errorf("it falls free after %v", conflict.After)
+	if conflict.ExpiresIn != leaseTTL-time.Second {
+		t.Errorf("conflict ends after %v", conflict.ExpiresIn)
 	}
 	if _, err := c.Renew(time.Second, other.ID, other.Owner); !errors.As(err, &conflict) {
 		t.Errorf("another's lease was renewed: %v", err)
@@ -111,17 +111,17 @@
 	if _, err := c.Withdraw(time.Second, other.ID, other.Owner); !errors.As(err, &conflict) {
 		t.Errorf("another's instance was withdrawn: %v", err)
 	}
-	if l := register(t, c, ttl, other); len(l.Members) != 1 {
-		t.Errorf("after the lease: %v", l)
+	if l := register(t, c, leaseTTL, other); len(l.Members) != 1 {
+		t.Errorf("registration after the lease ended: %v", l)
 	}
 }
 
-func TestARestartShowsWhateverTheClockDoes(t *testing.T) {
-	c := newList(t, 1)
+func TestRestartShowsWhenClockIsSetBack(t *testing.T) {
+	c := newTestCatalog(t, 1)
 	again := instance(0)
 	again.Owner, again.UpSince = "restarted", 2000
 	if l := register(t, c, time.Second, again); len(l.Members) != 1 || l.Members[0].UpSince != 2000 {
-		t.Fatalf("a restart: %+v", l)
+		t.Fatalf("restart changed %+v", l)
 	}
 	late := instance(0)
 	late.Owner, late.UpSince = "late", 1500 // its clock has been set back
@@ -129,27 +129,28 @@
 		t.Error("a process that started before the present one took its id")
 	}
 	if l := register(t, c, time.Minute, late); l.Members[0].UpSince <= 2000 {
-		t.Errorf("a restart does not show: up since %d after 2000", l.Members[0].UpSince)
+		t.Errorf("restart is not visible: up since %d after 2000", l.Members[0].UpSince)
 	}
 }
 
-func TestAnAddressHasOneOwner(t *testing.T) {
-	c := newList(t, 1)
+func TestAddressHasOneOwner(t *testing.T) {
+	c := newTestCatalog(t, 1)
 	twin := instance(1)
 	twin.Addr = instance(0).Addr
-	var conflict *Conflict
+	var conflict *ConflictError
 	if _, err := c.Register(time.Second, 5000, twin); !errors.As(err, &conflict) || conflict.Holder != instance(0).ID {
-		t.Fatalf("an address was given twice: %v", err)
+		t.Fatalf("an address was registered twice: %v", err)
 	}
-	l := register(t, c, ttl, twin)
+	l := register(t, c, leaseTTL, twin)
 	if len(l.Members) != 2 || c.Len() != 1 {
-		t.Errorf("the address's old holder is not withdrawn: %+v", l)
+		t.Errorf("the previous holder of the address was not withdrawn: %+v", l)
 	}
 }
 
-// A list of several changes comes in the order of ids, in which an address may change hands both ways.
-func TestAddressesThatAreSwappedInOneList(t *testing.T) {
-	c := newList(t, 2)
+// A list of several changes is ordered by id, so an address may appear at its new member before or after the change of
+// its old member. Both must leave the address with the new one.
+func TestAddressesSwappedInOneList(t *testing.T) {
+	c := newTestCatalog(t, 2)
 	a, b := instance(0), instance(1)
 	a.Phase, b.Phase = Serving, Serving
 	a.Addr, b.Addr = b.Addr, a.Addr
@@ -158,14 +159,14 @@
 		twin := instance(5)
 		twin.Addr = m.Addr
 		if _, err := c.Register(time.Second, 5000, twin); err == nil {
-			t.Errorf("the address of %s was given twice", m.ID)
+			t.Errorf("the address of %s was registered twice", m.ID)
 		}
 	}
 }
 
-func TestBadClaims(t *testing.T) {
-	c := newList(t, 1)
-	for name, spoil := range map[string]func(*Member){
+func TestInvalidRegistrations(t *testing.T) {
+	c := newTestCatalog(t, 1)
+	for name, invalidate := range map[string]func(*Member){
 		"no id":         func(m *Member) { m.ID = "" },
 		"long id":       func(m *Member) { m.ID = string(make([]byte, 65)) },
 		"id with slash": func(m *Member) { m.ID = "a/b" },
@@ -182,71 +183,71 @@
 		"endless lease": func(m *Member) { m.LeaseMS = 1 << 62 },
 	} {
 		m := instance(7)
-		spoil(&m)
+		invalidate(&m)
 		if l, err := c.Register(0, 5000, m); err == nil {
-			t.Errorf("%s: granted as %+v", name, l)
+			t.Errorf("%s: accepted as %+v", name, l)
 		}
 	}
-	if c.Head() != firstOf(17)+1 || c.Len() != 1 {
-		t.Errorf("bad claims changed the list: revision %d, %d instances", c.Head(), c.Len())
+	if c.Head() != firstRevision(17)+1 || c.Len() != 1 {
+		t.Errorf("invalid registrations changed the list: revision %d, %d instances", c.Head(), c.Len())
 	}
 }
 
-func TestTheListIsBounded(t *testing.T) {
+func TestCatalogIsBounded(t *testing.T) {
 	opt := DefaultOptions()
 	opt.MaxInstances = 2
 	c := NewCatalog(opt)
 	register(t, c, 0, instance(0))
 	register(t, c, 0, instance(1))
 	if _, err := c.Register(0, 0, instance(2)); !errors.Is(err, ErrFull) {
-		t.Errorf("a third of two: %v", err)
+		t.Errorf("third instance with a limit of 2: %v", err)
 	}
 }
 
-// An instance that registers again keeps the phase that operators gave it.
-func TestAPhaseOutlastsAClaim(t *testing.T) {
-	c := newList(t, 1)
+// An instance that registers again keeps the phase that an operator set.
+func TestPhaseSurvivesReregistration(t *testing.T) {
+	c := newTestCatalog(t, 1)
 	l, err := c.SetPhase(0, instance(0).ID, "", Draining)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.apply(0, l)
 	register(t, c, time.Second, instance(0))
-	if got := c.Whole().Members[0].Phase; got != Draining {
+	if got := c.Snapshot().Members[0].Phase; got != Draining {
 		t.Errorf("phase %s", got)
 	}
 }
 
-// When most go silent at once the server holds on to them; when they come back it does not drop the slower ones;
-// and those that stay away then lapse.
-func TestMostLeasesAtOnce(t *testing.T) {
+// When most instances go silent at once, the server keeps them. When they return, it does not remove the slower ones.
+// The leases of those that stay silent then expire.
+func TestPreservationOnMassExpiry(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		rng := rand.New(rand.NewPCG(seed, 0))
 		const count = 40
-		c := newList(t, count)
+		c := newTestCatalog(t, count)
 		next := make([]time.Duration, count)
 		for n := range next {
-			next[n] = rand.N(ttl / 3)
+			next[n] = rand.N(leaseTTL / 3)
 		}
 		cut, back := 30*time.Second, 90*time.Second
-		stays := func(n int) bool { return n%4 == 0 } // away for good
+		neverReturns := func(n int) bool { return n%4 == 0 } // never returns
 		for at := time.Duration(0); at < 3*time.Minute; at += 100 * time.Millisecond {
 			for n := range next {
-				silent := at >= cut && (at < back || stays(n))
+				silent := at >= cut && (at < back || neverReturns(n))
 				if at < next[n] || silent {
 					continue
 				}
-				next[n] = at + ttl/4 + time.Duration(rng.Int64N(int64(ttl/6)))
+				next[n] = at + leaseTTL/4 + time.Duration(rng.Int64N(int64(leaseTTL/6)))
 				if _, err := c.Renew(at, instance(n).ID, instance(n).Owner); err != nil {
 					t.Fatalf("seed %d: %v at %v", seed, err, at)
 				}
 			}
-			lapse1(c, at)
-			if at < back+ttl && c.Len() != count {
+			expireLeases(c, at)
+			if at < back+leaseTTL && c.Len() != count {
 				t.Fatalf("seed %d: %d of %d left at %v", seed, c.Len(), count, at)
 			}
 			if at == back-time.Second && !c.Preserving() {
-				t.Fatalf("seed %d: nothing held back at %v", seed, at)
+				t.Fatalf("seed %d: not preserving at %v", seed, at)
 			}
 		}
 		if c.Len() != count*3/4 || c.Preserving() {
@@ -255,28 +256,28 @@
 	}
 }
 
-func TestHoldingBackHasAnEnd(t *testing.T) {
-	c := newList(t, 10)
-	for at := time.Duration(0); at < c.opt.PreserveFor+ttl; at += time.Second {
-		if lapse1(c, at) != 0 {
-			t.Fatalf("lapsed at %v", at)
+func TestPreservationTimesOut(t *testing.T) {
+	c := newTestCatalog(t, 10)
+	for at := time.Duration(0); at < c.opts.PreserveFor+leaseTTL; at += time.Second {
+		if expireLeases(c, at) != 0 {
+			t.Fatalf("lease expired at %v", at)
 		}
 	}
-	if lapse1(c, c.opt.PreserveFor+2*ttl) != 10 {
-		t.Error("never let go")
+	if expireLeases(c, c.opts.PreserveFor+2*leaseTTL) != 10 {
+		t.Error("leases did not expire after PreserveFor")
 	}
 }
 
-func TestGraceAfterAStart(t *testing.T) {
-	c := newList(t, 3)
+func TestLeaseGraceAfterStart(t *testing.T) {
+	c := newTestCatalog(t, 3)
 	again := NewCatalog(DefaultOptions())
 	at := time.Hour
-	again.Apply(at, c.Whole())
-	again.Grace(at)
-	if again.Lapse(at+ttl+again.opt.Grace-1).Revision != 0 {
-		t.Error("lapsed before the grace was over")
+	again.Apply(at, c.Snapshot())
+	again.ExtendLeases(at)
+	if again.Expire(at+leaseTTL+again.opts.Grace-1).Revision != 0 {
+		t.Error("lease expired within the grace time")
 	}
-	if !reflect.DeepEqual(again.Whole(), c.Whole()) {
-		t.Errorf("got %+v, want %+v", again.Whole(), c.Whole())
+	if !reflect.DeepEqual(again.Snapshot(), c.Snapshot()) {
+		t.Errorf("got %+v, want %+v", again.Snapshot(), c.Snapshot())
 	}
 }
--- a/internal/registry/history_test.go
+++ b/internal/registry/history_test.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// view is what a watcher makes of the lists that it is sent.
-type view struct {
-	at      Revision
-	members map[string]Member
+// watcherView is the list that a watcher builds from the lines it receives.
+type watcherView struct {
+	revision Revision
+	members  map[string]Member
 }
 
-func (v *view) take(l List) {
+func (v *watcherView) apply(l List) {
 	if l.Complete {
 		v.members = map[string]Member{}
 	}
@@ -23,12 +23,12 @@
 			delete(v.members, m.ID)
 		}
 	}
-	v.at = l.Revision
+	v.revision = l.Revision
 }
 
-// Whatever a watcher misses, and whichever of two servers it then comes to, it ends with the list of that server:
-// over changes, promotions, a primary that went on alone, and its return as a follower.
-func TestEveryPathLeadsToTheList(t *testing.T) {
+// A watcher that misses any changes and reconnects to either of two servers ends up with that server's list. The
+// sequence includes changes, promotions, a primary that continues alone, and its return as a follower.
+func TestWatchersConvergeOnServerList(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		type server struct {
@@ -46,7 +46,7 @@
 			servers[i] = server{NewCatalog(DefaultOptions()), NewHistory()}
 		}
 		promote := func(i int) {
-			// One that is cut off from the other does not know its epoch, and may stay behind it.
+			// A server without contact to the other does not know its epoch and may choose an earlier one.
 			var known Epoch
 			if rng.IntN(2) == 0 {
 				known = servers[1-i].c.Head().Epoch()
@@ -58,8 +58,8 @@
 			add(servers[i], l)
 		}
 		promote(0)
-		watchers := make([]view, 12)
-		primary, heard := 0, true
+		watchers := make([]watcherView, 12)
+		primary, connected := 0, true
 		for range 400 {
 			s := servers[primary]
 			m := instance(rng.IntN(15))
@@ -74,8 +74,8 @@
 					add(s, l)
 				}
 			case 5:
-				heard = rng.IntN(3) > 0
-			case 6: // the other is promoted; what it has not heard is lost
+				connected = rng.IntN(3) > 0
+			case 6: // the other is promoted; changes that it has not received are lost
 				if rng.IntN(6) == 0 {
 					promote(1 - primary)
 					if servers[1-primary].c.Head() > s.c.Head() {
@@ -84,17 +84,18 @@
 				}
 			}
 			s = servers[primary]
-			if f := servers[1-primary]; heard && rng.IntN(2) == 0 && f.c.Head() != s.c.Head() {
+			if f := servers[1-primary]; connected && rng.IntN(2) == 0 && f.c.Head() != s.c.Head() {
 				add(f, s.h.Since(f.c.Head()))
-				if f.c.Head() != s.c.Head() || !reflect.DeepEqual(f.c.Whole(), s.c.Whole()) {
-					t.Fatalf("seed %d: the follower has %+v, the primary %+v", seed, f.c.Whole(), s.c.Whole())
+				if f.c.Head() != s.c.Head() || !reflect.DeepEqual(f.c.Snapshot(), s.c.Snapshot()) {
+					t.Fatalf("seed %d: the follower has %+v, the primary %+v", seed, f.c.Snapshot(), s.c.Snapshot())
 				}
 			}
 			w := &watchers[rng.IntN(len(watchers))]
-			if at := servers[rng.IntN(2)]; at.c.Head() >= w.at && at.c.Head() > 0 { // else it goes to another
-				w.take(at.h.Since(w.at))
-				want := view{members: map[string]Member{}}
-				want.take(at.c.Whole())
+			// A watcher chooses another server if this one's list is older than its own.
+			if at := servers[rng.IntN(2)]; at.c.Head() >= w.revision && at.c.Head() > 0 {
+				w.apply(at.h.Since(w.revision))
+				want := watcherView{members: map[string]Member{}}
+				want.apply(at.c.Snapshot())
 				if !reflect.DeepEqual(*w, want) {
 					t.Fatalf("seed %d: a watcher sees %+v, the server has %+v", seed, *w, want)
 				}
@@ -103,12 +104,12 @@
 	}
 }
 
-func TestRevisionsOnlyRise(t *testing.T) {
-	c := newList(t, 3)
+func TestPromotionRaisesRevision(t *testing.T) {
+	c := newTestCatalog(t, 3)
 	seen := c.Head()
 	behind := NewCatalog(DefaultOptions())
-	behind.Apply(0, c.Whole())
-	register(t, c, 0, instance(4)) // the other never hears of it
+	behind.Apply(0, c.Snapshot())
+	register(t, c, 0, instance(4)) // the other never receives it
 	for _, s := range []int{2, 3, 2} {
 		l, err := behind.Promote(s, 0)
 		if err != nil {
@@ -121,20 +122,20 @@
 		seen = behind.Head()
 	}
 	if other, err := c.Promote(1, 0); err != nil || other.Revision.Epoch() == behind.Head().Epoch() {
-		t.Errorf("an epoch of two owners: %d, %v", other.Revision.Epoch(), err)
+		t.Errorf("two servers own epoch %d, %v", other.Revision.Epoch(), err)
 	}
 }
 
-func TestEpochsRunOut(t *testing.T) {
-	if e, err := maxEpoch.next(0); err == nil {
+func TestEpochOverflow(t *testing.T) {
+	if e, err := maxEpoch.nextOwnedBy(0); err == nil {
 		t.Errorf("epoch %d after the last", e)
 	}
 }
 
-func TestACompactedOrUnknownRevisionGetsTheWholeList(t *testing.T) {
-	c, h := newList(t, 1), NewHistory()
-	h.Add(c.Whole())
-	start := c.Head()
+func TestCompactedOrUnknownRevisionGetsFullList(t *testing.T) {
+	c, h := newTestCatalog(t, 1), NewHistory()
+	h.Add(c.Snapshot())
+	first := c.Head()
 	for n := range maxHistory + 10 {
 		m := instance(0)
 		m.Size = float64(2 + n)
@@ -145,22 +146,22 @@
 		c.Apply(0, l)
 		h.Add(l)
 	}
-	if len(h.ring) != maxHistory {
-		t.Errorf("%d changes are kept", len(h.ring))
+	if len(h.changes) != maxHistory {
+		t.Errorf("%d changes are kept", len(h.changes))
 	}
 	for name, c := range map[string]struct {
 		after Revision
 		whole bool
 	}{
-		"compacted": {start, true}, "ahead": {c.Head() + 1, true}, "at the floor": {h.floor, false},
+		"compacted": {first, true}, "ahead": {c.Head() + 1, true}, "at the floor": {h.compacted, false},
 		"present": {c.Head(), false}, "of no epoch": {5, true}, "none": {0, true},
 	} {
 		if l := h.Since(c.after); l.Complete != c.whole || l.Revision != h.head {
 			t.Errorf("%s: %d, complete %v", name, l.Revision, l.Complete)
 		}
 	}
-	if l := h.Since(h.floor); len(l.Members) != 1 {
-		t.Errorf("%d changes of one instance are told as %d", maxHistory, len(l.Members))
+	if l := h.Since(h.compacted); len(l.Members) != 1 {
+		t.Errorf("%d changes of one instance are sent as %d", maxHistory, len(l.Members))
 	}
 }
 
--- a/internal/registry/list.go
+++ b/internal/registry/list.go
@@ -14,7 +14,7 @@
 	"harrierramp/internal/listwatch"
 )
 
-// Phases of an instance. The last is used among changes only.
+// Phases of an instance. Deleted occurs only in changes, never in a complete list.
 const (
 	Serving  = "SERVING"
 	Draining = "DRAINING"
@@ -22,8 +22,8 @@
 )
 
 const (
-	maxWord    = 64  // bytes of an id, an owner, a locality or a flavor
-	maxAddr    = 128 // bytes of a host_port
+	maxNameLen = 64  // bytes of an id, an owner, a locality, a flavor, a build or a config
+	maxAddrLen = 128 // bytes of a host_port
 	maxCell    = 1 << 20
 	maxSize    = 1e9
 	minLease   = time.Second
@@ -31,7 +31,7 @@
 	maxUpSince = int64(1) << 53
 )
 
-// Instance is an entry of the list as watchers are told of it.
+// Instance is an entry of the list as it is sent to watchers.
 type Instance struct {
 	ID       string  `json:"id"`
 	Addr     string  `json:"host_port"`
@@ -43,31 +43,33 @@
 	UpSince  int64   `json:"up_since_ms"`
 }
 
-// Member is an instance with the lease it is listed under. Only servers tell each other of leases.
+// Member is an instance with its lease. Leases are sent between servers only.
 type Member struct {
 	Instance
 	Owner   string `json:"owner,omitempty"`
 	LeaseMS int64  `json:"lease_ms,omitempty"`
 }
 
-// List is the list of one revision, or what changed up to it. It is also the form in which the log holds changes and
-// in which a follower hears of them, with Lineage then.
+// List is the complete list at a revision, or the changes that lead to that revision. It is also the form in which the
+// log stores changes and in which followers receive them, then with Lineage.
 type List struct {
 	Revision Revision `json:"revision"`
 	Complete bool     `json:"complete"`
 	Members  []Member `json:"members"`
 	Lineage  lineage  `json:"lineage,omitempty"`
-	// Settling says that the list was begun anew, and that instances which are there may not have registered yet.
+	// Settling reports that the list was newly begun and that running instances may not have registered yet.
 	Settling bool `json:"settling,omitempty"`
-	// AtMS is when the server that decided a change took it, by its clock. Only servers tell each other, and the audit.
+	// AtMS is the time of the change by the clock of the server that decided it. It is sent to other servers and to
+	// audits only.
 	AtMS int64 `json:"at_ms,omitempty"`
-	// Floor is what is asked of every node from this revision on. Among changes nil is no news; an empty one asks nothing.
+	// Floor is the minimum build, configuration and revision required of every node from this revision on. In changes,
+	// nil means unchanged, and an empty Floor removes the requirement.
 	Floor *listwatch.Floor `json:"floor,omitempty"`
 }
 
-// public is the list as anybody may see it.
+// public returns the list without leases and other data that is sent between servers only.
 func (l List) public() any {
-	bare := struct {
+	public := struct {
 		Revision Revision   `json:"revision"`
 		Complete bool       `json:"complete"`
 		Members  []Instance `json:"members"`
@@ -76,23 +78,23 @@
 		Floor *listwatch.Floor `json:"floor,omitempty"`
 	}{l.Revision, l.Complete, make([]Instance, len(l.Members)), l.Settling, l.Floor}
 	for i, m := range l.Members {
-		bare.Members[i] = m.Instance
+		public.Members[i] = m.Instance
 	}
-	return bare
+	return public
 }
 
-// line is the list in one line, with or without what only servers are told.
-func (l List) line(leases bool) ([]byte, error) {
-	var form any = l
-	if !leases {
-		form = l.public()
+// encodeLine encodes the list as one line, with or without leases and other data that is sent between servers only.
+func (l List) encodeLine(withLeases bool) ([]byte, error) {
+	var value any = l
+	if !withLeases {
+		value = l.public()
 	}
-	raw, err := json.Marshal(form)
+	raw, err := json.Marshal(value)
 	return append(raw, '\n'), err
 }
 
-// readList reads a line of another server or a record of the log.
-func readList(raw []byte) (List, error) {
+// decodeList decodes a line from another server or a record of the log, and validates it.
+func decodeList(raw []byte) (List, error) {
 	var l List
 	if err := json.Unmarshal(raw, &l); err != nil {
 		return l, fmt.Errorf("list: %w", err)
@@ -101,21 +103,21 @@
 		return l, fmt.Errorf("list: impossible revision %d", l.Revision)
 	}
 	for _, m := range l.Members {
-		if err := m.check(); err != nil {
+		if err := m.validate(); err != nil {
 			return l, fmt.Errorf("list: revision %d: %w", l.Revision, err)
 		}
 		if l.Complete && m.Phase == Deleted {
-			return l, fmt.Errorf("list: revision %d: %s is deleted in a whole list", l.Revision, m.ID)
+			return l, fmt.Errorf("list: revision %d: %s is deleted in a complete list", l.Revision, m.ID)
 		}
 	}
 	return l, nil
 }
 
-// byID orders members, so that equal lists are equal to the byte.
-func byID(a, b Member) int { return cmp.Compare(a.ID, b.ID) }
+// compareByID orders members by id, so that equal lists have the same encoding.
+func compareByID(a, b Member) int { return cmp.Compare(a.ID, b.ID) }
 
-// check tells what is wrong with a member.
-func (m Member) check() error {
+// validate returns an error that says what is wrong with the member.
+func (m Member) validate() error {
 	if m.Phase != Serving && m.Phase != Draining && m.Phase != Deleted {
 		return fmt.Errorf("phase %q is not known: %s or %s", m.Phase, Serving, Draining)
 	}
@@ -124,24 +126,24 @@
 		return fmt.Errorf("lease_ms is %d: from %d to %d", m.LeaseMS, minLease.Milliseconds(), maxLease.Milliseconds())
 	}
 	return errors.Join(
-		checkWord("id", m.ID), checkWord("owner", m.Owner), checkWord("locality", m.Locality),
-		checkWord("flavor", m.Flavor), checkAddr(m.Addr), checkNumbers(m.Instance),
+		validateName("id", m.ID), validateName("owner", m.Owner), validateName("locality", m.Locality),
+		validateName("flavor", m.Flavor), validateAddr(m.Addr), validateNumbers(m.Instance),
 	)
 }
 
-func checkWord(name, word string) error {
-	if word == "" || len(word) > maxWord {
-		return fmt.Errorf("%s has %d bytes: from 1 to %d", name, len(word), maxWord)
+func validateName(name, value string) error {
+	if value == "" || len(value) > maxNameLen {
+		return fmt.Errorf("%s has %d bytes: from 1 to %d", name, len(value), maxNameLen)
 	}
-	if slices.ContainsFunc([]byte(word), func(b byte) bool { return b <= ' ' || b > '~' || b == '/' }) {
-		return fmt.Errorf("%s %q has a sign other than visible ASCII, or a slash", name, word)
+	if slices.ContainsFunc([]byte(value), func(b byte) bool { return b <= ' ' || b > '~' || b == '/' }) {
+		return fmt.Errorf("%s %q has a sign other than visible ASCII, or a slash", name, value)
 	}
 	return nil
 }
 
-func checkAddr(addr string) error {
-	if len(addr) > maxAddr {
-		return fmt.Errorf("host_port has %d bytes, %d at most", len(addr), maxAddr)
+func validateAddr(addr string) error {
+	if len(addr) > maxAddrLen {
+		return fmt.Errorf("host_port has %d bytes, %d at most", len(addr), maxAddrLen)
 	}
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil {
@@ -150,10 +152,10 @@
 	if n, err := strconv.ParseUint(port, 10, 16); err != nil || n == 0 {
 		return fmt.Errorf("host_port %q: the port is no number from 1 to 65535", addr)
 	}
-	return checkWord("the host of host_port", host)
+	return validateName("the host of host_port", host)
 }
 
-func checkNumbers(i Instance) error {
+func validateNumbers(i Instance) error {
 	switch {
 	case i.Cell < 0 || i.Cell > maxCell:
 		return fmt.Errorf("cell is %d: from 0 to %d", i.Cell, maxCell)
--- a/internal/registry/floor_test.go
+++ b/internal/registry/rollout_test.go
@@ -12,9 +12,9 @@
 	"harrierramp/internal/rollout"
 )
 
-// Who watches the table of nodes hears of each claim, and of each revision.
-func TestTheTableIsWatched(t *testing.T) {
-	a := start(t, testConfig(t), listen(t, "127.0.0.1:0"))
+// A watcher of the table of nodes is sent each report and each new revision.
+func TestNodeTableWatch(t *testing.T) {
+	a := startServer(t, testConfig(t), listen(t, "127.0.0.1:0"))
 	resp, err := http.Get("http://" + a.addr + "/registry/nodes?watch=1")
 	if err != nil {
 		t.Fatal(err)
@@ -42,15 +42,15 @@
 	if code, said := a.call("POST", "/registry/nodes", fmt.Sprintf(`{"name":"n","incarnation":1,"seq":1,"revision":%d,"build":"b","config":"c"}`, head)); code != http.StatusNoContent {
 		t.Fatal(code, said)
 	}
-	until("the claim", func(v rollout.Snapshot) bool { return len(v.Nodes) == 1 && v.Nodes[0].BehindMS == 0 })
+	until("the report", func(v rollout.Snapshot) bool { return len(v.Nodes) == 1 && v.Nodes[0].BehindMS == 0 })
 	a.register(1, 10_000)
 	until("a change", func(v rollout.Snapshot) bool { return len(v.Nodes) == 1 && v.Nodes[0].BehindMS > 0 })
 }
 
-// What a follower remembers of a withdrawal has the clock of the server that decided it, and a floor goes with the list: to
-// the follower, over a restart, and away again.
-func TestFloorsAndTimesAreCopied(t *testing.T) {
-	a, b := pair(t)
+// A follower's record of a withdrawal has the time of the server that decided it. A floor is replicated to the
+// follower, survives a restart, and can be removed again.
+func TestFloorAndChangeTimesAreReplicated(t *testing.T) {
+	a, b := startPair(t)
 	a.register(1, 10_000)
 	eventually(t, "the follower has the instance", func() bool {
 		code, text := b.call("GET", "/registry/instances", "")
@@ -59,7 +59,7 @@
 	if code, said := a.call("DELETE", "/registry/instances/s1", `{"owner":"p1"}`); code != http.StatusNoContent {
 		t.Fatal(code, said)
 	}
-	history := func(x *site) (h auditlog.History) {
+	history := func(x *testServer) (h auditlog.History) {
 		_, text := x.call("GET", "/registry/history", "")
 		if err := json.Unmarshal([]byte(text), &h); err != nil {
 			t.Fatal(err)
@@ -73,7 +73,7 @@
 		}
 	}
 	if code, _ := b.call("PUT", "/registry/floor", `{"build":"x"}`); code != http.StatusMisdirectedRequest {
-		t.Errorf("the follower says %d", code)
+		t.Errorf("the follower answers %d", code)
 	}
 	for _, floor := range []string{`{"build":"x"}`, `{}`} {
 		if code, said := a.call("PUT", "/registry/floor", floor); code != http.StatusOK {
@@ -81,7 +81,7 @@
 		}
 		want := a.list()
 		if want.Floor == nil || (want.Floor.Build == "x") != (floor != `{}`) {
-			t.Fatalf("the list says %+v", want.Floor)
+			t.Fatalf("the list's floor is %+v", want.Floor)
 		}
 		eventually(t, "the follower has it", func() bool {
 			code, text := b.call("GET", "/registry/instances", "")
@@ -97,9 +97,9 @@
 		return out
 	}
 	if mine, other := last(history(a)), last(history(b)); mine.AtMS == 0 || mine != other {
-		t.Errorf("decided %+v, copied %+v", mine, other)
+		t.Errorf("primary has %+v, follower %+v", mine, other)
 	}
-	again := a.again()
+	again := a.restart()
 	if l := again.list(); l.Floor != nil && l.Floor.Build != "" {
 		t.Errorf("after a restart %+v", l.Floor)
 	}
--- a/internal/registry/server_test.go
+++ b/internal/registry/server_test.go
@@ -16,21 +16,21 @@
 	"time"
 )
 
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
-// site is a server of a test on loopback sockets.
-type site struct {
+// testServer is a list server on loopback sockets.
+type testServer struct {
 	t       *testing.T
 	cfg     Config
 	addr    string
-	console string
+	opsAddr string
 	s       *Server
 	stop    func()
 }
 
 func testConfig(t *testing.T) Config {
 	return Config{
-		Bootstrap: true, State: t.TempDir(), Options: DefaultOptions(), Coalesce: time.Millisecond, MaxWatchers: 64,
+		Bootstrap: true, StateDir: t.TempDir(), Options: DefaultOptions(), Coalesce: time.Millisecond, MaxWatchers: 64,
 	}
 }
 
@@ -43,8 +43,8 @@
 	return ln
 }
 
-// start runs a server until the test ends, or stop is called.
-func start(t *testing.T, cfg Config, ln net.Listener) *site {
+// startServer runs a server until the test ends or stop is called.
+func startServer(t *testing.T, cfg Config, ln net.Listener) *testServer {
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(t.Output(), nil))
 	s, err := New(cfg, log)
@@ -54,71 +54,71 @@
 	}
 	console := listen(t, "127.0.0.1:0")
 	ctx, cancel := context.WithCancel(context.Background())
-	fronts := []*http.Server{s.HTTPServer(s.Handler(), 200, log), s.HTTPServer(s.Console(), 16, log)}
+	httpServers := []*http.Server{s.HTTPServer(s.Handler(), 200, log), s.HTTPServer(s.OpsHandler(), 16, log)}
 	ended := make(chan error, 3)
-	go func() { ended <- fronts[0].Serve(ln) }()
-	go func() { ended <- fronts[1].Serve(console) }()
+	go func() { ended <- httpServers[0].Serve(ln) }()
+	go func() { ended <- httpServers[1].Serve(console) }()
 	go func() { ended <- s.Run(ctx) }()
 	done := false
-	at := &site{t: t, cfg: cfg, addr: ln.Addr().String(), console: console.Addr().String(), s: s}
-	at.stop = func() {
+	ts := &testServer{t: t, cfg: cfg, addr: ln.Addr().String(), opsAddr: console.Addr().String(), s: s}
+	ts.stop = func() {
 		if done {
 			return
 		}
 		done = true
 		cancel()
-		for _, f := range fronts {
+		for _, f := range httpServers {
 			f.Close()
 		}
 		for range 3 {
 			if err := <-ended; err != nil && err != http.ErrServerClosed {
-				t.Errorf("a server ends with %v", err)
+				t.Errorf("a server ended with %v", err)
 			}
 		}
 	}
-	t.Cleanup(at.stop)
-	return at
+	t.Cleanup(ts.stop)
+	return ts
 }
 
-// again starts the server on the same folder and address.
-func (a *site) again() *site {
+// restart restarts the server with the same state directory and address.
+func (a *testServer) restart() *testServer {
 	a.t.Helper()
 	a.stop()
-	return start(a.t, a.cfg, listen(a.t, a.addr))
+	return startServer(a.t, a.cfg, listen(a.t, a.addr))
 }
 
-// pair are two servers that know each other; the first has begun a list.
-func pair(t *testing.T) (*site, *site) {
+// startPair starts two servers that know each other; the first has begun a list.
+func startPair(t *testing.T) (*testServer, *testServer) {
 	t.Helper()
 	lns := []net.Listener{listen(t, "127.0.0.1:0"), listen(t, "127.0.0.1:0")}
-	var sites [2]*site
-	for i := range sites {
+	var servers [2]*testServer
+	for i := range servers {
 		cfg := testConfig(t)
 		cfg.Number, cfg.Bootstrap = i, i == 0
 		cfg.Peers = []string{lns[0].Addr().String(), lns[1].Addr().String()}
-		sites[i] = start(t, cfg, lns[i])
+		servers[i] = startServer(t, cfg, lns[i])
 	}
-	eventually(t, "the first is the primary", func() bool { return sites[0].s.is(rolePrimary) })
-	return sites[0], sites[1]
+	eventually(t, "the first is the primary", func() bool { return servers[0].s.is(rolePrimary) })
+	return servers[0], servers[1]
 }
 
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !holds(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("never: %s", what)
 		}
 	}
 }
 
-// call makes a call and returns status and body.
+// call makes an HTTP call and returns the status and body of the response.
 func call(t *testing.T, method, url, body string) (int, string) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
-	req.Close = true // a kept connection may be to a server that has ended
+	req.Close = true // a kept-alive connection may belong to a server that has ended
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		t.Fatal(err)
@@ -131,29 +131,29 @@
 	return resp.StatusCode, string(raw)
 }
 
-func (a *site) call(method, path, body string) (int, string) {
+func (a *testServer) call(method, path, body string) (int, string) {
 	a.t.Helper()
 	return call(a.t, method, "http://"+a.addr+path, body)
 }
 
-func (a *site) operate(method, path string) (int, string) {
+func (a *testServer) callOps(method, path string) (int, string) {
 	a.t.Helper()
-	return call(a.t, method, "http://"+a.console+path, "")
+	return call(a.t, method, "http://"+a.opsAddr+path, "")
 }
 
-// claimOf is a good registration.
-func claimOf(n int, leaseMS int) string {
+// registrationBody returns the body of a valid registration.
+func registrationBody(n int, leaseMS int) string {
 	return fmt.Sprintf(`{"host_port":"127.0.0.1:%d","locality":"a","flavor":"m","cell":3,"owner":"p%d","lease_ms":%d}`, 1000+n, n, leaseMS)
 }
 
-func (a *site) register(n, leaseMS int) {
+func (a *testServer) register(n, leaseMS int) {
 	a.t.Helper()
-	if code, said := a.call("PUT", fmt.Sprintf("/registry/instances/s%d", n), claimOf(n, leaseMS)); code != 200 {
+	if code, said := a.call("PUT", fmt.Sprintf("/registry/instances/s%d", n), registrationBody(n, leaseMS)); code != 200 {
 		a.t.Fatalf("register: %d %s", code, said)
 	}
 }
 
-func (a *site) list() List {
+func (a *testServer) list() List {
 	a.t.Helper()
 	code, text := a.call("GET", "/registry/instances", "")
 	if code != 200 {
@@ -171,48 +171,48 @@
 	return l
 }
 
-// watching follows a server's list.
-type watching struct {
-	view
+// testWatch is a watch of a server's list.
+type testWatch struct {
+	watcherView
 	lines *bufio.Scanner
 	body  io.Closer
 }
 
-func (a *site) watch(after Revision) *watching {
+func (a *testServer) watch(after Revision) *testWatch {
 	a.t.Helper()
 	resp, err := http.Get(fmt.Sprintf("http://%s/registry/instances?watch=1&after=%d", a.addr, after))
 	if err != nil {
 		a.t.Fatal(err)
 	}
 	a.t.Cleanup(func() { resp.Body.Close() })
-	w := &watching{view{after, map[string]Member{}}, bufio.NewScanner(resp.Body), resp.Body}
+	w := &testWatch{watcherView{after, map[string]Member{}}, bufio.NewScanner(resp.Body), resp.Body}
 	w.lines.Buffer(nil, 1<<22)
 	return w
 }
 
-// next takes the next line that says something.
-func (w *watching) next(t *testing.T) List {
+// next reads and applies the next line that is not empty.
+func (w *testWatch) next(t *testing.T) List {
 	t.Helper()
 	for w.lines.Scan() {
 		if text := w.lines.Text(); text != "" {
 			l := parse(t, text)
-			w.take(l)
+			w.apply(l)
 			return l
 		}
 	}
-	t.Fatalf("the watch has ended: %v", w.lines.Err())
+	t.Fatalf("the watch ended: %v", w.lines.Err())
 	return List{}
 }
 
-func TestAnInstanceComesAndGoes(t *testing.T) {
-	a := start(t, testConfig(t), listen(t, "127.0.0.1:0"))
+func TestInstanceLifecycle(t *testing.T) {
+	a := startServer(t, testConfig(t), listen(t, "127.0.0.1:0"))
 	w := a.watch(0)
 	if l := w.next(t); !l.Complete || len(l.Members) != 0 {
 		t.Fatalf("the first line is %+v", l)
 	}
 	step := func(method, path, body string, code int, phase string) {
 		t.Helper()
-		before := w.at
+		before := w.revision
 		if got, said := a.call(method, path, body); got != code {
 			t.Fatalf("%s %s: %d %s", method, path, got, said)
 		}
@@ -224,23 +224,23 @@
 			t.Fatalf("%s %s: %+v after %d", method, path, l, before)
 		}
 		if m := l.Members[0]; m.Owner != "" || m.LeaseMS != 0 {
-			t.Errorf("a watcher is told of the lease: %+v", m)
+			t.Errorf("a watcher was sent the lease: %+v", m)
 		}
 	}
-	step("PUT", "/registry/instances/s1", claimOf(1, 10_000), 200, Serving)
+	step("PUT", "/registry/instances/s1", registrationBody(1, 10_000), 200, Serving)
 	step("POST", "/registry/instances/s1/renew", `{"owner":"p1"}`, 200, "")
 	step("PUT", "/registry/instances/s1/phase", `{"owner":"p1","phase":"DRAINING"}`, 204, Draining)
 	step("DELETE", "/registry/instances/s1", `{"owner":"p1"}`, 204, Deleted)
 	step("POST", "/registry/instances/s1/renew", `{"owner":"p1"}`, 404, "")
-	if l := a.list(); !l.Complete || len(l.Members) != 0 || l.Revision != w.at {
+	if l := a.list(); !l.Complete || len(l.Members) != 0 || l.Revision != w.revision {
 		t.Errorf("the list is %+v", l)
 	}
 }
 
-func TestALapsedLeaseIsTold(t *testing.T) {
+func TestLeaseExpiryIsReported(t *testing.T) {
 	cfg := testConfig(t)
 	cfg.Options.Grace = 0
-	a := start(t, cfg, listen(t, "127.0.0.1:0"))
+	a := startServer(t, cfg, listen(t, "127.0.0.1:0"))
 	w := a.watch(0)
 	w.next(t)
 	a.register(1, 1000)
@@ -250,13 +250,13 @@
 	if l := w.next(t); l.Members[0].Phase != Deleted {
 		t.Errorf("got %+v", l)
 	}
-	if _, text := a.operate("GET", "/ops/stats"); !strings.Contains(text, "registry.lapsed:1|c") {
-		t.Errorf("figures: %s", text)
+	if _, text := a.callOps("GET", "/ops/stats"); !strings.Contains(text, "registry.lapsed:1|c") {
+		t.Errorf("stats: %s", text)
 	}
 }
 
-func TestBadCallsChangeNothing(t *testing.T) {
-	a := start(t, testConfig(t), listen(t, "127.0.0.1:0"))
+func TestInvalidCallsChangeNothing(t *testing.T) {
+	a := startServer(t, testConfig(t), listen(t, "127.0.0.1:0"))
 	a.register(1, 10_000)
 	before := a.list()
 	const at, ok = "/registry/instances/s2", `"host_port":"127.0.0.1:9","locality":"a","flavor":"m","cell":1,"owner":"o"`
@@ -277,7 +277,7 @@
 		{"PUT", at, strings.Replace("{"+ok+"}", "127.0.0.1:9", "nowhere", 1), 400, "nowhere"},
 		{"PUT", at, strings.Replace("{"+ok+"}", `"cell":1,`, "", 1), 400, "cell"},
 		{"PUT", at, strings.Replace("{"+ok+"}", `"owner":"o"`, `"owner":""`, 1), 400, "owner"},
-		{"PUT", at, "{" + ok + `,"locality":"` + strings.Repeat("x", maxClaim) + `"}`, 413, "too large"},
+		{"PUT", at, "{" + ok + `,"locality":"` + strings.Repeat("x", maxBodyBytes) + `"}`, 413, "too large"},
 		{"PUT", "/registry/instances/%20", "{" + ok + "}", 400, "visible"},
 		{"PUT", "/registry/instances/s1", "{" + ok + "}", 409, "taken"},
 		{"PUT", at, strings.Replace("{"+ok+"}", "127.0.0.1:9", "127.0.0.1:1001", 1), 409, "taken"},
@@ -292,7 +292,7 @@
 		{"GET", "/registry/else", "", 404, ""},
 		{"POST", "/reports", "{", 400, "notice 1"},
 		{"POST", "/reports", `{"id":"a","state":"failed"}` + "\n" + `{"id":"a","state":"lost"}`, 400, "notice 2"},
-		{"POST", "/reports", strings.Repeat("x", maxPost+1), 413, "too large"},
+		{"POST", "/reports", strings.Repeat("x", maxReportsBodyBytes+1), 413, "too large"},
 	} {
 		if code, said := a.call(c.method, c.path, c.body); code != c.code || !strings.Contains(said, c.says) {
 			t.Errorf("%s %s %.80s: %d %s, want %d with %q", c.method, c.path, c.body, code, said, c.code, c.says)
@@ -302,7 +302,7 @@
 		"/ops/instances/phase?id=s9&phase=DRAINING": 404, "/ops/instances/phase?id=s1&phase=x": 400,
 		"/ops/instances/withdraw?id=s9": 404, "/ops/promote": 409,
 	} {
-		if got, said := a.operate("PUT", path); got != code {
+		if got, said := a.callOps("PUT", path); got != code {
 			t.Errorf("%s: %d %s", path, got, said)
 		}
 	}
@@ -310,14 +310,14 @@
 		t.Errorf("the list was %+v, is %+v", before, after)
 	}
 	if _, page := a.call("GET", "/reports", ""); page != "" {
-		t.Errorf("of a bad post is kept: %s", page)
+		t.Errorf("notices of an invalid request were stored: %s", page)
 	}
 }
 
-// Clients that say nothing, or stop in the middle, are closed in time.
+// Connections of clients that send nothing, or only part of a request, are closed in time.
 func TestSilentClientsAreClosed(t *testing.T) {
 	t.Parallel()
-	a := start(t, testConfig(t), listen(t, "127.0.0.1:0"))
+	a := startServer(t, testConfig(t), listen(t, "127.0.0.1:0"))
 	for _, text := range []string{"", "GET /registry", "PUT /registry/instances/a HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\n{"} {
 		t.Run(fmt.Sprintf("%.12q", text), func(t *testing.T) {
 			t.Parallel()
@@ -329,7 +329,7 @@
 			if _, err := io.WriteString(nc, text); err != nil {
 				t.Fatal(err)
 			}
-			if err := nc.SetDeadline(time.Now().Add(patience)); err != nil {
+			if err := nc.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 				t.Fatal(err)
 			}
 			began := time.Now()
@@ -343,10 +343,10 @@
 	}
 }
 
-// narrow gives connections small buffers, so that a client that does not read stops the server soon.
-type narrow struct{ net.Listener }
+// smallBufferListener gives connections small write buffers, so that writes to a client that does not read block soon.
+type smallBufferListener struct{ net.Listener }
 
-func (l narrow) Accept() (net.Conn, error) {
+func (l smallBufferListener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err == nil {
 		err = nc.(*net.TCPConn).SetWriteBuffer(4096)
@@ -354,10 +354,10 @@
 	return nc, err
 }
 
-// A watcher that reads nothing is closed, and nobody waits for it.
-func TestAStuckWatcherDelaysNobody(t *testing.T) {
+// The connection of a watcher that reads nothing is closed, and it delays neither writes nor other watchers.
+func TestStuckWatcherDelaysNoOther(t *testing.T) {
 	t.Parallel()
-	a := start(t, testConfig(t), narrow{listen(t, "127.0.0.1:0")})
+	a := startServer(t, testConfig(t), smallBufferListener{listen(t, "127.0.0.1:0")})
 	for n := range 400 {
 		a.register(n, 60_000)
 	}
@@ -374,7 +374,7 @@
 	}
 	w := a.watch(0)
 	w.next(t)
-	eventually(t, "both watch", func() bool { return a.s.figures.watchers.Load() == 2 })
+	eventually(t, "both watch", func() bool { return a.s.stats.watchers.Load() == 2 })
 	for n := range 20 {
 		began := time.Now()
 		if code, said := a.call("PUT", fmt.Sprintf("/registry/instances/s%d/phase", n), fmt.Sprintf(`{"owner":"p%d","phase":"DRAINING"}`, n)); code != 204 {
@@ -387,8 +387,8 @@
 			t.Errorf("change %d took %v", n, took)
 		}
 	}
-	eventually(t, "the stuck watcher is closed", func() bool { return a.s.figures.slow.Load() == 1 })
-	if got := a.s.figures.watchers.Load(); got != 1 {
+	eventually(t, "the stuck watcher is closed", func() bool { return a.s.stats.slowWatchers.Load() == 1 })
+	if got := a.s.stats.watchers.Load(); got != 1 {
 		t.Errorf("%d watchers are left", got)
 	}
 }
@@ -396,12 +396,12 @@
 func TestWatchersAndConnectionsAreBounded(t *testing.T) {
 	cfg := testConfig(t)
 	cfg.MaxWatchers = 2
-	a := start(t, cfg, listen(t, "127.0.0.1:0"))
+	a := startServer(t, cfg, listen(t, "127.0.0.1:0"))
 	for range 2 {
 		a.watch(0).next(t)
 	}
 	if code, said := a.call("GET", "/registry/instances?watch=1", ""); code != 503 || !strings.Contains(said, "watchers") {
-		t.Errorf("a third watcher of two: %d %s", code, said)
+		t.Errorf("third watcher with a limit of 2: %d %s", code, said)
 	}
 	var open []net.Conn
 	defer func() {
@@ -409,18 +409,18 @@
 			nc.Close()
 		}
 	}()
-	for range 250 { // of 200 places
+	for range 250 { // the limit is 200
 		nc, err := net.Dial("tcp", a.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		open = append(open, nc)
 	}
-	eventually(t, "somebody is turned away", func() bool { return a.s.figures.turnedAway.Load() > 0 })
+	eventually(t, "a connection is rejected", func() bool { return a.s.stats.rejectedConnections.Load() > 0 })
 }
 
-func TestALateWatcherIsToldTheChangesInOneLine(t *testing.T) {
-	a := start(t, testConfig(t), listen(t, "127.0.0.1:0"))
+func TestLateWatcherGetsChangesInOneLine(t *testing.T) {
+	a := startServer(t, testConfig(t), listen(t, "127.0.0.1:0"))
 	a.register(1, 60_000)
 	before := a.list().Revision
 	for n := 2; n < 8; n++ {
@@ -430,17 +430,17 @@
 		t.Errorf("got %+v", l)
 	}
 	if l := a.watch(a.list().Revision).next(t); l.Complete || len(l.Members) != 0 {
-		t.Errorf("a watcher that is up to date is told %+v", l)
+		t.Errorf("a watcher that is up to date got %+v", l)
 	}
 	if l := a.watch(a.list().Revision + 5).next(t); !l.Complete || len(l.Members) != 7 {
-		t.Errorf("a watcher that is ahead is told %+v", l)
+		t.Errorf("a watcher that is ahead got %+v", l)
 	}
 }
 
-func TestChangesOfAShortSpanAreToldTogether(t *testing.T) {
+func TestChangesAreCoalesced(t *testing.T) {
 	cfg := testConfig(t)
 	cfg.Coalesce = 300 * time.Millisecond
-	a := start(t, cfg, listen(t, "127.0.0.1:0"))
+	a := startServer(t, cfg, listen(t, "127.0.0.1:0"))
 	w := a.watch(0)
 	w.next(t)
 	for n := range 10 {
@@ -452,17 +452,17 @@
 		lines++
 	}
 	if lines > 3 {
-		t.Errorf("10 changes at once are told in %d lines", lines)
+		t.Errorf("10 changes at once were sent in %d lines", lines)
 	}
 }
 
-func TestARestartKeepsTheListAndItsRevision(t *testing.T) {
-	a := start(t, testConfig(t), listen(t, "127.0.0.1:0"))
+func TestRestartKeepsListAndRevision(t *testing.T) {
+	a := startServer(t, testConfig(t), listen(t, "127.0.0.1:0"))
 	for n := range 5 {
 		a.register(n, 60_000)
 	}
 	before := a.list()
-	a = a.again()
+	a = a.restart()
 	if after := a.list(); fmt.Sprint(after) != fmt.Sprint(before) {
 		t.Errorf("was %+v, is %+v", before, after)
 	}
@@ -471,18 +471,18 @@
 	}
 	a.register(9, 60_000)
 	if l := a.watch(before.Revision).next(t); l.Complete || l.Revision <= before.Revision || len(l.Members) != 1 {
-		t.Errorf("over the restart a watcher is told %+v", l)
+		t.Errorf("a watcher from before the restart got %+v", l)
 	}
 }
 
-// What a cut tail had said may have been heard: its revisions are not given out again.
-func TestAfterATornTailRevisionsRise(t *testing.T) {
-	a := start(t, testConfig(t), listen(t, "127.0.0.1:0"))
+// Revisions in a truncated tail may have been sent to watchers, so they must not be issued again.
+func TestRevisionsRiseAfterTornTail(t *testing.T) {
+	a := startServer(t, testConfig(t), listen(t, "127.0.0.1:0"))
 	a.register(1, 60_000)
 	a.register(2, 60_000)
-	heard := a.list().Revision
+	sentRevision := a.list().Revision
 	a.stop()
-	path := a.cfg.State + "/" + logName
+	path := a.cfg.StateDir + "/" + logFile
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -490,56 +490,56 @@
 	if err := os.WriteFile(path, raw[:len(raw)-3], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	a = a.again()
+	a = a.restart()
 	a.register(3, 60_000)
-	if l := a.watch(heard).next(t); !l.Complete || l.Revision <= heard || len(l.Members) != 2 {
-		t.Errorf("a watcher at %d is told %+v", heard, l)
+	if l := a.watch(sentRevision).next(t); !l.Complete || l.Revision <= sentRevision || len(l.Members) != 2 {
+		t.Errorf("a watcher at %d got %+v", sentRevision, l)
 	}
 }
 
-func TestADiskThatIsFull(t *testing.T) {
-	a := start(t, testConfig(t), listen(t, "127.0.0.1:0"))
+func TestFullDisk(t *testing.T) {
+	a := startServer(t, testConfig(t), listen(t, "127.0.0.1:0"))
 	a.register(1, 60_000)
 	before := a.list()
 	full, err := os.OpenFile("/dev/full", os.O_RDWR, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	good := a.s.store.path
+	goodPath := a.s.store.path
 	inLoop := func(do func()) {
 		t.Helper()
-		if _, err := a.s.do(t.Context(), order{plan: func(time.Duration) (List, any, error) { do(); return List{}, nil, nil }}); err != nil {
+		if _, err := a.s.submit(t.Context(), command{plan: func(time.Duration) (List, any, error) { do(); return List{}, nil, nil }}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	var file *os.File
-	inLoop(func() { file, a.s.store.f, a.s.store.path = a.s.store.f, full, "/nowhere/list.log" })
+	inLoop(func() { file, a.s.store.file, a.s.store.path = a.s.store.file, full, "/nowhere/list.log" })
 	for range 3 {
-		if code, said := a.call("PUT", "/registry/instances/s2", claimOf(2, 60_000)); code != 503 {
-			t.Fatalf("a write that can't be kept: %d %s", code, said)
+		if code, said := a.call("PUT", "/registry/instances/s2", registrationBody(2, 60_000)); code != 503 {
+			t.Fatalf("write that can't be persisted: %d %s", code, said)
 		}
 	}
 	if code, _ := a.call("POST", "/registry/instances/s1/renew", `{"owner":"p1"}`); code != 200 {
-		t.Errorf("a renewal writes nothing, and is answered %d", code)
+		t.Errorf("renewal, which writes nothing to disk: %d", code)
 	}
 	if after := a.list(); fmt.Sprint(after) != fmt.Sprint(before) {
 		t.Errorf("was %+v, is %+v", before, after)
 	}
-	inLoop(func() { a.s.store.path = good }) // room again
-	eventually(t, "writes are taken again", func() bool {
-		code, _ := a.call("PUT", "/registry/instances/s2", claimOf(2, 60_000))
+	inLoop(func() { a.s.store.path = goodPath }) // the disk has space again
+	eventually(t, "writes are accepted again", func() bool {
+		code, _ := a.call("PUT", "/registry/instances/s2", registrationBody(2, 60_000))
 		return code == 200
 	})
 	file.Close()
 	before = a.list()
-	a = a.again()
+	a = a.restart()
 	if after := a.list(); fmt.Sprint(after) != fmt.Sprint(before) || len(after.Members) != 2 {
 		t.Errorf("was %+v, after a restart %+v", before, after)
 	}
 }
 
-func TestNoticesAreKept(t *testing.T) {
-	a := start(t, testConfig(t), listen(t, "127.0.0.1:0"))
+func TestNoticesSurviveRestart(t *testing.T) {
+	a := startServer(t, testConfig(t), listen(t, "127.0.0.1:0"))
 	post := func(id string) {
 		t.Helper()
 		if code, said := a.call("POST", "/reports", fmt.Sprintf(`{"id":%q,"state":"returned","after_ms":500}`+"\n", id)); code != 204 {
@@ -548,7 +548,7 @@
 	}
 	post("a")
 	post("b")
-	a = a.again()
+	a = a.restart()
 	post("c")
 	_, page := a.call("GET", "/reports?after=1", "")
 	var ids []string
@@ -563,14 +563,14 @@
 		ids = append(ids, n.ID)
 	}
 	if strings.Join(ids, "") != "bc" {
-		t.Errorf("after the first: %v", ids)
+		t.Errorf("notices after the first: %v", ids)
 	}
 }
 
-func TestNoticesAreBounded(t *testing.T) {
+func TestNoticeLogIsBounded(t *testing.T) {
 	dir := t.TempDir()
-	const most = 16 << 10
-	r, err := openReports(dir, most)
+	const maxBytes = 16 << 10
+	r, err := openNoticeLog(dir, maxBytes)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -583,26 +583,26 @@
 		t.Fatal(err)
 	}
 	var sum int64
-	for _, name := range []string{reportsName, reportsName + ".old"} {
+	for _, name := range []string{reportsFile, reportsFile + ".old"} {
 		info, err := os.Stat(dir + "/" + name)
 		if err != nil {
 			t.Fatal(err)
 		}
 		sum += info.Size()
 	}
-	if sum > most || sum < most/2 {
-		t.Errorf("%d bytes are kept", sum)
+	if sum > maxBytes || sum < maxBytes/2 {
+		t.Errorf("%d bytes are stored", sum)
 	}
-	if err := os.WriteFile(dir+"/"+reportsName, append(must(os.ReadFile(dir+"/"+reportsName)), `{"seq":`...), 0o600); err != nil {
+	if err := os.WriteFile(dir+"/"+reportsFile, append(must(os.ReadFile(dir+"/"+reportsFile)), `{"seq":`...), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if r, err = openReports(dir, most); err != nil {
+	if r, err = openNoticeLog(dir, maxBytes); err != nil {
 		t.Fatal(err)
 	}
 	defer r.close()
-	page, err := r.since(1990)
-	if err != nil || bytes.Count(page, []byte("\n")) != 10 || r.next != 2001 {
-		t.Errorf("got %s, %v; next %d", page, err, r.next)
+	page, err := r.pageAfter(1990)
+	if err != nil || bytes.Count(page, []byte("\n")) != 10 || r.nextSeq != 2001 {
+		t.Errorf("got %s, %v; next %d", page, err, r.nextSeq)
 	}
 }
 
@@ -613,51 +613,51 @@
 	return v
 }
 
-func FuzzReadNotices(f *testing.F) {
+func FuzzParseNotices(f *testing.F) {
 	f.Add([]byte(`{"id":"a","state":"failed"}` + "\n" + `{"id":"b","state":"returned","after_ms":5}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		notices, err := readNotices(raw)
+		notices, err := parseNotices(raw)
 		for _, n := range notices {
-			if err == nil && (n.ID == "" || len(n.ID) > maxReportID || n.AfterMS < 0) {
+			if err == nil && (n.ID == "" || len(n.ID) > maxReportIDLen || n.AfterMS < 0) {
 				t.Errorf("took %+v", n)
 			}
 		}
 	})
 }
 
-// The log does not grow with the changes, and what it holds outlasts its being written anew. While that can't be done
-// it goes on growing, and changes are taken.
-func TestTheLogIsBounded(t *testing.T) {
-	a := start(t, testConfig(t), listen(t, "127.0.0.1:0"))
+// Compaction bounds the size of the log and keeps the list. While compaction fails, the log grows and changes are still
+// accepted.
+func TestLogIsBounded(t *testing.T) {
+	a := startServer(t, testConfig(t), listen(t, "127.0.0.1:0"))
 	change := func(n int) {
 		t.Helper()
 		m := instance(n % 20)
 		m.Size = float64(2 + n)
-		if _, err := a.s.do(t.Context(), order{plan: a.s.asPrimary(func(now time.Duration) (List, any, error) {
-			l, err := a.s.cat.Register(now, 1, m)
+		if _, err := a.s.submit(t.Context(), command{plan: a.s.primaryOnly(func(now time.Duration) (List, any, error) {
+			l, err := a.s.catalog.Register(now, 1, m)
 			return l, nil, err
 		})}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	size := func() int64 { return a.s.figures.logBytes.Load() }
+	size := func() int64 { return a.s.stats.logBytes.Load() }
 	const changes = 1500 // about 220 bytes each
 	n := 0
 	for range changes {
 		n++
 		change(n)
 	}
-	eventually(t, "the log is written anew", func() bool {
+	eventually(t, "the log is compacted", func() bool {
 		n++
 		change(n)
-		return size() < minCompact/2
+		return size() < minCompactBytes/2
 	})
 	want := a.list()
-	a = a.again()
+	a = a.restart()
 	if got := a.list(); fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Errorf("was %+v, after a restart %+v", want, got)
 	}
-	if _, err := a.s.do(t.Context(), order{plan: func(time.Duration) (List, any, error) {
+	if _, err := a.s.submit(t.Context(), command{plan: func(time.Duration) (List, any, error) {
 		a.s.store.path = "/nowhere/list.log"
 		return List{}, nil, nil
 	}}); err != nil {
@@ -667,23 +667,23 @@
 		n++
 		change(n)
 	}
-	if size() <= minCompact {
-		t.Errorf("%d bytes: the log was not to be written anew", size())
+	if size() <= minCompactBytes {
+		t.Errorf("%d bytes: the log was compacted although that should fail", size())
 	}
 }
 
-// A list that is begun anew says that it may lack some, to whoever asks and also at a follower, until it has settled; then
-// everybody hears so, and a restart does not begin it again.
-func TestAListThatIsBegunAnewSettles(t *testing.T) {
+// A newly begun list is marked as settling, because it may lack instances, until the settle time has passed. Watchers
+// are then sent the change, and a restart does not mark the list again.
+func TestNewListSettles(t *testing.T) {
 	cfg := testConfig(t)
-	cfg.Settle = 300 * time.Millisecond
-	a := start(t, cfg, listen(t, "127.0.0.1:0"))
+	cfg.SettleTime = 300 * time.Millisecond
+	a := startServer(t, cfg, listen(t, "127.0.0.1:0"))
 	list := func() string {
 		_, body := call(t, "GET", "http://"+a.addr+"/registry/instances", "")
 		return body
 	}
 	if got := list(); !strings.Contains(got, `"settling":true`) {
-		t.Errorf("at first: %s", got)
+		t.Errorf("list after the start: %s", got)
 	}
 	resp, err := http.Get("http://" + a.addr + "/registry/instances?watch=1")
 	if err != nil {
@@ -691,28 +691,28 @@
 	}
 	defer resp.Body.Close()
 	lines := bufio.NewScanner(resp.Body)
-	var told []string
+	var received []string
 	for lines.Scan() {
-		if told = append(told, lines.Text()); len(lines.Bytes()) > 1 && !strings.Contains(lines.Text(), "settling") {
+		if received = append(received, lines.Text()); len(lines.Bytes()) > 1 && !strings.Contains(lines.Text(), "settling") {
 			break
 		}
 	}
-	if len(told) < 2 || !strings.Contains(told[0], "settling") {
-		t.Errorf("a watcher is told %q", told)
+	if len(received) < 2 || !strings.Contains(received[0], "settling") {
+		t.Errorf("a watcher got %q", received)
 	}
-	a = a.again()
+	a = a.restart()
 	if got := list(); strings.Contains(got, "settling") {
-		t.Errorf("after a restart: %s", got)
+		t.Errorf("list after a restart: %s", got)
 	}
 }
 
-// Whoever begins is served at the server's rate; the others are told when to come, to the millisecond and each at another
-// time. Renewals and other servers pass.
-func TestAStartIsServedAtTheServersPace(t *testing.T) {
+// Starting clients are served at the server's configured rate. The others get a time to retry in milliseconds, each a
+// different one. Second opinions, registrations and other servers are not limited.
+func TestStartIsRateLimited(t *testing.T) {
 	cfg := testConfig(t)
 	cfg.StartRate = 10
-	a := start(t, cfg, listen(t, "127.0.0.1:0"))
-	ask := func(query string) (int, http.Header) {
+	a := startServer(t, cfg, listen(t, "127.0.0.1:0"))
+	get := func(query string) (int, http.Header) {
 		resp, err := http.Get("http://" + a.addr + "/registry/instances" + query)
 		if err != nil {
 			t.Fatal(err)
@@ -723,32 +723,32 @@
 	waits := map[string]bool{}
 	var turn string
 	for range 8 {
-		code, h := ask("?after=0")
+		code, h := get("?after=0")
 		if code == http.StatusServiceUnavailable {
 			waits[h.Get("Retry-After-Ms")] = true
 			turn = h.Get("Registry-Turn")
 			if h.Get("Retry-After") == "" || turn == "" {
-				t.Errorf("told %v", h)
+				t.Errorf("refused with headers %v", h)
 			}
 		}
 	}
 	if len(waits) < 5 {
-		t.Errorf("waits %v", waits)
+		t.Errorf("retry times %v", waits)
 	}
-	if code, _ := ask("?after=1"); code != http.StatusOK {
-		t.Errorf("who wants a second opinion is told %d", code)
+	if code, _ := get("?after=1"); code != http.StatusOK {
+		t.Errorf("request for a second opinion: %d", code)
 	}
-	if code, _ := ask("?watch=1&replica=1"); code != http.StatusOK {
-		t.Errorf("another server is told %d", code)
+	if code, _ := get("?watch=1&replica=1"); code != http.StatusOK {
+		t.Errorf("watch by another server: %d", code)
 	}
 	if code, body := call(t, "PUT", "http://"+a.addr+"/registry/instances/s-1",
 		`{"host_port":"127.0.0.1:6379","locality":"a","flavor":"m","cell":3,"owner":"s-1.1"}`); code != http.StatusOK {
-		t.Errorf("a registration is told %d %s", code, body)
+		t.Errorf("registration: %d %s", code, body)
 	}
-	if code, h := ask("?after=0&turn=" + turn); code != http.StatusServiceUnavailable || h.Get("Registry-Turn") != turn {
-		t.Errorf("a turn that comes too soon is told %d %v", code, h)
+	if code, h := get("?after=0&turn=" + turn); code != http.StatusServiceUnavailable || h.Get("Registry-Turn") != turn {
+		t.Errorf("turn used too early: %d %v", code, h)
 	}
-	if _, text := call(t, "GET", "http://"+a.console+"/ops/stats", ""); !strings.Contains(text, "registry.turns_out:") {
+	if _, text := call(t, "GET", "http://"+a.opsAddr+"/ops/stats", ""); !strings.Contains(text, "registry.turns_out:") {
 		t.Errorf("no turns in %s", text)
 	}
 }
--- a/internal/registry/store_test.go
+++ b/internal/registry/store_test.go
@@ -8,17 +8,17 @@
 	"testing"
 )
 
-// filled is a log of a whole list and some changes, and what its revisions are.
-func filled(t *testing.T, dir string, changes int) (raw []byte, lists []List) {
+// filledLog returns a log of a complete list and some changes, and the lists in it.
+func filledLog(t *testing.T, dir string, changes int) (raw []byte, lists []List) {
 	t.Helper()
 	s, none, err := OpenStore(dir)
 	if err != nil || none != nil {
 		t.Fatal(none, err)
 	}
 	defer s.Close()
-	c := newList(t, 2)
-	lists = append(lists, c.Whole())
-	if err := s.Compact(c.Whole()); err != nil {
+	c := newTestCatalog(t, 2)
+	lists = append(lists, c.Snapshot())
+	if err := s.Compact(c.Snapshot()); err != nil {
 		t.Fatal(err)
 	}
 	for n := range changes {
@@ -28,7 +28,7 @@
 			t.Fatal(err)
 		}
 	}
-	raw, err = os.ReadFile(filepath.Join(dir, logName))
+	raw, err = os.ReadFile(filepath.Join(dir, logFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 func reopen(t *testing.T, raw []byte) (*Store, []List, error) {
 	t.Helper()
 	dir := t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, logName), raw, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, logFile), raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	s, lists, err := OpenStore(dir)
@@ -48,9 +48,10 @@
 	return s, lists, err
 }
 
-// A kill can leave any part of a write behind. Whole records hold, the part is cut, and the log can be appended to.
-func TestAKillAtAnyByteOfAWrite(t *testing.T) {
-	raw, want := filled(t, t.TempDir(), 3)
+// A killed process can leave any part of a write behind. Complete records are kept, the partial one is truncated, and
+// the log can be appended to.
+func TestTornWriteIsTruncated(t *testing.T) {
+	raw, want := filledLog(t, t.TempDir(), 3)
 	first, err := appendRecord([]byte(logMagic), want[0])
 	if err != nil {
 		t.Fatal(err)
@@ -64,20 +65,20 @@
 		ends = append(ends, ends[len(ends)-1]+len(rec))
 	}
 	for size := len(first); size <= len(raw); size++ {
-		whole := 0
+		wantLists := 0
 		for _, end := range ends {
 			if size >= end {
-				whole++
+				wantLists++
 			}
 		}
 		s, lists, err := reopen(t, raw[:size])
 		if err != nil {
-			t.Fatalf("cut at %d: %v", size, err)
+			t.Fatalf("truncated at %d: %v", size, err)
 		}
-		if len(lists) != whole || s.Cut != int64(size-ends[whole-1]) {
-			t.Fatalf("cut at %d: %d lists, want %d; %d bytes cut", size, len(lists), whole, s.Cut)
+		if len(lists) != wantLists || s.TruncatedBytes != int64(size-ends[wantLists-1]) {
+			t.Fatalf("truncated at %d: %d lists, want %d; %d bytes removed", size, len(lists), wantLists, s.TruncatedBytes)
 		}
-		next := List{Revision: lists[whole-1].Revision + 1}
+		next := List{Revision: lists[wantLists-1].Revision + 1}
 		if err := s.Append(next); err != nil {
 			t.Fatal(err)
 		}
@@ -85,15 +86,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if again, _, err := readLog("log", after); err != nil || len(again) != whole+1 {
-			t.Fatalf("cut at %d, then appended to: %d lists, %v", size, len(again), err)
+		if again, _, err := readLog("log", after); err != nil || len(again) != wantLists+1 {
+			t.Fatalf("truncated at %d, then appended to: %d lists, %v", size, len(again), err)
 		}
 	}
 }
 
-// A record that can't be read in front of others is no torn tail: to go on would lose what it says.
-func TestACorruptMiddleIsAnErrorWithItsOffset(t *testing.T) {
-	raw, want := filled(t, t.TempDir(), 3)
+// An invalid record in front of valid ones is not a torn tail. Opening the log without it would lose its changes.
+func TestCorruptMiddleRecordIsErrorWithOffset(t *testing.T) {
+	raw, want := filledLog(t, t.TempDir(), 3)
 	first, err := appendRecord([]byte(logMagic), want[0])
 	if err != nil {
 		t.Fatal(err)
@@ -103,25 +104,25 @@
 		t.Fatal(err)
 	}
 	for at := len(first); at < len(second); at++ {
-		spoilt := append([]byte(nil), raw...)
-		spoilt[at] ^= 0x41
-		_, _, err := reopen(t, spoilt)
+		corrupted := append([]byte(nil), raw...)
+		corrupted[at] ^= 0x41
+		_, _, err := reopen(t, corrupted)
 		var corrupt *CorruptError
 		if !errors.As(err, &corrupt) || corrupt.Offset != int64(len(first)) {
-			t.Fatalf("byte %d spoilt: %v", at, err)
+			t.Fatalf("byte %d corrupted: %v", at, err)
 		}
 	}
-	for name, spoilt := range map[string][]byte{"empty": {}, "no list": []byte(logMagic), "half a first list": raw[:len(first)-1]} {
+	for name, corrupted := range map[string][]byte{"empty": {}, "no list": []byte(logMagic), "half a first list": raw[:len(first)-1]} {
 		var corrupt *CorruptError
-		if _, _, err := reopen(t, spoilt); !errors.As(err, &corrupt) {
+		if _, _, err := reopen(t, corrupted); !errors.As(err, &corrupt) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
-func TestALogIsWrittenAnew(t *testing.T) {
+func TestCompact(t *testing.T) {
 	dir := t.TempDir()
-	filled(t, dir, 3)
+	filledLog(t, dir, 3)
 	s, lists, err := OpenStore(dir)
 	if err != nil {
 		t.Fatal(err)
@@ -132,7 +133,7 @@
 		c.Apply(0, l)
 	}
 	before := s.Size()
-	if err := s.Compact(c.Whole()); err != nil {
+	if err := s.Compact(c.Snapshot()); err != nil {
 		t.Fatal(err)
 	}
 	if s.Size() >= before {
@@ -142,33 +143,33 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if again, _, err := readLog("log", raw); err != nil || len(again) != 1 || !reflect.DeepEqual(again[0], c.Whole()) {
-		t.Errorf("got %+v, %v, want %+v", again, err, c.Whole())
+	if again, _, err := readLog("log", raw); err != nil || len(again) != 1 || !reflect.DeepEqual(again[0], c.Snapshot()) {
+		t.Errorf("got %+v, %v, want %+v", again, err, c.Snapshot())
 	}
 }
 
-func TestAFolderHasOneProcess(t *testing.T) {
+func TestStateDirIsLocked(t *testing.T) {
 	dir := t.TempDir()
 	s, _, err := OpenStore(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := OpenStore(dir); err == nil {
-		t.Error("a second process has the folder")
+		t.Error("the state directory was opened twice")
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
 	again, _, err := OpenStore(dir)
 	if err != nil {
-		t.Fatalf("after the first is gone: %v", err)
+		t.Fatalf("open after the first was closed: %v", err)
 	}
 	again.Close()
 }
 
 func FuzzReadLog(f *testing.F) {
 	c := NewCatalog(DefaultOptions())
-	raw, err := appendRecord([]byte(logMagic), c.Whole())
+	raw, err := appendRecord([]byte(logMagic), c.Snapshot())
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -184,7 +185,7 @@
 		}
 		again, all, err := readLog("log", raw[:good])
 		if err != nil || all != good || !reflect.DeepEqual(lists, again) {
-			t.Errorf("what is good reads as %v, %v; at first %v", again, err, lists)
+			t.Errorf("valid bytes read again as %v, %v; first as %v", again, err, lists)
 		}
 	})
 }
