--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -25,13 +25,13 @@
 	commandTimeout  = 900 * time.Millisecond // for a change to take effect; after it the caller gets an error
 )
 
-// Errors with which a Node refuses a request.
+// Errors with which a Node refuses a request. Their texts are the bodies of HTTP responses, so they stay as they are.
 var (
 	ErrUnknownEndpoint       = errors.New("no such endpoint")
-	ErrNotServing            = errors.New("this process is not serving")
+	ErrNotServing            = errors.New("this process does not serve now")
 	ErrMembershipDisabled    = errors.New("membership is off")
 	ErrUnknownLogLevel       = errors.New("no such log level")
-	ErrPeerSocketUnavailable = errors.New("the UDP socket to the other nodes could not be opened")
+	ErrPeerSocketUnavailable = errors.New("the socket to the other nodes could not be opened")
 )
 
 // Node is what the server needs from the node.
@@ -75,7 +75,7 @@
 		return func(w http.ResponseWriter, r *http.Request) {
 			id := r.URL.Query().Get("id")
 			if id == "" {
-				http.Error(w, "the parameter id is required", http.StatusBadRequest)
+				http.Error(w, "id is needed", http.StatusBadRequest)
 				return
 			}
 			command(func(ctx context.Context, _ *http.Request) error { return do(ctx, id) })(w, r)
--- a/internal/cli/audit.go
+++ b/internal/cli/audit.go
@@ -113,7 +113,8 @@
 	return c
 }
 
-// collectReport reads all call records and audits them against a history of list changes.
+// collectReport reads all call records and audits them against a history of list changes. The texts that it adds are
+// part of the JSON report, so they stay as they are.
 func (o *fleetOptions) collectReport(ctx context.Context, a auditOptions, h auditlog.History) (auditlog.Report, error) {
 	audit := auditlog.Auditor{History: h, Grace: a.grace, Slack: a.slack}
 	if a.since > 0 {
@@ -134,11 +135,11 @@
 			return auditlog.Report{}, err
 		}
 		for _, s := range unanswered {
-			audit.AddMissing(s, "the list server does not answer: nodes that report only to it are not audited")
+			audit.AddMissing(s, "the list server does not answer: nodes that told only it are not looked at")
 		}
 		for _, n := range v.Nodes {
 			if n.AdminAddr == "" {
-				audit.AddMissing(n.Name, "it has no door: give its state directory with --folders")
+				audit.AddMissing(n.Name, "it has no door: give its folder")
 				continue
 			}
 			addrs, names[n.AdminAddr] = append(addrs, n.AdminAddr), n.Name
@@ -181,6 +182,6 @@
 	for _, u := range r.Unknown {
 		fmt.Fprintf(out, "unknown: %s: %s\n", u.Node, u.Text)
 	}
-	_, err := fmt.Fprintf(out, "%d recorded calls of %d nodes\n", r.Calls, r.Nodes)
+	_, err := fmt.Fprintf(out, "%d calls of %d nodes on record\n", r.Calls, r.Nodes)
 	return err
 }
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -23,7 +23,7 @@
 			if _, err := config.Load(o.sources()); err != nil {
 				return err
 			}
-			fmt.Fprintln(c.OutOrStdout(), "the configuration is valid")
+			fmt.Fprintln(c.OutOrStdout(), "the configuration is good")
 			return nil
 		},
 	}
--- a/internal/config/print.go
+++ b/internal/config/print.go
@@ -23,7 +23,7 @@
 		"delivery.zones": `["a", "b"]`, "delivery.kinds": `["office"]`,
 	}
 	out := &strings.Builder{}
-	out.WriteString("# Configuration of a harrierramp node. 'harrierramp config check FILE' reports all errors in one.\n")
+	out.WriteString("# A node of harrierramp. 'harrierramp config check FILE' tells what is wrong with one.\n")
 	table, commentPrefix := "", ""
 	for _, f := range fields() {
 		tablePath, name := "", f.path
@@ -164,7 +164,7 @@
 		},
 	}
 	s := r.Reflect(&Config{})
-	s.Title, s.Description = "harrierramp", "configuration of a node"
+	s.Title, s.Description = "harrierramp", "a node's configuration"
 	for _, f := range fields() {
 		describe(s, strings.Split(f.path, "."), f)
 	}
