--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -29,11 +29,12 @@
 }
 
 // SetLevel sets the minimum level that is logged, by name; empty means info. On an error the level is unchanged.
+// The text of the error is part of an HTTP response of the admin API, so it stays as it is.
 func SetLevel(v *slog.LevelVar, name string) error {
 	level := slog.LevelInfo
 	if name != "" {
 		if err := level.UnmarshalText([]byte(name)); err != nil {
-			return fmt.Errorf("log level %q: must be one of debug, info, warn, error", name)
+			return fmt.Errorf("log level %q: one of debug, info, warn, error", name)
 		}
 	}
 	v.Set(level)
