--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -204,7 +204,7 @@
 		case <-time.After(stateLockTimeout / 50):
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("state directory %s is in use by a running node (%s is locked); stop that node, or upgrade as described in docs/on-call.md",
+			return fmt.Errorf("state folder %s is in use by a running node (%s is locked); stop that node, or upgrade as described in docs/on-call.md",
 				dir, filepath.Join(dir, "lock"))
 		}
 	}
