--- a/internal/lab/cli/cli.go
+++ b/internal/lab/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the command line of the lab.
+// Package cli implements the commands of harrierlab, the lab's command line.
 package cli
 
 import (
@@ -19,12 +19,13 @@
 	"harrierramp/internal/lab/policy"
 )
 
-// Main runs a command line and returns the exit status: 1 for what failed, 2 for a wrong command line.
+// Main runs a command line and returns the exit status: 0 for success, 1 for a failed command, 2 for a wrong command
+// line.
 func Main(args []string, stdout, stderr io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	root := &cobra.Command{
-		Use: "harrierlab", Short: "Emulates partners, clients and a fleet, and plays experiments on them",
+		Use: "harrierlab", Short: "Simulate partners, clients and a fleet of delivery nodes, and run experiments on them",
 		Example:       "  harrierlab run lab/small.toml --out small.jsonl --html small.html\n  harrierlab day split --nodes 60 --seed 3",
 		SilenceErrors: true, SilenceUsage: true,
 	}
@@ -48,7 +49,7 @@
 	var out, html string
 	var threads int
 	c := &cobra.Command{
-		Use: "run EXPERIMENT", Short: "Play an experiment, go on where it was cut off, and print its table", Args: cobra.ExactArgs(1),
+		Use: "run EXPERIMENT", Short: "Run an experiment, resume it if it was interrupted, and print its table of results", Args: cobra.ExactArgs(1),
 		Example: "  harrierlab run lab/small.toml --out small.jsonl --html small.html",
 		RunE: func(c *cobra.Command, args []string) error {
 			e, err := experiment.Load(args[0])
@@ -58,92 +59,95 @@
 			if out == "" {
 				out = strings.TrimSuffix(args[0], ".toml") + ".jsonl"
 			}
-			lines, err := e.Run(c.Context(), out, threads, func(done, all int) {
-				fmt.Fprintf(c.ErrOrStderr(), "\r%d of %d runs", done, all)
-				if done == all {
+			results, err := e.Run(c.Context(), out, threads, func(done, total int) {
+				fmt.Fprintf(c.ErrOrStderr(), "\r%d of %d runs", done, total)
+				if done == total {
 					fmt.Fprintln(c.ErrOrStderr())
 				}
 			})
 			if err != nil {
 				return err
 			}
-			all := experiment.Summarize(lines)
-			if err := experiment.WriteTable(c.OutOrStdout(), all); err != nil {
+			summaries := experiment.Summarize(results)
+			if err := experiment.WriteTable(c.OutOrStdout(), summaries); err != nil {
 				return err
 			}
 			if html != "" {
-				if err := writeReport(html, e, lines, all); err != nil {
+				if err := writeReport(html, e, results, summaries); err != nil {
 					return err
 				}
 			}
-			return reportProblems(c, lines)
+			return reportProblems(c, results)
 		},
 	}
-	c.Flags().StringVar(&out, "out", "", "file of results, a JSON line a run (default: beside the experiment)")
-	c.Flags().StringVar(&html, "html", "", "write a report with plots, one file")
-	c.Flags().IntVar(&threads, "threads", 0, "runs at once (default: as many as cores)")
+	c.Flags().StringVar(&out, "out", "", "results file, one JSON line per run (default: beside the experiment file)")
+	c.Flags().StringVar(&html, "html", "", "write a report with plots to this file, as one self-contained page")
+	c.Flags().IntVar(&threads, "threads", 0, "number of parallel runs (default: one per core)")
 	return c
 }
 
-// complain prints the runs that failed or broke a rule. Only those of the project's own sender are a failure.
-func reportProblems(c *cobra.Command, lines []experiment.RunResult) error {
-	bad := 0
-	for _, p := range experiment.Problems(lines) {
+// reportProblems prints the runs that failed or broke a rule. It returns an error only if runs of the project's own
+// sender are among them: policies whose name begins with "ours".
+func reportProblems(c *cobra.Command, results []experiment.RunResult) error {
+	failures := 0
+	for _, p := range experiment.Problems(results) {
 		if strings.HasPrefix(p, "ours") {
-			bad++
+			failures++
 		}
 		fmt.Fprintln(c.ErrOrStderr(), p)
 	}
-	if bad > 0 {
-		return fmt.Errorf("%d runs of the project's own sender failed or broke a rule", bad)
+	if failures > 0 {
+		return fmt.Errorf("%d runs of the project's own sender failed or broke a rule", failures)
 	}
 	return nil
 }
 
-func writeReport(path string, e experiment.Experiment, lines []experiment.RunResult, all []experiment.Summary) error {
+// writeReport writes the report of an experiment to a file.
+func writeReport(path string, e experiment.Experiment, results []experiment.RunResult, summaries []experiment.Summary) error {
 	f, err := os.Create(path)
 	if err != nil {
 		return err
 	}
 	defer f.Close()
-	if err := experiment.WriteReport(f, e, lines, all); err != nil {
+	if err := experiment.WriteReport(f, e, results, summaries); err != nil {
 		return err
 	}
 	return f.Close()
 }
 
-// jobFlags name one run.
+// addJobFlags adds the flags that select a run.
 func addJobFlags(c *cobra.Command, j *experiment.Job) {
-	c.Flags().StringVar(&j.Policy, "policy", "ours", "who decides: see 'harrierlab policies'")
-	c.Flags().IntVar(&j.Nodes, "nodes", 60, "nodes of the fleet")
-	c.Flags().Uint64Var(&j.Seed, "seed", 1, "of the day and all chance in it")
+	c.Flags().StringVar(&j.Policy, "policy", "ours", "policy that decides for the nodes, see 'harrierlab policies'")
+	c.Flags().IntVar(&j.Nodes, "nodes", 60, "number of nodes in the fleet")
+	c.Flags().Uint64Var(&j.Seed, "seed", 1, "seed of the day and of all random numbers in it")
 }
 
 func newDay() *cobra.Command {
 	var j experiment.Job
 	c := &cobra.Command{
-		Use: "day KIND", Short: "Play one day and print what came of it", Args: cobra.ExactArgs(1),
+		Use: "day KIND", Short: "Simulate one day and print its result", Args: cobra.ExactArgs(1),
 		Example: "  harrierlab day split --nodes 60 --seed 3 --policy lrt+bbc60-80",
 		RunE: func(c *cobra.Command, args []string) error {
 			j.Day = args[0]
-			line := (&experiment.Experiment{}).RunJob(c.Context(), j, nil)
-			if line.Error != "" {
-				return fmt.Errorf("%s", line.Error)
+			result := (&experiment.Experiment{}).RunJob(c.Context(), j, nil)
+			if result.Error != "" {
+				return fmt.Errorf("%s", result.Error)
 			}
-			return experiment.WriteRun(c.OutOrStdout(), line)
+			return experiment.WriteRun(c.OutOrStdout(), result)
 		},
 	}
 	addJobFlags(c, &j)
 	return c
 }
 
-// tracer prints the events of one message.
+// tracer prints the events of one message, including those of its resubmissions.
 type tracer struct {
 	w         io.Writer
 	messageID string
 	found     bool
 }
 
+// Observe prints an event if it belongs to the message. It implements model.Observer.
 func (t *tracer) Observe(e *model.Event) {
 	if e.Msg == t.messageID || e.FirstID == t.messageID && t.messageID != "" {
 		t.found = true
@@ -154,16 +158,16 @@
 func newTrace() *cobra.Command {
 	var j experiment.Job
 	c := &cobra.Command{
-		Use: "trace KIND MSG", Short: "Print one message's life across the fleet", Args: cobra.ExactArgs(2),
+		Use: "trace KIND MSG", Short: "Simulate one day and print all events of one message across the fleet", Args: cobra.ExactArgs(2),
 		Example: "  harrierlab trace split m812 --nodes 60 --seed 3",
 		RunE: func(c *cobra.Command, args []string) error {
 			j.Day = args[0]
 			t := &tracer{w: c.OutOrStdout(), messageID: args[1]}
-			if line := (&experiment.Experiment{}).RunJob(c.Context(), j, t); line.Error != "" {
-				return fmt.Errorf("%s", line.Error)
+			if result := (&experiment.Experiment{}).RunJob(c.Context(), j, t); result.Error != "" {
+				return fmt.Errorf("%s", result.Error)
 			}
 			if !t.found {
-				return fmt.Errorf("no message %s on that day", args[1])
+				return fmt.Errorf("no message %s on this day", args[1])
 			}
 			return nil
 		},
@@ -174,7 +178,7 @@
 
 func newCompare() *cobra.Command {
 	return &cobra.Command{
-		Use: "compare BEFORE AFTER", Short: "Tell what moved between two files of results", Args: cobra.ExactArgs(2),
+		Use: "compare BEFORE AFTER", Short: "Print the changes between two results files", Args: cobra.ExactArgs(2),
 		Example: "  harrierlab compare before.jsonl after.jsonl",
 		RunE: func(c *cobra.Command, args []string) error {
 			before, err := experiment.ReadResults(args[0])
@@ -193,7 +197,7 @@
 func newLosses() *cobra.Command {
 	var j experiment.Job
 	c := &cobra.Command{
-		Use: "losses KIND", Short: "Play one day and tell where its worth went, by cause, phase and kind of destination", Args: cobra.ExactArgs(1),
+		Use: "losses KIND", Short: "Simulate one day and print the lost worth by cause, phase and kind of destination", Args: cobra.ExactArgs(1),
 		Example: "  harrierlab losses split --nodes 300 --seed 3",
 		RunE: func(c *cobra.Command, args []string) error {
 			j.Day = args[0]
@@ -202,8 +206,8 @@
 				return err
 			}
 			l := losses.New(&day)
-			if line := (&experiment.Experiment{}).RunJob(c.Context(), j, l); line.Error != "" {
-				return fmt.Errorf("%s", line.Error)
+			if result := (&experiment.Experiment{}).RunJob(c.Context(), j, l); result.Error != "" {
+				return fmt.Errorf("%s", result.Error)
 			}
 			return l.Report().Print(c.OutOrStdout())
 		},
@@ -214,7 +218,7 @@
 
 func newPolicies() *cobra.Command {
 	return &cobra.Command{
-		Use: "policies", Short: "List who may decide", Args: cobra.NoArgs, Example: "  harrierlab policies",
+		Use: "policies", Short: "List the policies", Args: cobra.NoArgs, Example: "  harrierlab policies",
 		RunE: func(c *cobra.Command, _ []string) error {
 			_, err := fmt.Fprintln(c.OutOrStdout(), strings.Join(policy.Names(), "\n"))
 			return err
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -1,5 +1,5 @@
-// Package experiment plays variants on days with seeds, in parallel, and says what came of it: medians, spread, and
-// differences paired by day and seed.
+// Package experiment runs variants of the delivery policy on simulated days with a set of seeds, in parallel, and
+// reports the results: medians, spread, and differences paired by day and seed.
 package experiment
 
 import (
@@ -21,29 +21,30 @@
 	"harrierramp/internal/lab/policy"
 )
 
-// Experiment is what a file asks for.
+// Experiment describes the runs that an experiment file asks for: every combination of policy, day, node count and
+// seed.
 type Experiment struct {
 	Name     string   `toml:"name"`
-	Policies []string `toml:"policies"` // see policy.Named; the first is what the others are held against
-	Days     []string `toml:"days"`     // kinds, as model.Draw knows them
+	Policies []string `toml:"policies"` // names known to policy.Named; the others are compared with the first
+	Days     []string `toml:"days"`     // kinds of days known to model.Draw
 	Nodes    []int    `toml:"nodes"`
 	Seeds    []uint64 `toml:"seeds"`
-	Length   string   `toml:"length"` // of arrivals, as "24s"; the kind's own if empty
+	Length   string   `toml:"length"` // duration of arrivals, such as "24s"; empty for the default of the kind of day
 	Faults   []struct {
 		Kind  string  `toml:"kind"`
-		At    float64 `toml:"at"`  // seconds
-		For   float64 `toml:"for"` // seconds
+		At    float64 `toml:"at"`  // start, in seconds
+		For   float64 `toml:"for"` // duration, in seconds
 		Dests []int   `toml:"destinations"`
 		Nodes []int   `toml:"nodes"`
 		Zone  *int    `toml:"zone"`
 		Size  float64 `toml:"size"`
-	} `toml:"trouble"` // on top of what the kind draws
+	} `toml:"trouble"` // in addition to the faults drawn for the kind of day
 }
 
-// maxRuns bounds an experiment.
+// maxRuns is the largest number of runs in one experiment.
 const maxRuns = 20_000
 
-// Load reads an experiment. Unknown keys are faults.
+// Load reads an experiment file and checks it. Unknown keys are an error.
 func Load(path string) (Experiment, error) {
 	var e Experiment
 	f, err := os.Open(path)
@@ -60,7 +61,7 @@
 	return e, e.Check()
 }
 
-// Check tells what is wrong with it, and fills in what was left out.
+// Check fills in the default nodes and seeds, and returns an error if the experiment is invalid.
 func (e *Experiment) Check() error {
 	if len(e.Nodes) == 0 {
 		e.Nodes = []int{60}
@@ -69,10 +70,10 @@
 		e.Seeds = []uint64{1, 2, 3}
 	}
 	if len(e.Policies) == 0 || len(e.Days) == 0 {
-		return errors.New("experiment: policies and days are needed")
+		return errors.New("experiment: at least one policy and one day are required")
 	}
 	if n := len(e.Jobs()); n > maxRuns {
-		return fmt.Errorf("experiment: %d runs, and at most %d", n, maxRuns)
+		return fmt.Errorf("experiment: %d runs, at most %d are allowed", n, maxRuns)
 	}
 	for _, p := range e.Policies {
 		if _, err := policy.Named(p); err != nil {
@@ -89,7 +90,7 @@
 	return nil
 }
 
-// Job is one run.
+// Job identifies one run.
 type Job struct {
 	Policy string `json:"policy"`
 	Day    string `json:"day"`
@@ -97,14 +98,14 @@
 	Seed   uint64 `json:"seed"`
 }
 
-// Line is a run and what came of it, a line of a file of results.
+// RunResult is a run and its outcome. A results file has one per line, encoded as JSON.
 type RunResult struct {
 	Job
 	Result *judge.Result `json:"result,omitempty"`
-	Error  string        `json:"failed,omitempty"` // the policy's failure, with what it takes to play it again
+	Error  string        `json:"failed,omitempty"` // why the run failed, with what is needed to reproduce it
 }
 
-// Jobs are all runs, in their order.
+// Jobs returns all runs of the experiment, in order.
 func (e *Experiment) Jobs() (out []Job) {
 	for _, d := range e.Days {
 		for _, n := range e.Nodes {
@@ -118,104 +119,106 @@
 	return out
 }
 
+// buildDay draws the day of a run and applies the length and the faults of the experiment to it.
 func (e *Experiment) buildDay(j Job) (model.Day, error) {
-	d, err := model.Draw(j.Day, j.Nodes, j.Seed)
+	day, err := model.Draw(j.Day, j.Nodes, j.Seed)
 	if err != nil {
-		return d, err
+		return day, err
 	}
 	if e.Length != "" {
-		if d.Length, err = parseLength(e.Length); err != nil {
-			return d, err
+		if day.Length, err = parseLength(e.Length); err != nil {
+			return day, err
 		}
 	}
-	for _, t := range e.Faults {
-		for _, i := range t.Dests {
-			if i < 0 || i >= len(d.Dests) {
-				return d, fmt.Errorf("trouble %s: no destination %d on day %s with seed %d", t.Kind, i, j.Day, j.Seed)
+	for _, spec := range e.Faults {
+		for _, i := range spec.Dests {
+			if i < 0 || i >= len(day.Dests) {
+				return day, fmt.Errorf("trouble %s: no destination %d on day %s with seed %d", spec.Kind, i, j.Day, j.Seed)
 			}
 		}
-		for _, i := range t.Nodes {
-			if i < 0 || i >= len(d.Nodes) {
-				return d, fmt.Errorf("trouble %s: no node %d", t.Kind, i)
+		for _, i := range spec.Nodes {
+			if i < 0 || i >= len(day.Nodes) {
+				return day, fmt.Errorf("trouble %s: no node %d", spec.Kind, i)
 			}
 		}
-		one := model.Fault{Kind: t.Kind, At: seconds(t.At), Duration: seconds(t.For), Dests: t.Dests, Nodes: t.Nodes, Zone: -1, Size: t.Size}
-		if t.Zone != nil {
-			one.Zone = *t.Zone
+		fault := model.Fault{Kind: spec.Kind, At: seconds(spec.At), Duration: seconds(spec.For), Dests: spec.Dests, Nodes: spec.Nodes, Zone: -1, Size: spec.Size}
+		if spec.Zone != nil {
+			fault.Zone = *spec.Zone
 		}
-		d.Faults = append(d.Faults, one)
+		day.Faults = append(day.Faults, fault)
 	}
-	return d, nil
+	return day, nil
 }
 
-// Play plays one run. watch, if it is not nil, hears of everything.
-func (e *Experiment) RunJob(ctx context.Context, j Job, watch model.Observer) RunResult {
-	line := RunResult{Job: j}
+// RunJob executes one run. The observer, if it is not nil, receives every event of the run.
+func (e *Experiment) RunJob(ctx context.Context, j Job, observer model.Observer) RunResult {
+	result := RunResult{Job: j}
 	day, err := e.buildDay(j)
 	if err != nil {
-		line.Error = err.Error()
-		return line
+		result.Error = err.Error()
+		return result
 	}
-	maker, err := policy.Named(j.Policy)
+	newPolicy, err := policy.Named(j.Policy)
 	if err != nil {
-		line.Error = err.Error()
-		return line
+		result.Error = err.Error()
+		return result
 	}
 	ledger := judge.New(&day)
-	var obs model.Observer = ledger
-	if watch != nil {
-		obs = model.Observers{ledger, watch}
+	var observers model.Observer = ledger
+	if observer != nil {
+		observers = model.Observers{ledger, observer}
 	}
-	if err := model.New(day, maker, obs).Run(ctx); err != nil {
-		line.Error = err.Error()
-		return line
+	if err := model.New(day, newPolicy, observers).Run(ctx); err != nil {
+		result.Error = err.Error()
+		return result
 	}
-	line.Result = ledger.Result()
-	return line
+	result.Result = ledger.Result()
+	return result
 }
 
-// Run plays what the file of results at path lacks, on so many threads (0 for all cores), and returns all lines in the
-// order of Jobs. Lines are written as they come, so that a run that was cut off goes on where it was.
+// Run executes the runs that are missing from the results file at path, with the given number of threads (0 for one per
+// core), and returns all results in the order of Jobs. Each result is appended to the file as soon as it is available,
+// so that an interrupted experiment resumes where it stopped.
 func (e *Experiment) Run(ctx context.Context, path string, threads int, progress func(done, all int)) ([]RunResult, error) {
-	had, err := ReadResults(path)
+	previous, err := ReadResults(path)
 	if err != nil {
 		return nil, err
 	}
 	done := map[Job]RunResult{}
-	for _, l := range had {
-		done[l.Job] = l
+	for _, result := range previous {
+		done[result.Job] = result
 	}
 	jobs := e.Jobs()
-	var todo []Job
+	var pending []Job
 	for _, j := range jobs {
 		if _, ok := done[j]; !ok {
-			todo = append(todo, j)
+			pending = append(pending, j)
 		}
 	}
-	out, err := os.OpenFile(path, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
+	file, err := os.OpenFile(path, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, fmt.Errorf("results: %w", err)
 	}
-	defer out.Close()
+	defer file.Close()
 	if threads <= 0 {
 		threads = runtime.NumCPU()
 	}
-	work, lines := make(chan Job), make(chan RunResult)
+	work, results := make(chan Job), make(chan RunResult)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var players sync.WaitGroup
-	for range min(threads, max(len(todo), 1)) {
-		players.Go(func() {
+	var workers sync.WaitGroup
+	for range min(threads, max(len(pending), 1)) {
+		workers.Go(func() {
 			for j := range work {
-				lines <- e.RunJob(ctx, j, nil)
+				results <- e.RunJob(ctx, j, nil)
 			}
 		})
 	}
-	go func() { // ends with the jobs or the context
-		defer close(lines)
-		defer players.Wait()
+	go func() { // ends when all jobs are handed out or ctx is done
+		defer close(results)
+		defer workers.Wait()
 		defer close(work)
-		for _, j := range todo {
+		for _, j := range pending {
 			select {
 			case work <- j:
 			case <-ctx.Done():
@@ -223,20 +226,20 @@
 			}
 		}
 	}()
-	var fail error
-	for l := range lines {
-		if ctx.Err() != nil || fail != nil {
-			continue // cut off in the middle: it is played again
+	var writeErr error
+	for result := range results {
+		if ctx.Err() != nil || writeErr != nil {
+			continue // the run may have been interrupted, so it is not recorded and will be repeated
 		}
-		done[l.Job] = l
-		if fail = json.NewEncoder(out).Encode(l); fail != nil {
+		done[result.Job] = result
+		if writeErr = json.NewEncoder(file).Encode(result); writeErr != nil {
 			cancel()
 		}
 		if progress != nil {
 			progress(len(done), len(jobs))
 		}
 	}
-	if err := errors.Join(fail, ctx.Err()); err != nil {
+	if err := errors.Join(writeErr, ctx.Err()); err != nil {
 		return nil, fmt.Errorf("results: %w", err)
 	}
 	all := make([]RunResult, 0, len(jobs))
@@ -246,7 +249,7 @@
 	return all, nil
 }
 
-// ReadLines reads a file of results; none is no lines. A last line that was cut off is left out.
+// ReadResults reads a results file. A missing file gives no results, and an incomplete last line is ignored.
 func ReadResults(path string) ([]RunResult, error) {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -256,37 +259,37 @@
 		return nil, fmt.Errorf("results: %w", err)
 	}
 	defer f.Close()
-	var out []RunResult
+	var results []RunResult
 	r := bufio.NewReader(f)
 	for {
-		text, err := r.ReadBytes('\n')
+		line, err := r.ReadBytes('\n')
 		if errors.Is(err, io.EOF) {
-			return out, nil
+			return results, nil
 		}
 		if err != nil {
 			return nil, fmt.Errorf("results: %w", err)
 		}
-		var l RunResult
-		if err := json.Unmarshal(text, &l); err != nil {
-			return nil, fmt.Errorf("results %s: line %d: %w", path, len(out)+1, err)
+		var result RunResult
+		if err := json.Unmarshal(line, &result); err != nil {
+			return nil, fmt.Errorf("results %s: line %d: %w", path, len(results)+1, err)
 		}
-		out = append(out, l)
+		results = append(results, result)
 	}
 }
 
-// Problems are the runs that failed or broke a rule.
-func Problems(lines []RunResult) []string {
+// Problems returns a description of each run that failed or broke a rule, sorted.
+func Problems(results []RunResult) []string {
 	var out []string
-	for _, l := range lines {
+	for _, result := range results {
 		switch {
-		case l.Error != "":
-			out = append(out, fmt.Sprintf("%s on %s, %d nodes, seed %d: %s", l.Policy, l.Day, l.Nodes, l.Seed, l.Error))
-		case l.Result.ViolationCount > 0:
+		case result.Error != "":
+			out = append(out, fmt.Sprintf("%s on %s, %d nodes, seed %d: %s", result.Policy, result.Day, result.Nodes, result.Seed, result.Error))
+		case result.Result.ViolationCount > 0:
 			rules := map[string]int{}
-			for _, v := range l.Result.Violations {
+			for _, v := range result.Result.Violations {
 				rules[v.Rule]++
 			}
-			out = append(out, fmt.Sprintf("%s on %s, %d nodes, seed %d: %d rules broken, of those told %v", l.Policy, l.Day, l.Nodes, l.Seed, l.Result.ViolationCount, rules))
+			out = append(out, fmt.Sprintf("%s on %s, %d nodes, seed %d: %d rule violations, those recorded by rule: %v", result.Policy, result.Day, result.Nodes, result.Seed, result.Result.ViolationCount, rules))
 		}
 	}
 	slices.Sort(out)
--- a/internal/lab/experiment/report.go
+++ b/internal/lab/experiment/report.go
@@ -20,7 +20,7 @@
 	"harrierramp/internal/lab/judge"
 )
 
-// figure is one plot of a report.
+// figure is one plot of a report, as inline SVG.
 type figure struct {
 	Title string
 	SVG   template.HTML
@@ -41,17 +41,18 @@
 </body></html>
 `))
 
-// Report writes one self-contained page: the table, and plots over time of each day and size.
-func WriteReport(w io.Writer, e Experiment, lines []RunResult, all []Summary) error {
+// WriteReport writes a self-contained HTML page with the table of summaries, and plots over time for each day and node
+// count.
+func WriteReport(w io.Writer, e Experiment, results []RunResult, summaries []Summary) error {
 	data := struct {
 		Name, Base string
 		Runs       int
 		Rows       []Summary
 		Figures    []figure
 		Problems   []string
-	}{Name: e.Name, Runs: len(lines), Rows: all, Problems: Problems(lines)}
-	if len(lines) > 0 {
-		data.Base = lines[0].Policy
+	}{Name: e.Name, Runs: len(results), Rows: summaries, Problems: Problems(results)}
+	if len(results) > 0 {
+		data.Base = results[0].Policy
 	}
 	if data.Name == "" {
 		data.Name = "experiment"
@@ -60,13 +61,13 @@
 		for _, n := range e.Nodes {
 			for _, kind := range []struct {
 				title string
-				of    func(judge.Window) float64
+				value func(judge.Window) float64
 			}{
-				{"worth served, by when it was asked for", func(w judge.Window) float64 { return ratio(w.Earned, w.Asked) }},
+				{"worth served, by arrival time", func(w judge.Window) float64 { return ratio(w.Earned, w.Asked) }},
 				{"share refused", func(w judge.Window) float64 { return ratio(float64(w.Refused), float64(w.Offered)) }},
-				{"calls refused over a limit, by call", func(w judge.Window) float64 { return ratio(float64(w.OverLimit), float64(w.Calls)) }},
+				{"share of calls refused over a limit", func(w judge.Window) float64 { return ratio(float64(w.OverLimit), float64(w.Calls)) }},
 			} {
-				f, err := plotOverTime(fmt.Sprintf("%s, %d nodes: %s", d, n, kind.title), lines, d, n, e.Policies, kind.of)
+				f, err := plotOverTime(fmt.Sprintf("%s, %d nodes: %s", d, n, kind.title), results, d, n, e.Policies, kind.value)
 				if err != nil {
 					return fmt.Errorf("report: %w", err)
 				}
@@ -77,6 +78,7 @@
 	return reportTemplate.Execute(w, data)
 }
 
+// ratio returns a/b, or 0 if b is not positive.
 func ratio(a, b float64) float64 {
 	if b <= 0 {
 		return 0
@@ -84,24 +86,24 @@
 	return a / b
 }
 
-// overTime plots the median over seeds of a value of each window, a line a policy.
-func plotOverTime(title string, lines []RunResult, day string, nodes int, policies []string, of func(judge.Window) float64) (figure, error) {
+// plotOverTime plots the median over the seeds of a value of each 5 s window, with one line per policy.
+func plotOverTime(title string, results []RunResult, day string, nodes int, policies []string, value func(judge.Window) float64) (figure, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Min, p.Y.Max = "seconds", 0, 1
 	p.Legend.Top = true
 	for i, name := range policies {
 		var points plotter.XYs
 		for k := 0; ; k++ {
-			var at []float64
-			for _, l := range lines {
-				if l.Policy == name && l.Day == day && l.Nodes == nodes && l.Result != nil && k < len(l.Result.Windows) && l.Result.Windows[k].Offered > 0 {
-					at = append(at, of(l.Result.Windows[k]))
+			var values []float64
+			for _, result := range results {
+				if result.Policy == name && result.Day == day && result.Nodes == nodes && result.Result != nil && k < len(result.Result.Windows) && result.Result.Windows[k].Offered > 0 {
+					values = append(values, value(result.Result.Windows[k]))
 				}
 			}
-			if len(at) == 0 {
+			if len(values) == 0 {
 				break
 			}
-			points = append(points, plotter.XY{X: float64(5 * k), Y: quantile(at, 0.5)})
+			points = append(points, plotter.XY{X: float64(5 * k), Y: quantile(values, 0.5)})
 		}
 		if len(points) == 0 {
 			continue
@@ -118,7 +120,7 @@
 	return figure{title, svg}, err
 }
 
-// SVG draws a plot as markup for a page.
+// RenderSVG renders a plot as inline SVG markup for an HTML page.
 func RenderSVG(p *plot.Plot, width, height vg.Length) (template.HTML, error) {
 	p.BackgroundColor = color.White
 	c := vgsvg.New(width, height)
@@ -127,17 +129,17 @@
 	if _, err := c.WriteTo(&b); err != nil {
 		return "", err
 	}
-	_, markup, ok := strings.Cut(b.String(), "<svg") // without the head of a file
+	_, markup, ok := strings.Cut(b.String(), "<svg") // drops the XML prolog
 	if !ok {
-		return "", fmt.Errorf("a plot without markup")
+		return "", fmt.Errorf("plot rendered without an svg element")
 	}
-	return template.HTML("<svg" + markup), nil // of our own making
+	return template.HTML("<svg" + markup), nil // generated here, not user input
 }
 
-// Day writes one run for people.
-func WriteRun(w io.Writer, l RunResult) error {
-	r := l.Result
-	fmt.Fprintf(w, "%s on %s, %d nodes, seed %d\n", l.Policy, l.Day, l.Nodes, l.Seed)
+// WriteRun writes the result of one run as text, with a row per 5 s window and the recorded rule violations.
+func WriteRun(w io.Writer, result RunResult) error {
+	r := result.Result
+	fmt.Fprintf(w, "%s on %s, %d nodes, seed %d\n", result.Policy, result.Day, result.Nodes, result.Seed)
 	fmt.Fprintf(w, "served %.3f, worst 10 s %.3f, worst class %.3f, prices %.4f, score %.3f\n", r.Served, r.WorstWindow, r.WorstClass, r.Costs, r.Score)
 	fmt.Fprintf(w, "offered %d, delivered %d, in time %d, refused %d, failed %d, lost %d; runs beyond the first %d\n",
 		r.Offered, r.Delivered, r.InTime, r.Refused, r.Failed, r.Lost, r.DuplicateRuns)
@@ -145,8 +147,8 @@
 		r.Calls, r.OverLimit, r.CrossZoneCalls, r.Handshakes, r.Datagrams, r.PeerBytes, r.Collapses)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "from\toffered\tin time\tlate\trefused\tfailed\tcalls\tover limit\tworth\t")
-	for i, x := range r.Windows {
-		fmt.Fprintf(t, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t\n", 5*i, x.Offered, x.InTime, x.Late, x.Refused, x.Failed, x.Calls, x.OverLimit, ratio(x.Earned, x.Asked))
+	for i, window := range r.Windows {
+		fmt.Fprintf(t, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t\n", 5*i, window.Offered, window.InTime, window.Late, window.Refused, window.Failed, window.Calls, window.OverLimit, ratio(window.Earned, window.Asked))
 	}
 	if err := t.Flush(); err != nil {
 		return err
@@ -160,38 +162,39 @@
 	return nil
 }
 
-// Compare tells what moved between two files of results: what both have, by policy, day and size.
+// WriteComparison writes a table of the changes in worth served between two sets of results, by policy, day and node
+// count. Only runs that succeeded in both are compared.
 func WriteComparison(w io.Writer, before, after []RunResult) error {
-	had := map[Job]RunResult{}
-	for _, l := range before {
-		had[l.Job] = l
+	previous := map[Job]RunResult{}
+	for _, result := range before {
+		previous[result.Job] = result
 	}
 	type group struct {
 		policy, day string
 		nodes       int
 	}
-	by := map[group][]float64{}
+	differences := map[group][]float64{}
 	var order []group
-	rules := 0
-	for _, l := range after {
-		b, ok := had[l.Job]
-		if !ok || b.Result == nil || l.Result == nil {
+	violations := 0
+	for _, result := range after {
+		b, ok := previous[result.Job]
+		if !ok || b.Result == nil || result.Result == nil {
 			continue
 		}
-		rules += l.Result.ViolationCount - b.Result.ViolationCount
-		g := group{l.Policy, l.Day, l.Nodes}
-		if by[g] == nil {
+		violations += result.Result.ViolationCount - b.Result.ViolationCount
+		g := group{result.Policy, result.Day, result.Nodes}
+		if differences[g] == nil {
 			order = append(order, g)
 		}
-		by[g] = append(by[g], l.Result.Served-b.Result.Served)
+		differences[g] = append(differences[g], result.Result.Served-b.Result.Served)
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "day\tnodes\tpolicy\tpairs\tserved\t95%\tleast\tmost\t")
 	for _, g := range order {
-		x := by[g]
-		from, to := bootstrapInterval(x)
-		fmt.Fprintf(t, "%s\t%d\t%s\t%d\t%+.4f\t%+.4f..%+.4f\t%+.4f\t%+.4f\t\n", g.day, g.nodes, g.policy, len(x), quantile(x, 0.5), from, to, slices.Min(x), slices.Max(x))
+		values := differences[g]
+		from, to := bootstrapInterval(values)
+		fmt.Fprintf(t, "%s\t%d\t%s\t%d\t%+.4f\t%+.4f..%+.4f\t%+.4f\t%+.4f\t\n", g.day, g.nodes, g.policy, len(values), quantile(values, 0.5), from, to, slices.Min(values), slices.Max(values))
 	}
-	fmt.Fprintf(t, "rules broken: %+d\t\n", rules)
+	fmt.Fprintf(t, "rules broken: %+d\t\n", violations)
 	return t.Flush()
 }
--- a/internal/lab/relay/udp.go
+++ b/internal/lab/relay/udp.go
@@ -10,19 +10,19 @@
 
 const (
 	maxDatagramBytes    = 2048
-	maxDelayedDatagrams = 1 << 14 // datagrams on their way at once; more are lost
+	maxDelayedDatagrams = 1 << 14 // datagrams that wait at once; more are dropped
 )
 
-// UDP opens a face for each party: what arrives at the face of one goes on to its own address, from the face of who
-// sent it. So each is known to the others by its face, and no process hears of another's own address.
+// ListenUDP opens a face for each party. A datagram that arrives at a party's face is forwarded to the party's own
+// address, from the face of its sender. So parties know each other only by their faces.
 func (n *Network) ListenUDP(parties []Party, faces, targets []string) error {
 	if len(faces) != len(parties) || len(targets) != len(parties) {
 		return fmt.Errorf("relay: %d parties with %d faces and %d addresses", len(parties), len(faces), len(targets))
 	}
 	conns := map[Party]*net.UDPConn{}
-	at := map[Party]netip.AddrPort{}
+	ownAddrs := map[Party]netip.AddrPort{}
 	for i, p := range parties {
-		own, err := parseLoopback(targets[i])
+		ownAddr, err := parseLoopback(targets[i])
 		if err != nil {
 			return err
 		}
@@ -37,35 +37,35 @@
 		if !n.addCloser(func() { conn.Close() }) {
 			return net.ErrClosed
 		}
-		conns[p], at[p] = conn, own
+		conns[p], ownAddrs[p] = conn, ownAddr
 	}
 	for _, to := range parties {
 		n.wg.Go(func() {
 			b := make([]byte, maxDatagramBytes)
 			for {
-				k, source, err := conns[to].ReadFromUDPAddrPort(b)
+				size, source, err := conns[to].ReadFromUDPAddrPort(b)
 				if errors.Is(err, net.ErrClosed) {
 					return
 				}
-				if err != nil { // the answer to one that found nobody
+				if err != nil { // an ICMP error for an earlier datagram: its target was not listening
 					continue
 				}
 				from, known := n.partyAt(source.Addr().Unmap())
-				if !known || conns[from] == nil || source.Port() != at[from].Port() {
+				if !known || conns[from] == nil || source.Port() != ownAddrs[from].Port() {
 					continue
 				}
-				n.forwardDatagram(conns[from], at[to], from, to, b[:k])
+				n.forwardDatagram(conns[from], ownAddrs[to], from, to, b[:size])
 			}
 		})
 	}
 	return nil
 }
 
-// datagram passes one on, or not.
-func (n *Network) forwardDatagram(face *net.UDPConn, target netip.AddrPort, from, to Party, text []byte) {
+// forwardDatagram forwards a datagram, or drops, duplicates or delays it by the faults of the path.
+func (n *Network) forwardDatagram(face *net.UDPConn, target netip.AddrPort, from, to Party, data []byte) {
 	f, _ := n.currentFault(from, to)
 	if f.blocks() || n.happens(f.LossShare) {
-		n.onEvent(Event{Type: DatagramLost, From: from, To: to, Bytes: len(text)})
+		n.onEvent(Event{Type: DatagramLost, From: from, To: to, Bytes: len(data)})
 		return
 	}
 	copies := 1
@@ -73,12 +73,12 @@
 		copies = 2
 	}
 	for range copies {
-		late := f.Delay + n.randomDuration(f.Jitter)
+		delay := f.Delay + n.randomDuration(f.Jitter)
 		if n.happens(f.ReorderShare) {
-			late += n.randomDuration(maxReorderDelay)
+			delay += n.randomDuration(maxReorderDelay)
 		}
-		if late <= 0 {
-			n.sendDatagram(face, target, from, to, text)
+		if delay <= 0 {
+			n.sendDatagram(face, target, from, to, data)
 			continue
 		}
 		n.mu.Lock()
@@ -88,25 +88,25 @@
 		}
 		n.mu.Unlock()
 		if full {
-			n.onEvent(Event{Type: DatagramLost, From: from, To: to, Bytes: len(text)})
+			n.onEvent(Event{Type: DatagramLost, From: from, To: to, Bytes: len(data)})
 			continue
 		}
-		kept := append([]byte(nil), text...)
-		time.AfterFunc(late, func() {
+		copied := append([]byte(nil), data...)
+		time.AfterFunc(delay, func() {
 			n.mu.Lock()
 			n.delayedDatagrams--
 			n.mu.Unlock()
 			if f, _ := n.currentFault(from, to); !f.blocks() {
-				n.sendDatagram(face, target, from, to, kept)
+				n.sendDatagram(face, target, from, to, copied)
 			}
 		})
 	}
 }
 
-func (n *Network) sendDatagram(face *net.UDPConn, target netip.AddrPort, from, to Party, text []byte) {
-	what := DatagramForwarded
-	if _, err := face.WriteToUDPAddrPort(text, target); err != nil {
-		what = DatagramLost
+func (n *Network) sendDatagram(face *net.UDPConn, target netip.AddrPort, from, to Party, data []byte) {
+	eventType := DatagramForwarded
+	if _, err := face.WriteToUDPAddrPort(data, target); err != nil {
+		eventType = DatagramLost
 	}
-	n.onEvent(Event{Type: what, From: from, To: to, Bytes: len(text)})
+	n.onEvent(Event{Type: eventType, From: from, To: to, Bytes: len(data)})
 }
--- a/internal/lab/stage/audit.go
+++ b/internal/lab/stage/audit.go
@@ -14,12 +14,13 @@
 	"harrierramp/internal/lab/relay"
 )
 
-// auditSlack is what a relay and a busy machine may add between a node's write and a partner's look at the clock.
+// auditSlack bounds the delay that a relay and a busy machine add between a node's write of a call and the time that
+// the partner records for it.
 const auditSlack = 300 * time.Millisecond
 
-// Audit holds the nodes' own records of acts, as they stand in their folders, against what the list servers remember.
+// Audit checks the audit logs in the nodes' state folders against the list history that the list servers keep.
 func (st *Stage) Audit() (auditlog.Report, error) {
-	var best auditlog.History
+	var history auditlog.History
 	var errs []error
 	for i := range st.servers {
 		var h auditlog.History
@@ -31,12 +32,12 @@
 			errs = append(errs, err)
 			continue
 		}
-		best = auditlog.MoreComplete(best, h)
+		history = auditlog.MoreComplete(history, h)
 	}
 	if len(errs) == len(st.servers) {
-		return auditlog.Report{}, fmt.Errorf("stage: no list server tells what it remembers: %w", errors.Join(errs...))
+		return auditlog.Report{}, fmt.Errorf("stage: no list server returned its list history: %w", errors.Join(errs...))
 	}
-	a := auditlog.Auditor{History: best, Grace: st.ledger.day.Settings.DrainTimeout + lateSlack, Slack: auditSlack}
+	a := auditlog.Auditor{History: history, Grace: st.ledger.day.Settings.DrainTimeout + lateSlack, Slack: auditSlack}
 	for i := range st.nodes {
 		name := relay.Party{Kind: relay.Node, Index: i}.String()
 		raw, err := auditlog.ReadDir(filepath.Join(st.dir, name))
@@ -48,7 +49,7 @@
 	return a.Report(), nil
 }
 
-// auditEntry is what an audit and the ledger are held against each other by.
+// auditKey identifies a group of calls when the audit's findings are compared with the ledger.
 type auditKey struct {
 	node        string
 	incarnation uint32
@@ -56,10 +57,11 @@
 	revision    int64
 }
 
-// compare holds what an audit has found against what partners have seen. Missed are late calls that it neither found nor
-// told as unsure; false ones it found that were not so. Nodes' records that it told as unreadable, or lives without a clock,
-// are excused: it says that it does not know.
-func compareAudit(late []LateCalls, r auditlog.Report) (missed, wrong int, text []string) {
+// compareAudit compares the findings of an audit with the late calls that partners recorded. missed counts late calls
+// that the audit reported neither as late nor as unsure; wrong counts calls that it reported as late but that were not.
+// Nodes and incarnations that the audit reports as unknown, because their log is unreadable or has no clock reading,
+// are skipped.
+func compareAudit(late []LateCalls, r auditlog.Report) (missed, wrong int, differences []string) {
 	unknown := map[string]bool{}
 	for _, u := range r.Unknown {
 		unknown[fmt.Sprint(u.Node, " ", u.Incarnation)] = true
@@ -80,39 +82,39 @@
 		}
 		if l.Count > f.LateCalls+f.UnsureCalls {
 			missed += l.Count - f.LateCalls - f.UnsureCalls
-			text = append(text, fmt.Sprintf("%+v: %d calls are late, the audit has %d, and %d that it is unsure of", k, l.Count, f.LateCalls, f.UnsureCalls))
+			differences = append(differences, fmt.Sprintf("%+v: %d calls were late, the audit reports %d late and %d unsure", k, l.Count, f.LateCalls, f.UnsureCalls))
 		}
 		if f.LateCalls > l.Count {
 			wrong += f.LateCalls - l.Count
-			text = append(text, fmt.Sprintf("%+v: %d calls are late, the audit has %d", k, l.Count, f.LateCalls))
+			differences = append(differences, fmt.Sprintf("%+v: %d calls were late, the audit reports %d", k, l.Count, f.LateCalls))
 		}
 	}
 	for k, f := range found {
 		if f.LateCalls > 0 {
 			wrong += f.LateCalls
-			text = append(text, fmt.Sprintf("%+v: no call is late, the audit has %d", k, f.LateCalls))
+			differences = append(differences, fmt.Sprintf("%+v: no call was late, the audit reports %d", k, f.LateCalls))
 		}
 	}
-	slices.Sort(text)
-	return missed, wrong, text
+	slices.Sort(differences)
+	return missed, wrong, differences
 }
 
-// holdAudit puts into a report how the nodes' records stand against the ledger.
+// reportAudit adds the result of the nodes' audit logs to a report, with the differences from the ledger.
 func (st *Stage) reportAudit(r *Report) {
 	found, err := st.Audit()
 	if err != nil {
 		r.Missed = append(r.Missed, err.Error())
 		return
 	}
-	missed, wrong, text := compareAudit(r.LateCalls, found)
+	missed, wrong, differences := compareAudit(r.LateCalls, found)
 	f := r.Figures
 	f["audit_missed"], f["audit_wrong"] = float64(missed), float64(wrong)
 	f["audit_calls"], f["audit_unknown"] = float64(found.Calls), float64(len(found.Unknown))
-	for _, x := range found.Findings {
-		f["audit_late"] += float64(x.LateCalls)
-		f["audit_unsure"] += float64(x.UnsureCalls)
+	for _, finding := range found.Findings {
+		f["audit_late"] += float64(finding.LateCalls)
+		f["audit_unsure"] += float64(finding.UnsureCalls)
 	}
-	r.Audit, r.AuditDifferences = &found, text
+	r.Audit, r.AuditDifferences = &found, differences
 }
 
 func sortLateCalls(all []LateCalls) {
--- a/internal/lab/stage/audit_test.go
+++ b/internal/lab/stage/audit_test.go
@@ -17,9 +17,9 @@
 	"harrierramp/internal/testkit"
 )
 
-// Half of a fleet goes on calling an endpoint that is withdrawn, since neither list server reaches it, one of it is killed
-// meanwhile and one paused. What the nodes have on record of that equals what partners saw, entry by entry, and the
-// command finds the same by the nodes' doors as the stage in their folders.
+// Half of the nodes are cut off from both list servers and go on calling a withdrawn endpoint. One of them is killed
+// and one is paused meanwhile. The nodes' audit logs agree with what the partners saw, entry by entry, and "fleet
+// audit" finds the same through the nodes' admin endpoints as the stage finds in their state folders.
 func TestAuditMatchesLedger(t *testing.T) {
 	s := loadScript(t, `
 name = "audited"
@@ -61,28 +61,29 @@
 	s.Node.Audit, s.Node.ListHeartbeat, s.Node.Admin, s.Node.AuditLogKB = true, 250, true, 128
 	st, _, done := openStage(t, s)
 	r := done()
-	var servers []string // a node tells one of them
+	var servers []string // each node reports to one of them
 	for i := range s.Servers {
 		servers = append(servers, process.HostPort(st.addrs.OwnAddr(relay.Party{Kind: relay.Server, Index: i}), process.ListPort))
 	}
 	var out, errs bytes.Buffer
 	code := cli.Main([]string{"fleet", "audit", "--json", "--servers", strings.Join(servers, ","), "--grace", "1050ms", "--slack", auditSlack.String()}, &out, &errs)
-	var by auditlog.Report
-	if err := json.Unmarshal(out.Bytes(), &by); err != nil || code != 1 {
+	var fromAdmin auditlog.Report
+	if err := json.Unmarshal(out.Bytes(), &fromAdmin); err != nil || code != 1 {
 		t.Fatalf("status %d, %v, %s", code, err, errs.String())
 	}
-	if _, wrong, text := compareAudit(r.LateCalls, by); wrong > 0 || len(by.Findings) != len(r.Audit.Findings) {
-		t.Errorf("by the doors %d findings, in the folders %d: %v, unknown %v", len(by.Findings), len(r.Audit.Findings), text, by.Unknown)
+	if _, wrong, text := compareAudit(r.LateCalls, fromAdmin); wrong > 0 || len(fromAdmin.Findings) != len(r.Audit.Findings) {
+		t.Errorf("%d findings through the admin endpoints, %d in the state folders: %v, unknown %v", len(fromAdmin.Findings), len(r.Audit.Findings), text, fromAdmin.Unknown)
 	}
-	for _, f := range by.Findings {
+	for _, f := range fromAdmin.Findings {
 		if f.Endpoint != "p0-0" || strings.Contains("node-4 node-5 node-6 node-7", f.Node) || f.WithdrawnRevision <= f.Revision || f.Reason == "not told" {
 			t.Errorf("%+v", f)
 		}
 	}
 }
 
-// Both list servers fall silent towards some nodes while an endpoint is withdrawn: they hear from the others that the list
-// has moved on, and stop calling before the grace is over by half a second; with all of it mended they deliver again.
+// Two nodes receive nothing from both list servers while an endpoint is withdrawn. They learn from other nodes that the
+// list has a newer revision, fence themselves, and stop calling at most 0.5 s after the drain timeout. After the fault
+// they deliver again.
 func TestNodesBehindTheListAreFenced(t *testing.T) {
 	s := loadScript(t, `
 name = "shut out"
@@ -115,14 +116,15 @@
 	st, _, done := openStage(t, s)
 	done()
 	for n := range s.Nodes {
-		if outs := fetchFigure("http://"+st.AdminAddr(n)+"/ops/stats", "router.shut_outs:"); (outs > 0) != (n < 2) {
-			t.Errorf("node %d was shut out %d times", n, outs)
+		if fenced := fetchFigure("http://"+st.AdminAddr(n)+"/ops/stats", "router.shut_outs:"); (fenced > 0) != (n < 2) {
+			t.Errorf("node %d was fenced %d times", n, fenced)
 		}
 	}
 }
 
-// A floor that nobody reaches is refused, and named, unless it is forced; then all are shut out, and back once it is
-// released. One that all reach shuts nobody out. The list service keeps it over a restart.
+// "fleet require" rejects a minimum version that no node reaches and names the nodes, unless it is forced. A forced
+// minimum fences all nodes until it is released. A minimum that all nodes reach fences none. The list server keeps the
+// minimum over a restart.
 func TestMinimumVersionIsEnforced(t *testing.T) {
 	s := loadScript(t, `
 name = "floor"
@@ -142,52 +144,52 @@
 	s.Node.Audit, s.Node.Fencing, s.Node.ListHeartbeat, s.Node.Admin = true, true, 250, true
 	st, run, done := openStage(t, s)
 	run()
-	first := relay.Party{Kind: relay.Server, Index: 0}
-	server := process.HostPort(st.addrs.OwnAddr(first), process.ListPort)
+	serverParty := relay.Party{Kind: relay.Server, Index: 0}
+	server := process.HostPort(st.addrs.OwnAddr(serverParty), process.ListPort)
 	fleet := func(want int, args ...string) string {
 		t.Helper()
-		var out, errs bytes.Buffer
-		if code := cli.Main(append([]string{"fleet"}, append(args, "--servers", server)...), &out, &errs); code != want {
-			t.Errorf("%v: status %d: %s%s", args, code, out.String(), errs.String())
+		var fenced, errs bytes.Buffer
+		if code := cli.Main(append([]string{"fleet"}, append(args, "--servers", server)...), &fenced, &errs); code != want {
+			t.Errorf("%v: status %d: %s%s", args, code, fenced.String(), errs.String())
 		}
-		return out.String()
+		return fenced.String()
 	}
-	shut := func(want int) {
+	awaitFenced := func(want int) {
 		t.Helper()
-		testkit.Eventually(t, fmt.Sprint(want, " are shut out"), func() bool {
-			out := 0
+		testkit.Eventually(t, fmt.Sprint(want, " nodes are fenced"), func() bool {
+			fenced := 0
 			for _, r := range st.RolloutStatus().Nodes {
 				if r.Fenced {
-					out++
+					fenced++
 				}
 			}
-			return out == want && len(st.RolloutStatus().Nodes) == s.Nodes
+			return fenced == want && len(st.RolloutStatus().Nodes) == s.Nodes
 		})
 	}
-	shut(0)
+	awaitFenced(0)
 	head := strconv.FormatInt(st.RolloutStatus().Head, 10)
 	fleet(0, "require", "--revision", head)
-	if said := fleet(1, "require", "--build", "another"); !strings.Contains(said, "3 of 3 nodes do not reach it now: node-0 node-1 node-2") {
-		t.Errorf("%q", said)
+	if output := fleet(1, "require", "--build", "another"); !strings.Contains(output, "3 of 3 nodes do not reach it now: node-0 node-1 node-2") {
+		t.Errorf("%q", output)
 	}
 	fleet(0, "require", "--build", "another", "--dry-run")
 	fleet(1, "require", "--revision", "99999999999999", "--force")
-	shut(0)
+	awaitFenced(0)
 	fleet(0, "require", "--build", "another", "--force")
-	shut(3)
-	if err := errors.Join(st.Kill(first), st.Start(first)); err != nil {
+	awaitFenced(3)
+	if err := errors.Join(st.Kill(serverParty), st.Start(serverParty)); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Eventually(t, "it serves again", func() bool { return st.RolloutStatus().Head > 0 })
-	shut(3)
-	testkit.Eventually(t, "it takes writes", func() bool {
+	testkit.Eventually(t, "the list server serves again", func() bool { return st.RolloutStatus().Head > 0 })
+	awaitFenced(3)
+	testkit.Eventually(t, "the list server accepts writes", func() bool {
 		return cli.Main([]string{"fleet", "release", "--servers", server}, io.Discard, io.Discard) == 0
 	})
-	shut(0)
+	awaitFenced(0)
 	done()
 }
 
-// Each way in which an audit and the ledger can differ is told.
+// Each way in which an audit and the ledger can differ is reported.
 func TestAuditDifferencesAreReported(t *testing.T) {
 	late := []LateCalls{{Endpoint: "p0-0", Node: 1, Incarnation: 2, Revision: 7, Count: 5}}
 	finding := func(calls, unsure int) auditlog.Report {
--- a/internal/lab/stage/play.go
+++ b/internal/lab/stage/play.go
@@ -23,23 +23,24 @@
 )
 
 const (
-	pingInterval       = 40 * time.Millisecond // between tries at a node that does not take clients
+	pingInterval       = 40 * time.Millisecond // between PINGs to a node that does not accept clients yet
 	clientsPerNode     = 8                     // connections to one node
-	minRetryDelay      = 50 * time.Millisecond // before a client comes again
+	minRetryDelay      = 50 * time.Millisecond // before a client submits again
 	noticePollInterval = 300 * time.Millisecond
-	settleTime         = 5 * time.Second // after the last message's time
+	settleTime         = 5 * time.Second // after the last message's deadline
 	maxPageBytes       = 4 << 20
 )
 
-// Play sets a stage up, plays its script, and returns what came of it. A broken rule is no error of Play.
-func Play(ctx context.Context, s Script, o Options) (r *Report, err error) {
-	st, err := Open(ctx, s, o)
+// Play opens a stage, runs the script, and returns the report. Broken rules are in the report; they are not errors of
+// Play.
+func Play(ctx context.Context, s Script, options Options) (r *Report, err error) {
+	st, err := Open(ctx, s, options)
 	if err != nil {
 		return nil, err
 	}
 	defer func() {
-		if closing := st.Close(); err == nil && closing != nil {
-			err = fmt.Errorf("stage: %w", closing)
+		if closeErr := st.Close(); err == nil && closeErr != nil {
+			err = fmt.Errorf("stage: %w", closeErr)
 		}
 	}()
 	if err := st.Run(); err != nil {
@@ -48,7 +49,7 @@
 	return st.Report(), nil
 }
 
-// Report closes the ledger and holds it against the script.
+// Report collects the figures of the run and checks them against the script's expectations.
 func (st *Stage) Report() *Report {
 	st.mu.Lock()
 	marks := slices.Clone(st.marks)
@@ -57,23 +58,23 @@
 	if st.script.Node.Admin {
 		r.Figures["stale_nodes"] = float64(st.countStaleNodes())
 		for name, figure := range map[string]string{"shut_outs": "router.shut_outs:", "gaps": "router.gaps:"} {
-			for i := range st.nodes { // of the processes that run now
+			for i := range st.nodes { // counts only the processes that run now
 				r.Figures[name] += float64(max(fetchFigure("http://"+st.AdminAddr(i)+"/ops/stats", figure), 0))
 			}
 		}
 	}
 	for i, p := range st.servers {
-		cost, err := p.Usage()
+		usage, err := p.Usage()
 		if err != nil {
-			continue // it does not run
+			continue // it is not running
 		}
 		name := fmt.Sprintf("server%d_", i)
-		r.Figures[name+"cpu_s"], r.Figures[name+"mb"] = cost.CPU.Seconds(), float64(cost.PeakMemory)/(1<<20)
+		r.Figures[name+"cpu_s"], r.Figures[name+"mb"] = usage.CPU.Seconds(), float64(usage.PeakMemory)/(1<<20)
 	}
-	for _, p := range st.nodes { // processes that run now
-		if cost, err := p.Usage(); err == nil {
-			r.Figures["nodes_cpu_s"] += cost.CPU.Seconds()
-			r.Figures["node_most_mb"] = max(r.Figures["node_most_mb"], float64(cost.PeakMemory)/(1<<20))
+	for _, p := range st.nodes { // only the processes that run now
+		if usage, err := p.Usage(); err == nil {
+			r.Figures["nodes_cpu_s"] += usage.CPU.Seconds()
+			r.Figures["node_most_mb"] = max(r.Figures["node_most_mb"], float64(usage.PeakMemory)/(1<<20))
 		}
 	}
 	if st.script.Node.AuditLogKB > 0 {
@@ -83,24 +84,24 @@
 	return r
 }
 
-// Roster is what the list servers know of the nodes' versions.
+// RolloutStatus returns the nodes' builds and list revisions as the list servers know them.
 func (st *Stage) RolloutStatus() rollout.Snapshot {
 	var views []rollout.Snapshot
 	for i := range st.servers {
 		addr := process.HostPort(st.addrs.OwnAddr(relay.Party{Kind: relay.Server, Index: i}), process.ListPort)
 		var v rollout.Snapshot
-		if text, err := httpGet("http://" + addr + "/registry/nodes"); err == nil && json.Unmarshal(text, &v) == nil {
+		if body, err := httpGet("http://" + addr + "/registry/nodes"); err == nil && json.Unmarshal(body, &v) == nil {
 			views = append(views, v)
 		}
 	}
 	return rollout.Merge(views)
 }
 
-const staleTimeout = 10 * time.Second // after the traffic, for every node to have the newest list
+const staleTimeout = 10 * time.Second // after the run, for every node to have the newest list
 
-// stale is how many nodes don't have the newest revision of the list some time after all is over.
+// countStaleNodes returns how many nodes still lack the newest revision of the list staleTimeout after the run.
 func (st *Stage) countStaleNodes() (behind int) {
-	for end := time.Now().Add(staleTimeout); ; time.Sleep(50 * time.Millisecond) {
+	for deadline := time.Now().Add(staleTimeout); ; time.Sleep(50 * time.Millisecond) {
 		var newest int64
 		for i := range st.servers {
 			newest = max(newest, fetchFigure("http://"+st.serverAdminAddr(i)+"/ops/stats", "registry.revision:"))
@@ -111,18 +112,18 @@
 				behind++
 			}
 		}
-		if behind == 0 && newest > 0 || time.Now().After(end) || st.ctx.Err() != nil {
+		if behind == 0 && newest > 0 || time.Now().After(deadline) || st.ctx.Err() != nil {
 			return behind
 		}
 	}
 }
 
-// ops is the operators' door of a list server.
+// serverAdminAddr is the address of a list server's admin endpoint.
 func (st *Stage) serverAdminAddr(i int) string {
 	return process.HostPort(st.addrs.OwnAddr(relay.Party{Kind: relay.Server, Index: i}), process.ListAdminPort)
 }
 
-// get reads what a process says at one of its own addresses.
+// httpGet returns the body of an HTTP response from a process of the stage.
 func httpGet(url string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -139,10 +140,10 @@
 	return io.ReadAll(io.LimitReader(resp.Body, maxPageBytes))
 }
 
-// figureAt reads one figure of a door; -1 if it can't be had.
+// fetchFigure reads one figure from an admin endpoint's statistics. It returns -1 if the figure is not available.
 func fetchFigure(url, name string) int64 {
-	text, err := httpGet(url)
-	_, after, found := strings.Cut(string(text), name)
+	body, err := httpGet(url)
+	_, after, found := strings.Cut(string(body), name)
 	if err != nil || !found {
 		return -1
 	}
@@ -154,13 +155,14 @@
 	return v
 }
 
-// moment is something that is due.
+// plannedEvent is a start, fault or action with its time since the start of the run.
 type plannedEvent struct {
 	at  time.Duration
 	run func()
 }
 
-// Run plays the script: starts, traffic, faults; and waits until every message has its end, or is past it.
+// Run runs the script's starts, traffic, faults and actions. It returns when every message has ended, or settleTime
+// after the last deadline.
 func (st *Stage) Run() error {
 	var plan []plannedEvent
 	add := func(at time.Duration, do func()) { plan = append(plan, plannedEvent{at, do}) }
@@ -171,36 +173,36 @@
 	for i := range st.partners {
 		st.SetListed(i, true)
 	}
-	until := st.script.Length.Duration()
+	trafficEnd := st.script.Length.Duration()
 	var clients sync.WaitGroup
 	for n := range st.nodes {
-		clients.Go(func() { st.runClients(n, until) })
+		clients.Go(func() { st.runClients(n, trafficEnd) })
 	}
 	var notices sync.WaitGroup
 	polling, stop := context.WithCancel(st.ctx)
 	notices.Go(func() { st.pollNotices(polling) })
 	defer stop()
-	var doing sync.WaitGroup
+	var running sync.WaitGroup
 	for _, m := range plan {
 		if !st.sleepUntil(m.at) {
 			break
 		}
-		doing.Go(m.run) // one that waits must not delay the next
+		running.Go(m.run) // an event that waits must not delay the next one
 	}
-	st.sleepUntil(until)
+	st.sleepUntil(trafficEnd)
 	clients.Wait()
-	last := until + st.script.Traffic.TTL.Duration() + settleTime
-	for st.ledger.openMessages() > 0 && st.ledger.now() < last && st.ctx.Err() == nil {
+	deadline := trafficEnd + st.script.Traffic.TTL.Duration() + settleTime
+	for st.ledger.openMessages() > 0 && st.ledger.now() < deadline && st.ctx.Err() == nil {
 		time.Sleep(20 * time.Millisecond)
 	}
-	doing.Wait()
+	running.Wait()
 	stop()
 	notices.Wait()
 	st.readNotices()
 	return st.ctx.Err()
 }
 
-// sleepTo waits for a moment of the play, and tells whether the play still goes on.
+// sleepUntil waits until a time of the run. It returns false if the run was cancelled.
 func (st *Stage) sleepUntil(at time.Duration) bool {
 	t := time.NewTimer(at - st.ledger.now())
 	defer t.Stop()
@@ -214,12 +216,12 @@
 
 func (st *Stage) planStarts(add func(time.Duration, func())) {
 	for i := range st.servers {
-		p, when := relay.Party{Kind: relay.Server, Index: i}, time.Duration(0)
+		p, at := relay.Party{Kind: relay.Server, Index: i}, time.Duration(0)
 		if i < len(st.script.Start.Servers) {
-			when = st.script.Start.Servers[i].Duration()
+			at = st.script.Start.Servers[i].Duration()
 		}
-		add(when, func() {
-			if when > 0 {
+		add(at, func() {
+			if at > 0 {
 				st.ledger.allowLateNotices()
 				st.recordMark("start " + p.String())
 			}
@@ -228,20 +230,20 @@
 	}
 	rng := rand.New(rand.NewPCG(st.script.Seed, 2))
 	for i := range st.nodes {
-		p, when := relay.Party{Kind: relay.Node, Index: i}, st.script.Start.Nodes.Duration()
+		p, at := relay.Party{Kind: relay.Node, Index: i}, st.script.Start.Nodes.Duration()
 		if spread := st.script.Start.Spread.Duration(); spread > 0 {
-			when += time.Duration(rng.Int64N(int64(spread)))
+			at += time.Duration(rng.Int64N(int64(spread)))
 		}
-		add(when, func() { st.recordError(st.Start(p)) })
+		add(at, func() { st.recordError(st.Start(p)) })
 	}
 }
 
-// planFaults draws who is meant, once for each time that something comes.
+// planFaultsAndActions plans all occurrences of faults and actions. Random groups are drawn anew for each occurrence.
 func (st *Stage) planFaultsAndActions(add func(time.Duration, func())) {
 	rng := rand.New(rand.NewPCG(st.script.Seed, 3))
 	for _, f := range st.script.Faults {
 		for at := f.At.Duration(); ; at += f.Every.Duration() {
-			from, _ := st.script.Group(f.From, rng) // checked by Check
+			from, _ := st.script.Group(f.From, rng) // Check has parsed it already
 			to, _ := st.script.Group(f.To, rng)
 			add(at, func() { st.runFault(f, from, to) })
 			if f.Every <= 0 || at+f.Every.Duration() >= st.script.Length.Duration() {
@@ -251,14 +253,14 @@
 	}
 	for _, a := range st.script.Actions {
 		for at := a.At.Duration(); ; at += a.Every.Duration() {
-			who, _ := st.script.Group(a.Targets, rng)
-			add(at, func() { st.recordMark(fmt.Sprintf("%s %s", a.Type, describeGroup(who))) })
-			for _, p := range who {
-				when := at
+			targets, _ := st.script.Group(a.Targets, rng)
+			add(at, func() { st.recordMark(fmt.Sprintf("%s %s", a.Type, describeGroup(targets))) })
+			for _, p := range targets {
+				targetAt := at
 				if a.Spread > 0 {
-					when += time.Duration(rng.Int64N(int64(a.Spread.Duration())))
+					targetAt += time.Duration(rng.Int64N(int64(a.Spread.Duration())))
 				}
-				add(when, func() { st.runAction(a, p) })
+				add(targetAt, func() { st.runAction(a, p) })
 			}
 			if a.Every <= 0 || at+a.Every.Duration() >= st.script.Length.Duration() {
 				break
@@ -267,36 +269,36 @@
 	}
 }
 
-// named tells a group in few words.
-func describeGroup(who []relay.Party) string {
-	if len(who) > 3 {
-		return fmt.Sprintf("%s and %d more", who[0], len(who)-1)
+// describeGroup returns a short text that names a group.
+func describeGroup(group []relay.Party) string {
+	if len(group) > 3 {
+		return fmt.Sprintf("%s and %d more", group[0], len(group)-1)
 	}
 	var names []string
-	for _, p := range who {
+	for _, p := range group {
 		names = append(names, p.String())
 	}
 	return strings.Join(names, ", ")
 }
 
-// impair holds a fault for its time.
+// runFault applies a fault, and removes it after its length.
 func (st *Stage) runFault(f FaultSpec, from, to []relay.Party) {
-	lifts := []func(){st.AddFault(from, to, f.relayFault())}
+	removers := []func(){st.AddFault(from, to, f.relayFault())}
 	if f.BothWays {
-		lifts = append(lifts, st.AddFault(to, from, f.relayFault()))
+		removers = append(removers, st.AddFault(to, from, f.relayFault()))
 	}
 	st.recordMark(fmt.Sprintf("fault from %s to %s", describeGroup(from), describeGroup(to)))
 	if f.Length <= 0 {
 		return
 	}
 	st.sleepUntil(st.ledger.now() + f.Length.Duration())
-	for _, lift := range lifts {
-		lift()
+	for _, remove := range removers {
+		remove()
 	}
-	st.recordMark(fmt.Sprintf("fault from %s to %s is over", describeGroup(from), describeGroup(to)))
+	st.recordMark(fmt.Sprintf("fault from %s to %s ends", describeGroup(from), describeGroup(to)))
 }
 
-// act does something to one party, and undoes it after its time.
+// runAction applies an action to one party, and reverses it after the action's length.
 func (st *Stage) runAction(a ActionSpec, p relay.Party) {
 	var undo func() error
 	err := error(nil)
@@ -337,22 +339,22 @@
 	}
 }
 
-// traffic is what the clients of one node hand in.
-func (st *Stage) runClients(n int, until time.Duration) {
+// runClients waits until a node accepts clients, and then submits the script's traffic to it.
+func (st *Stage) runClients(n int, end time.Duration) {
 	rng := rand.New(rand.NewPCG(st.script.Seed, uint64(n)+100))
 	clients := make(chan *client.Client, clientsPerNode)
 	for range clientsPerNode {
 		clients <- client.New(st.ClientAddr(n), client.AnswerTimeout)
 	}
-	var hands sync.WaitGroup
+	var submissions sync.WaitGroup
 	defer func() {
-		hands.Wait()
+		submissions.Wait()
 		for range clientsPerNode {
 			(<-clients).Close()
 		}
 	}()
 	for c := <-clients; ; {
-		if st.ledger.now() > until || st.ctx.Err() != nil {
+		if st.ledger.now() > end || st.ctx.Err() != nil {
 			clients <- c
 			return
 		}
@@ -364,7 +366,7 @@
 	}
 	st.ledger.nodeReady(n)
 	number := 0
-	one := func() {
+	submitOne := func() {
 		m := &message{id: fmt.Sprintf("m%d-%d", n, number), node: n, dest: rng.IntN(len(st.script.Dests))}
 		if rng.Float64() < st.script.Traffic.AtMostOnceShare {
 			m.class = classAtMostOnce
@@ -372,33 +374,34 @@
 		number++
 		m.deadline = st.ledger.now() + st.script.Traffic.TTL.Duration()
 		seed := rng.Uint64()
-		hands.Go(func() { st.submit(m, clients, rand.New(rand.NewPCG(seed, 0))) })
+		submissions.Go(func() { st.submit(m, clients, rand.New(rand.NewPCG(seed, 0))) })
 	}
 	for range st.script.Traffic.Burst {
-		one()
+		submitOne()
 	}
 	if st.script.Traffic.Rate <= 0 {
 		return
 	}
 	for at := st.ledger.now(); ; {
 		at += time.Duration(rng.ExpFloat64() / st.script.Traffic.Rate * float64(time.Second))
-		if at > until || !st.sleepUntil(at) {
+		if at > end || !st.sleepUntil(at) {
 			return
 		}
-		one()
+		submitOne()
 	}
 }
 
-// hand hands one message in, and again while the node asks for that or says nothing, until its time is over.
+// submit submits one message. It retries after -BUSY, and after no answer if the message is idempotent, until the
+// message's deadline.
 func (st *Stage) submit(m *message, clients chan *client.Client, rng *rand.Rand) {
 	m.newSubmission = true
-	for again := true; again; {
-		left := m.deadline - st.ledger.now()
-		if left <= 0 || st.ctx.Err() != nil {
+	for retry := true; retry; {
+		ttl := m.deadline - st.ledger.now()
+		if ttl <= 0 || st.ctx.Err() != nil {
 			st.ledger.submissionAnswered(m, model.SubmitUnanswered, true)
 			return
 		}
-		var told client.Answer
+		var answer client.Answer
 		var wait time.Duration
 		select {
 		case c := <-clients:
@@ -406,8 +409,8 @@
 				st.ledger.submitting(m)
 				m.newSubmission = false
 			}
-			told, wait, _ = c.Enqueue(client.Message{
-				ID: m.submissionID, Class: classNames[m.class], Tenant: "t", Dest: m.dest, TTL: left, Body: []byte("body of " + m.id),
+			answer, wait, _ = c.Enqueue(client.Message{
+				ID: m.submissionID, Class: classNames[m.class], Tenant: "t", Dest: m.dest, TTL: ttl, Body: []byte("body of " + m.id),
 			})
 			clients <- c
 		case <-st.ctx.Done():
@@ -415,7 +418,7 @@
 		}
 		wait = max(wait, minRetryDelay)
 		wait += time.Duration(rng.Int64N(int64(wait)/4 + 1))
-		switch told {
+		switch answer {
 		case client.Accepted:
 			st.ledger.submissionAnswered(m, model.SubmitAccepted, true)
 			return
@@ -423,20 +426,20 @@
 			st.ledger.submissionAnswered(m, model.SubmitFailed, true)
 			return
 		case client.Busy:
-			again = st.ledger.now()+wait < m.deadline
+			retry = st.ledger.now()+wait < m.deadline
 			m.newSubmission = true
-			st.ledger.submissionAnswered(m, model.SubmitRejected, !again)
+			st.ledger.submissionAnswered(m, model.SubmitRejected, !retry)
 		case client.NoAnswer:
-			again = m.class == classIdempotent // the other kind may have been taken on
-			st.ledger.submissionAnswered(m, model.SubmitUnanswered, !again)
+			retry = m.class == classIdempotent // an at-most-once message may have been accepted
+			st.ledger.submissionAnswered(m, model.SubmitUnanswered, !retry)
 		}
-		if again && !st.sleepUntil(st.ledger.now()+wait) {
+		if retry && !st.sleepUntil(st.ledger.now()+wait) {
 			return
 		}
 	}
 }
 
-// pollNotices reads what nodes tell the list servers.
+// pollNotices reads the notices that nodes send to the list servers, at intervals until the context ends.
 func (st *Stage) pollNotices(ctx context.Context) {
 	for {
 		select {
@@ -448,7 +451,7 @@
 	}
 }
 
-// readNotices reads all servers once. One that is out or paused is read later.
+// readNotices reads the new notices of all running servers once. A server that is down or paused is read later.
 func (st *Stage) readNotices() {
 	for i := range st.servers {
 		if !st.servers[i].Running() {
@@ -459,12 +462,12 @@
 	}
 }
 
-// readPage reads one page, and tells whether there may be more.
-func (st *Stage) readNoticePage(i int) bool {
+// readNoticePage reads one page of notices from a server, and returns whether there may be more.
+func (st *Stage) readNoticePage(server int) bool {
 	ctx, cancel := context.WithTimeout(st.ctx, time.Second)
 	defer cancel()
-	addr := process.HostPort(st.addrs.OwnAddr(relay.Party{Kind: relay.Server, Index: i}), process.ListPort)
-	url := "http://" + addr + "/reports?after=" + strconv.FormatInt(st.noticeSeqs[i], 10)
+	addr := process.HostPort(st.addrs.OwnAddr(relay.Party{Kind: relay.Server, Index: server}), process.ListPort)
+	url := "http://" + addr + "/reports?after=" + strconv.FormatInt(st.noticeSeqs[server], 10)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return false
@@ -475,7 +478,7 @@
 		return false
 	}
 	defer resp.Body.Close()
-	lines, some := bufio.NewScanner(io.LimitReader(resp.Body, maxPageBytes)), false
+	lines, found := bufio.NewScanner(io.LimitReader(resp.Body, maxPageBytes)), false
 	for lines.Scan() {
 		var n struct {
 			Seq   int64  `json:"seq"`
@@ -486,9 +489,9 @@
 		if json.Unmarshal(lines.Bytes(), &n) != nil {
 			return false
 		}
-		some = true
-		st.noticeSeqs[i] = n.Seq
+		found = true
+		st.noticeSeqs[server] = n.Seq
 		st.ledger.notice(n.ID, n.State, time.UnixMilli(n.AtMS))
 	}
-	return some
+	return found
 }
