--- a/choice/choice.go
+++ b/choice/choice.go
@@ -37,20 +37,25 @@
 )
 
 const (
-	// The admission gate of a destination shuts when the ratio of its average response time to the baseline rises
-	// above the upper bound, and opens again when the ratio falls below the lower one. These are the bounds that did
-	// best in the paper that the gate is taken from (bang-bang control, "BBC 60-80").
+	// Factors of the baseline response time of a destination. Its admission gate shuts when the average response time
+	// rises above the upper factor times the baseline, and opens again when the average falls below the lower factor
+	// times the baseline. The gate is the bang-bang control of Tirana and Medhi, "Congestion Avoidance in S-CSCF
+	// Selection in an IMS Network" (see internal/lab/paper), with the bounds that did best in that paper, "BBC 60-80".
 	gateUpperRatio, gateLowerRatio = 80, 60
 	// At a slow destination the messages expire before the ratio reaches its bounds. So the gate also compares the
 	// average with these shares of the class's deadline.
 	gateUpperDeadlineShare, gateLowerDeadlineShare = 0.5, 1.0 / 3
-	smoothingFactor                                = 0.2 // weight of a sample in an average, if samples are frequent
+	// Weight of a sample in the averages of an endpoint's latencies and of the interval between its calls. In the
+	// gate's average of response times it is the lowest weight, which applies while samples are frequent. A sample that
+	// comes long after the last one weighs more, see gateSmoothingTime.
+	smoothingFactor = 0.2
 	// A gate sample weighs more the longer it is since the last one: 1 - 1/e after this time.
 	gateSmoothingTime = 2 * time.Second
 	baselineRiseTime  = 120 * time.Second // the baseline rises by a factor of e in this time, up to the average
-	// A failed attempt counts as a response time of at least this many aims, so that the average gets worse. But it is
-	// better to hold messages through an outage than to refuse them, so failures alone must not shut the gate. The
-	// long response times of the held messages shut it when the outage lasts too long.
+	// A failed attempt counts in the gate's average as a response time of at least this many aims, so that the average
+	// gets worse. One aim is the Aim of the message's class, with its AimStretch. It is still better to hold messages
+	// through an outage than to refuse them, so failures alone must not shut the gate. The long response times of the
+	// held messages shut it when the outage lasts too long.
 	failurePenaltyAims = 1.0
 	minResponseTime    = 5 * time.Millisecond   // lower bound of response times, so that ratios stay finite
 	gateTrialInterval  = 500 * time.Millisecond // pause between messages that a shut gate admits as trials
--- a/choice/fleet.go
+++ b/choice/fleet.go
@@ -361,9 +361,14 @@
 	}
 }
 
-// handleOutage handles the report of an outage that another node met while it heard no coordinator. Nodes that come
-// back all at once must not be granted more than a cold destination can take. The report is ignored if calls of other
-// nodes succeeded recently.
+// handleOutage handles, as the coordinator of a destination, the report of a node that met an outage of a route while
+// it got no answer from this coordinator. The coordinator then treats the route as recovering, or opens its circuit if
+// open is set. The reason: nodes that were cut off from the coordinator and come back all at once must not be granted
+// more calls than a cold destination can take.
+//
+// The report is ignored in three cases: the coordinator itself has the circuit of the route open or the route in
+// recovery; by its age, the reported recovery began more than WarmUpTime ago; or the coordinator was told of a
+// successful call on the route, by any node, less than recentSuccessTime ago.
 func (s *Sender) handleOutage(e *endpoint, open bool, age time.Duration) {
 	f := s.fleetRoute(e)
 	if f.recovering() || age > s.cfg.WarmUpTime || (f.lastSuccessAt > 0 && s.now-f.lastSuccessAt < recentSuccessTime) {
--- a/choice/state.go
+++ b/choice/state.go
@@ -94,7 +94,7 @@
 	grantsSeen            uint64 // bit i: grant lastGrantSeq-i has arrived
 	grants                []grant
 	unansweredSince       time.Duration // first request after the last answer
-	recentGrants          float64       // number of recent grants, decaying like the recent arrivals
+	recentGrants          float64       // recent grants; decays like recentArrivals, with time constant demandDecayTime
 	recentGrantsUpdatedAt time.Duration
 	grantedShare          float64 // share of arrivals that got grants when the coordinator fell silent
 	allowanceTokens       float64 // tokens of the allowance, one per call
--- a/choice/types.go
+++ b/choice/types.go
@@ -50,7 +50,7 @@
 	MaxOpenMessages int  `json:"MaxOpen"` // most messages without a final answer; 0 for no bound
 	MaxAttempts     int  // most attempts for one message; 0 for no bound
 	MayDuplicate    bool // two attempts of one message may be in flight at once
-	MayProbe        bool // endpoints may be probed
+	MayProbe        bool // a Probe may be requested: a health check of an endpoint that delivers no message
 	MayCancel       bool // attempts that are in flight may be cancelled
 	PeerDatagrams   bool `json:"MayTell"` // nodes may send datagrams to each other
 	// ColdStart says that this node restored no memory, and that destinations may have started just now as well.
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -116,7 +116,7 @@
 }
 
 // start opens the relays and the endpoint sockets, writes the configurations, starts the nodes and waits until all of
-// them answer clients. The day begins only then.
+// them answer clients. The simulated run (day) begins only then.
 func (r *run) start() error {
 	var parties []relay.Party
 	var faceAddrs, ownAddrs []string
@@ -150,8 +150,8 @@
 	return nil
 }
 
-// addEndpoint opens the socket of an endpoint and the relay in front of it, and adds the endpoint to the list of all
-// nodes.
+// addEndpoint opens the socket of an endpoint and the relay in front of it, and adds the endpoint to the endpoint list
+// of every node.
 func (r *run) addEndpoint(e model.ListEntry) error {
 	r.mu.Lock()
 	party := relay.Party{Kind: relay.Partner, Index: len(r.parties)}
--- a/internal/lab/process/process.go
+++ b/internal/lab/process/process.go
@@ -248,7 +248,9 @@
 	if err != nil {
 		return u, fmt.Errorf("%s: %w", p.Name, err)
 	}
-	_, after, _ := strings.Cut(string(stat), ") ") // the command name before it may contain any character
+	// The file begins with the process ID and the command name, which is in parentheses. The other fields are taken
+	// from what follows the first ") ", so a name that itself contains ") " would be misread.
+	_, after, _ := strings.Cut(string(stat), ") ")
 	fields := strings.Fields(after)
 	if len(fields) < 13 {
 		return u, fmt.Errorf("%s: /proc stat has only %d fields after the name", p.Name, len(fields))
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -551,7 +551,9 @@
 	if !o.on {
 		return choice.EndpointEnabled{Endpoint: o.endpoint}
 	}
-	n.pool.CloseIdle(o.endpoint) // the endpoint is about to be restarted
+	// Operators usually disable an endpoint before they restart it. The restart breaks its connections, so the idle
+	// ones are closed now. Otherwise calls could reuse them once the endpoint is enabled again.
+	n.pool.CloseIdle(o.endpoint)
 	return choice.EndpointDisabled{Endpoint: o.endpoint}
 }
 
