--- a/internal/node/listservice_test.go
+++ b/internal/node/listservice_test.go
@@ -18,10 +18,10 @@
 
 func TestInvalidListServiceConfigIsRejected(t *testing.T) {
 	for section, wantErr := range map[string]string{
-		`{}`:                                   "names 0 servers",
-		`{"addresses":[]}`:                     "names 0 servers",
+		`{}`:                                   "has 0 addresses",
+		`{"addresses":[]}`:                     "has 0 addresses",
 		`{"addresses":["10.0.0.1"]}`:           "10.0.0.1",
-		`{"addresses":["a:"]}`:                 "no address",
+		`{"addresses":["a:"]}`:                 "not an address",
 		`{"addresses":["a:1","b:1","a:1"]}`:    "twice",
 		`{"addresses":["a:1"],"keep":"often"}`: "keep",
 	} {
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -209,7 +209,7 @@
 		`,"membership":{"period_ms":100,"timeout_ms":-1}`: "timeout_ms",
 		`,"membership":{},"peer_listen":""`:               "peer_listen",
 		`,"membership":{},"peers":["127.0.0.1:1"]`:        "peers",
-		`,"membership":{},"peers":["a:1","b:1","a:1"]`:    "told apart",
+		`,"membership":{},"peers":["a:1","b:1","a:1"]`:    "same identifier",
 	} {
 		if _, err := loadConfig(f.config(0, section), t.TempDir()); err == nil || !strings.Contains(err.Error(), wantErr) {
 			t.Errorf("%s: %v", section, err)
