--- a/cmd/harrierramp/shutdown_test.go
+++ b/cmd/harrierramp/shutdown_test.go
@@ -154,8 +154,9 @@
 		time.Sleep(time.Until(signaled.Add(2900 * time.Millisecond)))
 		if kill {
 			l.signal(t, syscall.SIGKILL)
+		} else {
+			l.signal(t, syscall.SIGCONT)
 		}
-		l.signal(t, syscall.SIGCONT)
 		answered := map[string]bool{}
 		for i, br := range readers {
 			text, err := io.ReadAll(br)
